--- a/src/hyssopvane/_internal/coordination/key_value.py
+++ b/src/hyssopvane/_internal/coordination/key_value.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 ABSENT = 0
 """Revision of a key that does not exist."""
@@ -30,9 +30,9 @@
     """Era of the service in which it was read; 0 where not told."""
 
     @property
-    def mark(self) -> StoreMark:
+    def position(self) -> StorePosition:
         """Return the point of the service's history that orders the values of a key."""
-        return StoreMark(self.era, self.revision)
+        return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,9 +45,9 @@
     """Number of the era, higher after each return from a copy; 0 where not told."""
 
     @property
-    def mark(self) -> StoreMark:
+    def position(self) -> StorePosition:
         """Return the point of the service's history up to which the keys are known."""
-        return StoreMark(self.era, self.revision)
+        return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/hyssopvane/_internal/coordination/map_switch.py
+++ b/src/hyssopvane/_internal/coordination/map_switch.py
@@ -198,10 +198,10 @@
         is tied to a fence and a phase.
         """
         for _ in range(MAX_TRIES):
-            before = self.known.mark
+            before = self.known.position
             changed = change(self.known.record)
             if changed is None:
-                if (await self.read()).mark == before:
+                if (await self.read()).position == before:
                     return None
                 continue
             try:
@@ -216,9 +216,9 @@
         return None
 
     async def _find_written(self, changed: GroupRecord) -> bool:
-        before = self.known.mark
+        before = self.known.position
         read = await self.read()
-        return read.mark > before and read.record == changed
+        return read.position > before and read.record == changed
 
     async def _learn_current(self, lost: SwapLost) -> None:
         for item in lost.current:
@@ -228,7 +228,7 @@
         await self.read()
 
     def _learn(self, read: VersionedRecord) -> bool:
-        if read.mark <= self.known.mark:
+        if read.position <= self.known.position:
             return False
         came_back = 0 < self.known.era < read.era
         if (came_back or self._is_lost) and self.known.record.is_ahead_of(read.record):
--- a/src/hyssopvane/_internal/coordination/own_rows.py
+++ b/src/hyssopvane/_internal/coordination/own_rows.py
@@ -5,7 +5,7 @@
 from hyssopvane._internal.coordination.spread_messages import OwnRow, OwnRows
 from hyssopvane._internal.coordination.table_pages import get_page_key
 from hyssopvane._internal.state.columns import COLUMNS, RowId, RowKind
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import (
     Row,
     ServiceRow,
@@ -24,7 +24,7 @@
 
 def select_own_rows(
     table: Table,
-    marks: Mapping[str, Sequence[StoreMark]],
+    marks: Mapping[str, Sequence[StorePosition]],
     *,
     vm: str,
     service: str,
@@ -43,16 +43,16 @@
 
 
 def _describe(
-    table: Table, marks: Mapping[str, Sequence[StoreMark]], row: RowId
+    table: Table, marks: Mapping[str, Sequence[StorePosition]], row: RowId
 ) -> OwnRow:
     found = table.get_rows(row.kind).get(row.name)
-    newest, *lost = marks.get(get_page_key(row), (StoreMark(0, 0),))
+    newest, *lost = marks.get(get_page_key(row), (StorePosition(0, 0),))
     return OwnRow(
         str(row),
         newest.revision,
         _format_cells(found, row.kind),
         newest.era,
-        sum(mark.revision for mark in lost),
+        sum(position.revision for position in lost),
     )
 
 
@@ -66,16 +66,16 @@
     """Hold the rows that concern this agent; never go back to older ones."""
 
     def __init__(self, *, vm: str, service: str) -> None:
-        self.mark = StoreMark(0, 0)
+        self.position = StorePosition(0, 0)
         """Last mark of the table that an entry told, with these rows of it."""
         self.target = TargetRow(vm)
         self.service = ServiceRow(service)
-        self._orders: dict[str, tuple[StoreMark, int]] = {}
+        self._orders: dict[str, tuple[StorePosition, int]] = {}
 
     @property
     def revision(self) -> int:
         """Return the revision of the table's mark."""
-        return self.mark.revision
+        return self.position.revision
 
     @property
     def takes_work(self) -> bool:
@@ -90,15 +90,15 @@
             known = self._orders.get(row.row)
             if known is None or row.order > known:
                 self._put(row)
-        self.note_mark(StoreMark(rows.table_era, rows.table_revision))
+        self.note_mark(StorePosition(rows.table_era, rows.table_revision))
 
-    def note_mark(self, mark: StoreMark) -> None:
+    def note_mark(self, position: StorePosition) -> None:
         """Take note of the mark of the table that an entry has.
 
         An entry sends changed rows before the heartbeat with their revision, on the
         same connection, so that a heartbeat never speaks of rows that are missing here.
         """
-        self.mark = max(self.mark, mark)
+        self.position = max(self.position, position)
 
     def describe(self) -> dict[str, object]:
         """Return the rows in force as texts."""
--- a/src/hyssopvane/_internal/coordination/page_delta.py
+++ b/src/hyssopvane/_internal/coordination/page_delta.py
@@ -13,7 +13,7 @@
 
 from hyssopvane._internal.coordination.key_value import KeyValue
 from hyssopvane._internal.exceptions import ProtocolError
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 WHOLE = 0
 """Base of a change that carries the whole page."""
@@ -62,7 +62,9 @@
     """Return the page after a change, None when the change builds on another page."""
     value = change.content
     if change.base_revision != WHOLE:
-        if before is None or before.mark != StoreMark(change.era, change.base_revision):
+        if before is None or before.position != StorePosition(
+            change.era, change.base_revision
+        ):
             return None
         try:
             value = _apply_delta(json.loads(before.value), json.loads(value))
--- a/src/hyssopvane/_internal/coordination/quarantine.py
+++ b/src/hyssopvane/_internal/coordination/quarantine.py
@@ -24,7 +24,7 @@
     SuspectBook,
     combine,
 )
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.utils.backoff import Backoff
 
 PAGE_PREFIX = "quarantine/"
@@ -66,7 +66,7 @@
         self._report = report
         self._wall_clock = wall_clock
         self._refresh_s = refresh_s
-        self._mark = StoreMark(0, ABSENT)
+        self._mark = StorePosition(0, ABSENT)
         self._prefix = b""
         """First bytes of the page at the mark."""
         self._shared: Cases = {}
@@ -130,12 +130,12 @@
             )
             result = await self._store.compare_and_swap([swap])
             if isinstance(result, Swapped):
-                self._note_page(StoreMark(result.era, result.revision), content)
+                self._note_page(StorePosition(result.era, result.revision), content)
                 self._shared = cases
                 return
             # The answer shows the page as it is, also after a return to an older one.
             self._follow_era(result.era)
-            self._note_page(StoreMark(result.era, ABSENT))
+            self._note_page(StorePosition(result.era, ABSENT))
             for item in result.current:
                 self._accept(item)
             # What this entry shares again after a return goes with the next try.
@@ -148,15 +148,15 @@
         if self._mark.era:
             self._book.return_changes(self._shared)
             self._shared = {}
-        self._note_page(StoreMark(era, ABSENT))
+        self._note_page(StorePosition(era, ABSENT))
 
-    def _note_page(self, mark: StoreMark, value: bytes = b"") -> None:
-        self._mark = mark
+    def _note_page(self, position: StorePosition, value: bytes = b"") -> None:
+        self._mark = position
         self._prefix = take_prefix(value)
 
     def _accept(self, item: KeyValue) -> None:
         """Take over a newer page."""
-        if item.key != PAGE_KEY or item.mark <= self._mark:
+        if item.key != PAGE_KEY or item.position <= self._mark:
             return
         self._follow_era(item.era)
         now, offset = trio.current_time(), self._get_offset()
@@ -171,7 +171,7 @@
                     hint="nothing to do unless it comes again",
                 )
             )
-            self._note_page(item.mark, item.value)
+            self._note_page(item.position, item.value)
             return
         for body in self._shared.keys() - cases.keys():
             self._book.drop(body)
@@ -179,7 +179,7 @@
             quarantine_s = self._get_quarantine_s(body.service)
             self._book.merge(body, case, quarantine_s=quarantine_s, now=now)
         self._shared = cases
-        self._note_page(item.mark, item.value)
+        self._note_page(item.position, item.value)
 
     def _get_offset(self) -> float:
         """Return what turns clock values of this process into shared times."""
--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -17,7 +17,7 @@
 from hyssopvane._internal.policy.departures import Departures
 from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem
 from hyssopvane._internal.state.routing import Replica, RoutingTable
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.utils.logs import log_event
 
 REGAIN_S = 2.2
@@ -91,7 +91,7 @@
         """Revision of the registrations that can't be read, by their key."""
         self.unreadable = 0
         """Registrations that could not be read, since the start."""
-        self.replicas_mark = StoreMark(0, 0)
+        self.replicas_position = StorePosition(0, 0)
         """Point of the store's history up to which the registrations are known."""
         self._departures = Departures()
         self._missing: dict[str, float] = {}
@@ -127,7 +127,7 @@
         return Beliefs(
             self._configuration.revision,
             self._configuration.value,
-            self.replicas_mark.revision,
+            self.replicas_position.revision,
             tuple(
                 BelievedItem(item.key, item.value, item.revision)
                 for item in self._items.values()
@@ -135,7 +135,7 @@
                 # its end behind it would learn it anew, and nobody would tell it again.
                 if item.key not in self._missing
             ),
-            self.replicas_mark.era,
+            self.replicas_position.era,
         )
 
     def merge(self, beliefs: Beliefs) -> None:
@@ -146,12 +146,12 @@
                 KeyValue(key, beliefs.configuration, beliefs.configuration_revision),
                 source="peer",
             )
-        if beliefs.replicas_mark > self.replicas_mark:
+        if beliefs.replicas_position > self.replicas_position:
             items = tuple(
                 KeyValue(item.key, item.value, item.revision)
                 for item in beliefs.replicas
             )
-            self._replace_replicas(items, beliefs.replicas_mark, source="peer")
+            self._replace_replicas(items, beliefs.replicas_position, source="peer")
         self._tell()
 
     def note_return(self, at: float) -> None:
@@ -171,7 +171,7 @@
 
     def note_era(self, era: int) -> None:
         """Learn from a peer that the store has come back from a copy."""
-        if era > self.replicas_mark.era:
+        if era > self.replicas_position.era:
             self._store.end_watches(era)
 
     @property
@@ -182,7 +182,7 @@
     @property
     def replicas_revision(self) -> int:
         """Return the revision up to which the registrations are known."""
-        return self.replicas_mark.revision
+        return self.replicas_position.revision
 
     async def _follow(self, prefix: str) -> None:
         retry_s = _FIRST_RETRY_S
@@ -234,13 +234,13 @@
         )
 
     def _load(self, prefix: str, snapshot: Snapshot) -> None:
-        mark = snapshot.mark
+        position = snapshot.position
         if prefix == self._format.configuration_key:
             for item in snapshot.items:
                 if item.key == prefix:
                     self._apply_configuration(item, source="store")
-        elif mark >= self.replicas_mark:
-            self._replace_replicas(snapshot.items, mark, source="store")
+        elif position >= self.replicas_position:
+            self._replace_replicas(snapshot.items, position, source="store")
         self._tell()
 
     def _apply_event(self, prefix: str, event: WatchEvent, *, era: int = 0) -> None:
@@ -248,12 +248,12 @@
             if event.value is not None and event.key == prefix:
                 item = KeyValue(event.key, event.value, event.revision)
                 self._apply_configuration(item, source="store")
-        elif era == self.replicas_mark.era and event.revision > self._get_revision(
+        elif era == self.replicas_position.era and event.revision > self._get_revision(
             event.key
         ):
             self._apply_registration(event)
-            mark = StoreMark(era, event.revision)
-            self.replicas_mark = max(self.replicas_mark, mark)
+            position = StorePosition(era, event.revision)
+            self.replicas_position = max(self.replicas_position, position)
         self._tell()
 
     def _apply_configuration(self, item: KeyValue, *, source: str) -> None:
@@ -313,10 +313,10 @@
             self._put(KeyValue(event.key, event.value, event.revision))
 
     def _replace_replicas(
-        self, items: tuple[KeyValue, ...], mark: StoreMark, *, source: str
+        self, items: tuple[KeyValue, ...], position: StorePosition, *, source: str
     ) -> None:
-        if mark.era > self.replicas_mark.era:
-            self._begin_era(mark.era)
+        if position.era > self.replicas_position.era:
+            self._begin_era(position.era)
         present = {item.key for item in items}
         for item in items:
             if item.revision > self._get_revision(item.key):
@@ -325,13 +325,13 @@
             del self._unreadable[key]
         for key in self._items.keys() - present:
             self._remove(key, why=f"missing in the list of the {source}")
-        self.replicas_mark = mark
+        self.replicas_position = position
 
     def _begin_era(self, era: int) -> None:
         """Forget the revisions of an earlier era: they are given out again."""
-        if self.replicas_mark.revision:
+        if self.replicas_position.revision:
             self.connected_at = self.returned_at = trio.current_time()
-        self.replicas_mark = StoreMark(era, 0)
+        self.replicas_position = StorePosition(era, 0)
         self._store.end_watches(era)
         self._items = {
             key: replace(item, revision=0) for key, item in self._items.items()
@@ -350,7 +350,7 @@
         replica = self._departures.correct(
             item.key,
             replica,
-            era=self.replicas_mark.era,
+            era=self.replicas_position.era,
             is_first=self._get_revision(item.key) == 0,
             now=trio.current_time(),
         )
@@ -413,7 +413,7 @@
         self._departures.note(
             key,
             self.replicas[key],
-            era=self.replicas_mark.era,
+            era=self.replicas_position.era,
             now=trio.current_time(),
         )
 
--- a/src/hyssopvane/_internal/coordination/spread.py
+++ b/src/hyssopvane/_internal/coordination/spread.py
@@ -36,7 +36,7 @@
     ProtocolError,
 )
 from hyssopvane._internal.policy.watchers import Duties, plan_duties
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import Table
 
 # Control traffic at the target: 25,000 changes a day are 0.29 a second, a zone has 69
@@ -248,7 +248,7 @@
         except ProtocolError as error:
             self._report(error)
             return
-        self.compare(vm, beat.mark, beat.digest)
+        self.compare(vm, beat.position, beat.digest)
         last = self._last_beats.get(beat.origin)
         if last is not None and last[0] == beat.incarnation:
             if beat.sequence <= last[1]:
@@ -289,35 +289,37 @@
             for item in self.reader.get_pages()
             if item.revision > held.get((item.key, item.era), 0)
         ]
-        chosen = _take_bounded(sorted(newer, key=lambda item: item.mark))
+        chosen = _take_bounded(sorted(newer, key=lambda item: item.position))
         changes = tuple(make_whole(item) for item in chosen)
         return encode_pages(Pages(changes, more=len(chosen) < len(newer)))
 
-    def compare(self, vm: str, mark: StoreMark, digest: int | None = None) -> None:
+    def compare(
+        self, vm: str, position: StorePosition, digest: int | None = None
+    ) -> None:
         """Ask a peer for what it has and this entry lacks, unless that comes by itself.
 
         The mark alone does not show a page that is missing beneath a newer one, nor one
         that the service has lost; the digest does.
         """
-        if mark.era > self.table.era:
-            self._store.end_watches(mark.era)
-        if self._is_behind(mark, digest) and self._nursery is not None:
-            self._nursery.start_soon(self._ask_when_behind, vm, mark, digest)
-
-    def _is_behind(self, mark: StoreMark, digest: int | None) -> bool:
-        if mark != self.table.mark:
-            return mark > self.table.mark
+        if position.era > self.table.era:
+            self._store.end_watches(position.era)
+        if self._is_behind(position, digest) and self._nursery is not None:
+            self._nursery.start_soon(self._ask_when_behind, vm, position, digest)
+
+    def _is_behind(self, position: StorePosition, digest: int | None) -> bool:
+        if position != self.table.position:
+            return position > self.table.position
         return digest is not None and digest != self.reader.digest
 
     async def _ask_when_behind(
-        self, vm: str, mark: StoreMark, digest: int | None
+        self, vm: str, position: StorePosition, digest: int | None
     ) -> None:
         if self._asking:
             return
         self._asking = True
         try:
             await trio.sleep(GRACE_S)
-            if self._is_behind(mark, digest):
+            if self._is_behind(position, digest):
                 await self._catch_up(vm)
         finally:
             self._asking = False
--- a/src/hyssopvane/_internal/coordination/spread_messages.py
+++ b/src/hyssopvane/_internal/coordination/spread_messages.py
@@ -10,7 +10,7 @@
 from hyssopvane._internal.coordination.vm_list import VmRecord, VmRole, VmState
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.protocol.codec import load_schema
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 _SCHEMA_FILE = Path(protocol.__file__).with_name("spread.capnp")
 _Decoded = TypeVar("_Decoded")
@@ -41,9 +41,9 @@
     """Era of the service that the revision belongs to."""
 
     @property
-    def mark(self) -> StoreMark:
+    def position(self) -> StorePosition:
         """Return the point of the service's history that the sender's table is of."""
-        return StoreMark(self.era, self.revision)
+        return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,9 +70,9 @@
     """
 
     @property
-    def order(self) -> tuple[StoreMark, int]:
+    def order(self) -> tuple[StorePosition, int]:
         """Return what orders the words of several senders on the row."""
-        return StoreMark(self.page_era, self.page_revision), self.lost_revision
+        return StorePosition(self.page_era, self.page_revision), self.lost_revision
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,13 +119,17 @@
     return _unpack("Pages", data, read)
 
 
-def encode_question(held: Mapping[str, Sequence[StoreMark]]) -> bytes:
+def encode_question(held: Mapping[str, Sequence[StorePosition]]) -> bytes:
     """Encode the marks of the versions of each page that the asker has."""
     message = load_schema(_SCHEMA_FILE).Question.new_message()
-    states = [(key, mark) for key, marks in held.items() for mark in marks]
+    states = [(key, position) for key, marks in held.items() for position in marks]
     builders = message.init("held", len(states))
-    for builder, (key, mark) in zip(builders, states, strict=True):
-        builder.key, builder.era, builder.revision = key, mark.era, mark.revision
+    for builder, (key, position) in zip(builders, states, strict=True):
+        builder.key, builder.era, builder.revision = (
+            key,
+            position.era,
+            position.revision,
+        )
     return _pack(message)
 
 
--- a/src/hyssopvane/_internal/coordination/table_pages.py
+++ b/src/hyssopvane/_internal/coordination/table_pages.py
@@ -13,7 +13,7 @@
 )
 from hyssopvane._internal.exceptions import TableError
 from hyssopvane._internal.state.columns import COLUMNS, RowId, RowKind
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import (
     CustomerRow,
     Row,
@@ -231,15 +231,17 @@
 
 def build_table(pages: Iterable[ParsedPage]) -> Table:
     """Join pages to the table; its mark is the last of theirs."""
-    mark = StoreMark(0, 0)
+    position = StorePosition(0, 0)
     customers: dict[str, CustomerRow] = {}
     services: dict[str, ServiceRow] = {}
     targets: dict[str, TargetRow] = {}
     revisions: dict[RowId, RowRevisions] = {}
     for page in pages:
-        mark = max(mark, StoreMark(page.era, page.revision))
+        position = max(position, StorePosition(page.era, page.revision))
         customers.update(page.customers)
         services.update(page.services)
         targets.update(page.targets)
         revisions.update(page.revisions)
-    return Table(mark.revision, customers, services, targets, revisions, mark.era)
+    return Table(
+        position.revision, customers, services, targets, revisions, position.era
+    )
--- a/src/hyssopvane/_internal/coordination/table_store.py
+++ b/src/hyssopvane/_internal/coordination/table_store.py
@@ -46,7 +46,7 @@
     KeyValueUnknown,
     TableError,
 )
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import Table, check_references
 from hyssopvane._internal.utils.backoff import Backoff
 
@@ -233,7 +233,7 @@
         # A stale read must not hide what a lost swap has already shown.
         for item in items:
             known = self._seen.get(item.key)
-            if known is None or item.mark > known.mark:
+            if known is None or item.position > known.position:
                 self._seen[item.key] = item
 
     def _make_give_up_error(self) -> HyssopvaneError:
@@ -328,7 +328,7 @@
 
         Those of earlier eras are kept while they have edits that the service lost.
         """
-        self._read_mark = StoreMark(0, 0)
+        self._read_mark = StorePosition(0, 0)
         self.heard_at = -math.inf
         """Clock value at which the service was last heard."""
         self.digest = 0
@@ -371,13 +371,13 @@
                     # work, or every reader would load the table many times a second.
                     return
                 self._backoff.reset()
-                self._note_read(max(item.mark for item in items))
+                self._note_read(max(item.position for item in items))
                 if self.accept(items):
                     await send.send(self.table)
 
     async def _load(self) -> bool:
         snapshot = await self._store.get_prefix(PAGE_PREFIX)
-        self._note_read(snapshot.mark)
+        self._note_read(snapshot.position)
         return self.accept(snapshot.items)
 
     async def refresh(self) -> bool:
@@ -396,13 +396,13 @@
             # The service came back from a copy, in which all revisions may be lower.
             await self._load()
             return True
-        self._note_read(snapshot.mark)
+        self._note_read(snapshot.position)
         self.accept(snapshot.items)
         return bool(snapshot.items)
 
-    def _note_read(self, mark: StoreMark) -> None:
+    def _note_read(self, position: StorePosition) -> None:
         # A stale read is of an earlier revision than was already read.
-        self._read_mark = max(self._read_mark, mark)
+        self._read_mark = max(self._read_mark, position)
         self.heard_at = trio.current_time()
 
     def get_page(self, key: str, era: int) -> KeyValue | None:
@@ -413,10 +413,12 @@
         """Return the revision of each page in force."""
         return {key: page.revision for key, page in self._pages.items()}
 
-    def get_held_marks(self) -> dict[str, tuple[StoreMark, ...]]:
+    def get_held_marks(self) -> dict[str, tuple[StorePosition, ...]]:
         """Return the marks of all versions of each page, the last one first."""
         return {
-            key: tuple(sorted((item.mark for item in versions.values()), reverse=True))
+            key: tuple(
+                sorted((item.position for item in versions.values()), reverse=True)
+            )
             for key, versions in self._versions.items()
         }
 
@@ -471,11 +473,11 @@
     return kept, build_parsed_page(merged, newest.revision, era=newest.era)
 
 
-def _hash_marks(marks: Mapping[str, Sequence[StoreMark]]) -> int:
+def _hash_marks(marks: Mapping[str, Sequence[StorePosition]]) -> int:
     text = ",".join(
-        f"{key}={mark.era}.{mark.revision}"
+        f"{key}={position.era}.{position.revision}"
         for key in sorted(marks)
-        for mark in marks[key]
+        for position in marks[key]
     )
     return xxhash.xxh3_64_intdigest(text.encode())
 
--- a/src/hyssopvane/_internal/protocol/messages.py
+++ b/src/hyssopvane/_internal/protocol/messages.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 PROTOCOL_VERSION = 1
 
@@ -36,9 +36,9 @@
     """Era of the key-value service that the table's revision belongs to."""
 
     @property
-    def table_mark(self) -> StoreMark:
+    def table_mark(self) -> StorePosition:
         """Return the point of the service's history that the table is of."""
-        return StoreMark(self.table_era, self.table_revision)
+        return StorePosition(self.table_era, self.table_revision)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -169,7 +169,7 @@
             "incarnation": self.incarnation,
             "leaving": self.leaving,
             "table_revision": self.rows.revision,
-            "table_era": self.rows.mark.era,
+            "table_era": self.rows.position.era,
             "takes_work": not self.refuses_work,
             "rows": self.rows.describe(),
             "running": self._count_running(),
@@ -182,7 +182,7 @@
         return Heartbeat(
             sequence=0,
             table_revision=self.rows.revision,
-            table_era=self.rows.mark.era,
+            table_era=self.rows.position.era,
             running=self._count_running(),
             leaving=self.refuses_work,
         )
--- a/src/hyssopvane/_internal/roles/belief_exchange.py
+++ b/src/hyssopvane/_internal/roles/belief_exchange.py
@@ -13,7 +13,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.protocol.group_messages import decode_beliefs, encode_beliefs
 from hyssopvane._internal.state.group import EntryState
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.transport.asgi_messages import (
     send_response,
     serve_lifespan,
@@ -77,10 +77,10 @@
 
     def _is_newer(self, peer: EntryState) -> bool:
         feed = self._feed
-        known = StoreMark(peer.replicas_era, peer.replicas_revision)
+        known = StorePosition(peer.replicas_era, peer.replicas_revision)
         return (
             peer.configuration_version > feed.configuration_version
-            or known > feed.replicas_mark
+            or known > feed.replicas_position
         )
 
     async def _ask_later(self, peer: EntryState) -> None:
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -241,7 +241,7 @@
                 beliefs=self.beliefs_address,
                 configuration_version=self.feed.configuration_version,
                 replicas_revision=self.feed.replicas_revision,
-                replicas_era=self.feed.replicas_mark.era,
+                replicas_era=self.feed.replicas_position.era,
                 availability_zone=self.settings.availability_zone,
                 store_returned_s=self._measure_return(now),
             )
--- a/src/hyssopvane/_internal/state/beliefs.py
+++ b/src/hyssopvane/_internal/state/beliefs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,6 +27,6 @@
     """Era of the store that the registrations and their revisions belong to."""
 
     @property
-    def replicas_mark(self) -> StoreMark:
+    def replicas_position(self) -> StorePosition:
         """Return the point of the store's history up to which they are known."""
-        return StoreMark(self.replicas_era, self.replicas_revision)
+        return StorePosition(self.replicas_era, self.replicas_revision)
--- a/src/hyssopvane/_internal/state/map_switch.py
+++ b/src/hyssopvane/_internal/state/map_switch.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 INITIAL_MAP = "initial"
 """Map of a group that has never switched."""
@@ -262,9 +262,9 @@
     """First bytes of its value in the service."""
 
     @property
-    def mark(self) -> StoreMark:
+    def position(self) -> StorePosition:
         """Return the point of the service's history that orders records."""
-        return StoreMark(self.era, self.revision)
+        return StorePosition(self.era, self.revision)
 
 
 class RankAgent:
@@ -285,7 +285,7 @@
         A read may show an old state of the record. To go back to it would stage and
         arm a proposal that has ended.
         """
-        if read.mark > self.known.mark:
+        if read.position > self.known.position:
             self.known = read
 
     def confirm(self, written: VersionedRecord) -> None:
--- a/src/hyssopvane/_internal/state/store_mark.py
+++ b/src/hyssopvane/_internal/state/store_position.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class StoreMark:
+class StorePosition:
     """Name a point in the store's history; any point of a later era comes later."""
 
     era: int
--- a/src/hyssopvane/_internal/state/table.py
+++ b/src/hyssopvane/_internal/state/table.py
@@ -12,7 +12,7 @@
     RowKind,
     get_column,
 )
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,9 +119,9 @@
     """Era of the service that the revision belongs to."""
 
     @property
-    def mark(self) -> StoreMark:
+    def position(self) -> StorePosition:
         """Return the point of the service's history that the table is of."""
-        return StoreMark(self.era, self.revision)
+        return StorePosition(self.era, self.revision)
 
     def get_rows(self, kind: RowKind) -> Mapping[str, Row]:
         """Return the rows of one kind by name."""
--- a/src/hyssopvane/_internal/state/vm_status.py
+++ b/src/hyssopvane/_internal/state/vm_status.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 
 
 class InForce(StrEnum):
@@ -31,9 +31,9 @@
     """Era of the service that the revision belongs to."""
 
     @property
-    def mark(self) -> StoreMark:
+    def position(self) -> StorePosition:
         """Return the point of the service's history that the table is of."""
-        return StoreMark(self.era, self.revision)
+        return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,9 +75,11 @@
     known: dict[str, VmReport] = {}
     for report in reports:
         other = known.get(report.vm)
-        if other is None or report.mark > other.mark:
+        if other is None or report.position > other.position:
             known[report.vm] = report
-    newest = max((report.mark for report in known.values()), default=StoreMark(0, 0))
+    newest = max(
+        (report.position for report in known.values()), default=StorePosition(0, 0)
+    )
     digest = _find_usual_digest(known, newest)
     return FleetStatus(
         newest.revision,
@@ -88,15 +90,15 @@
     )
 
 
-def _find_usual_digest(known: Mapping[str, VmReport], newest: StoreMark) -> int:
+def _find_usual_digest(known: Mapping[str, VmReport], newest: StorePosition) -> int:
     digests = [
-        one.digest for one in known.values() if one.mark == newest and one.digest
+        one.digest for one in known.values() if one.position == newest and one.digest
     ]
     return max(digests, key=digests.count, default=0)
 
 
 def _build_line(
-    listed: ListedVm, report: VmReport | None, newest: StoreMark, digest: int
+    listed: ListedVm, report: VmReport | None, newest: StorePosition, digest: int
 ) -> VmStatus:
     revision = report.revision if report else 0
     return VmStatus(
@@ -113,10 +115,10 @@
     )
 
 
-def _compare(report: VmReport | None, newest: StoreMark, digest: int) -> InForce:
+def _compare(report: VmReport | None, newest: StorePosition, digest: int) -> InForce:
     if report is None:
         return InForce.NO_ANSWER
-    if report.mark < newest:
+    if report.position < newest:
         return InForce.BEHIND
     if report.digest and report.digest != digest:
         return InForce.INCOMPLETE
--- a/tests/functional/test_service_return.py
+++ b/tests/functional/test_service_return.py
@@ -74,7 +74,7 @@
                     await trio.sleep(0.05)
         kept = await store.get("a")
         assert kept.value == b"kept"
-        assert kept.mark > lost.mark
+        assert kept.position > lost.position
         assert (await other.get("a")).era == kept.era
         written = await write(store, "a", b"again")
         assert written.era == kept.era
--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -16,7 +16,7 @@
 from hyssopvane._internal.coordination.table_pages import PAGE_PREFIX
 from hyssopvane._internal.exceptions import PeerLost
 from hyssopvane._internal.standins.key_value_state import KeyValueState
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import Table
 from tests.lib.fake_key_value import FakeKeyValueStore, Fault
 
@@ -36,7 +36,7 @@
     stale: bool = False
     notices_lost: bool = False
     in_force: dict[str, int] = field(default_factory=dict)
-    marks: dict[str, StoreMark] = field(default_factory=dict)
+    marks: dict[str, StorePosition] = field(default_factory=dict)
     first_in_force: dict[str, int] | None = None
 
 
--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -13,7 +13,7 @@
 import trio
 
 from hyssopvane._internal.standins.engine import make_token_text
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from tests.lib.http import request
 from tests.lib.installation import (
     CHECK,
@@ -85,7 +85,7 @@
         self._processes: dict[str, Process] = {}
         self._callers: dict[str, str] = {}
         self._targets: dict[str, str] = {}
-        self._marks: dict[tuple[str, object], StoreMark] = {}
+        self._marks: dict[tuple[str, object], StorePosition] = {}
         """Last mark of each start of a process, noted by several threads."""
         self._noting = Lock()
         self._edits = 0
@@ -311,10 +311,10 @@
             return
         revision, era = in_force["table_revision"], in_force.get("table_era", 0)
         assert isinstance(revision, int) and isinstance(era, int)
-        mark = StoreMark(era, revision)
+        mark = StorePosition(era, revision)
         # A process that was replaced starts anew, from what it finds.
         start = (vm, in_force["incarnation"])
-        if mark < noted.get(start, StoreMark(0, 0)):
+        if mark < noted.get(start, StorePosition(0, 0)):
             self._violate(f"{vm} went back to revision {revision}")
         with self._noting:
             self._marks[start] = max(mark, self._marks.get(start, mark))
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -288,7 +288,7 @@
             beliefs="10.1.0.1:7001",
             configuration_version=peer.feed.configuration_version,
             replicas_revision=peer.feed.replicas_revision,
-            replicas_era=peer.feed.replicas_mark.era,
+            replicas_era=peer.feed.replicas_position.era,
         )
         told = decode_message(encode_message(state))
         assert isinstance(told, EntryState)
--- a/tests/unit/test_own_rows.py
+++ b/tests/unit/test_own_rows.py
@@ -12,7 +12,7 @@
 from hyssopvane._internal.coordination.table_pages import get_page_key
 from hyssopvane._internal.exceptions import TableError
 from hyssopvane._internal.state.columns import RowId, RowKind
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import ServiceRow, Table, TargetRow
 
 PAGE = get_page_key(RowId(RowKind.TARGET, "t-1"))
@@ -25,7 +25,7 @@
         services={"draft": ServiceRow("draft", deadline_s=7.0)},
         targets={"t-1": TargetRow("t-1", "draft", weight, in_service=in_service)},
     )
-    marks = {PAGE: (StoreMark(0, revision),)}
+    marks = {PAGE: (StorePosition(0, revision),)}
     rows = select_own_rows(table, marks, vm="t-1", service="draft")
     held.accept(decode_own_rows(encode_own_rows(rows)))
 
--- a/tests/unit/test_routing_feed.py
+++ b/tests/unit/test_routing_feed.py
@@ -10,7 +10,7 @@
 from hyssopvane._internal.coordination.key_value import KeyValue, WatchEvent
 from hyssopvane._internal.coordination.routing_feed import REGAIN_S, RoutingFeed
 from hyssopvane._internal.platform.wire import PlatformFormat
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem, StoreMark
+from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem, StorePosition
 from tests.lib.direct_installation import make_configuration
 
 
@@ -100,7 +100,7 @@
         feed = make_feed()
         feed.merge(make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9))
         feed.connected_at = trio.current_time()
-        feed._replace_replicas((), StoreMark(0, 20), source="store")
+        feed._replace_replicas((), StorePosition(0, 20), source="store")
         assert len(feed.replicas) == 2
         back = KeyValue("servers/1", make_registration(1), 21)
         async with trio.open_nursery() as nursery:
@@ -120,7 +120,7 @@
         await trio.sleep(10)
         feed.merge(make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9))
         items = (KeyValue("servers/2", make_registration(2), 5),)
-        feed._replace_replicas(items, StoreMark(0, 20), source="store")
+        feed._replace_replicas(items, StorePosition(0, 20), source="store")
         assert list(feed.replicas) == ["servers/2"]
 
     run(test)
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -18,7 +18,7 @@
 from hyssopvane._internal.exceptions import HyssopvaneError
 from hyssopvane._internal.standins.key_value_state import KeyValueState
 from hyssopvane._internal.state.columns import parse_row_id
-from hyssopvane._internal.state.store_mark import StoreMark
+from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import CellId, Table, TargetRow
 from tests.lib.fake_fleet import ZONES, Fleet
 from tests.lib.fake_key_value import FakeKeyValueStore
@@ -204,15 +204,15 @@
         )
         held.accept(rows)
 
-    tell(5, StoreMark(1, 40))
-    tell(7, StoreMark(2, 12))
+    tell(5, StorePosition(1, 40))
+    tell(7, StorePosition(2, 12))
     assert held.target.weight == 7
-    assert held.mark == StoreMark(2, 12)
-    tell(5, StoreMark(1, 41))
+    assert held.position == StorePosition(2, 12)
+    tell(5, StorePosition(1, 41))
     assert held.target.weight == 7
-    tell(9, StoreMark(2, 12), StoreMark(1, 40))
+    tell(9, StorePosition(2, 12), StorePosition(1, 40))
     assert held.target.weight == 9
-    tell(7, StoreMark(2, 12))
+    tell(7, StorePosition(2, 12))
     assert held.target.weight == 9
 
 
