--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -15,9 +15,9 @@
 )
 from hyssopvane._internal.exceptions import ConfigurationError, KeyValueError
 from hyssopvane._internal.policy.departures import Departures
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem
 from hyssopvane._internal.state.routing import Replica, RoutingTable
 from hyssopvane._internal.state.store_position import StorePosition
+from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from hyssopvane._internal.utils.logs import log_event
 
 REGAIN_S = 2.2
@@ -122,14 +122,14 @@
             self._was_ready.set()
         self._observe()
 
-    def export(self) -> Beliefs:
+    def export(self) -> StoreSnapshot:
         """Return what is known, to pass it on to another process."""
-        return Beliefs(
+        return StoreSnapshot(
             self._configuration.revision,
             self._configuration.value,
             self.replicas_position.revision,
             tuple(
-                BelievedItem(item.key, item.value, item.revision)
+                StoreItem(item.key, item.value, item.revision)
                 for item in self._items.values()
                 # A replica that lapsed is believed for a while longer. A peer that has
                 # its end behind it would learn it anew, and nobody would tell it again.
@@ -138,7 +138,7 @@
             self.replicas_position.era,
         )
 
-    def merge(self, beliefs: Beliefs) -> None:
+    def merge(self, beliefs: StoreSnapshot) -> None:
         """Take over what another process knows more newly."""
         if beliefs.configuration:
             key = self._format.configuration_key
--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -12,7 +12,6 @@
 
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.protocol.codec import load_schema
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem
 from hyssopvane._internal.state.group import (
     Counts,
     EntryState,
@@ -29,6 +28,7 @@
     MemberLoad,
     Roster,
 )
+from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from hyssopvane._internal.utils.ip_addresses import is_address
 
 GroupMessage = (
@@ -145,7 +145,7 @@
     return tuple(one for one in addresses if one)
 
 
-def encode_beliefs(beliefs: Beliefs) -> bytes:
+def encode_beliefs(beliefs: StoreSnapshot) -> bytes:
     """Encode what an entry has learnt from the store."""
     message = load_schema(_SCHEMA_FILE).Beliefs.new_message()
     message.configurationRevision = beliefs.configuration_revision
@@ -160,19 +160,19 @@
     return _seal(message.to_bytes_packed())
 
 
-def decode_beliefs(data: bytes) -> Beliefs:
+def decode_beliefs(data: bytes) -> StoreSnapshot:
     """Decode another entry's beliefs; raise `ProtocolError` when they are none."""
     try:
         message = load_schema(_SCHEMA_FILE).Beliefs.from_bytes_packed(
             _open(data), traversal_limit_in_words=_MAX_BELIEF_WORDS
         )
-        return Beliefs(
+        return StoreSnapshot(
             configuration_revision=message.configurationRevision,
             configuration=bytes(message.configuration),
             replicas_revision=message.replicasRevision,
             replicas_era=message.replicasEra,
             replicas=tuple(
-                BelievedItem(item.key, bytes(item.value), item.revision)
+                StoreItem(item.key, bytes(item.value), item.revision)
                 for item in message.replicas
             ),
         )
--- a/src/hyssopvane/_internal/state/beliefs.py
+++ b/src/hyssopvane/_internal/state/store_snapshot.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BelievedItem:
+class StoreItem:
     """Hold one key of the store as it was at a revision."""
 
     key: str
@@ -15,14 +15,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beliefs:
+class StoreSnapshot:
     """Hold the configuration and the registrations of replicas."""
 
     configuration_revision: int
     configuration: bytes
     replicas_revision: int
     """Revision of the store up to which the registrations are known."""
-    replicas: tuple[BelievedItem, ...]
+    replicas: tuple[StoreItem, ...]
     replicas_era: int = 0
     """Era of the store that the registrations and their revisions belong to."""
 
--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -20,7 +20,6 @@
     encode_beliefs,
     encode_message,
 )
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem
 from hyssopvane._internal.state.group import (
     EntryState,
     MapChange,
@@ -36,6 +35,7 @@
     MemberLoad,
     Roster,
 )
+from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from tests.lib.direct_installation import ENGINE, EXPERTS, make_configuration
 from tests.lib.platform_documents import REGISTRATION, REPORT, STARTED_MS
 
@@ -75,7 +75,7 @@
     MapChange("g", 1, 2, (((0,), (1,)),), 3, (_A,)),
     ReplicaLimits((LimitNews(_A, 5, 2.5, 0.1), LimitNews(_A, 0, None, 1.0))),
 )
-_BELIEFS = Beliefs(3, b"{}", 4, (BelievedItem("servers/i-1", b"{}", 2),))
+_BELIEFS = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
 
 MESSAGE_BYTES = [encode_message(message) for message in _MESSAGES]
 BELIEFS_BYTES = encode_beliefs(_BELIEFS)
--- a/tests/unit/test_routing_feed.py
+++ b/tests/unit/test_routing_feed.py
@@ -10,7 +10,11 @@
 from hyssopvane._internal.coordination.key_value import KeyValue, WatchEvent
 from hyssopvane._internal.coordination.routing_feed import REGAIN_S, RoutingFeed
 from hyssopvane._internal.platform.wire import PlatformFormat
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem, StorePosition
+from hyssopvane._internal.state.store_snapshot import (
+    StoreItem,
+    StorePosition,
+    StoreSnapshot,
+)
 from tests.lib.direct_installation import make_configuration
 
 
@@ -41,12 +45,12 @@
 
 
 def make_beliefs(version, *, revision, replicas=(), replicas_revision=0):
-    return Beliefs(
+    return StoreSnapshot(
         configuration_revision=revision,
         configuration=encode(make_configuration(version)),
         replicas_revision=replicas_revision,
         replicas=tuple(
-            BelievedItem(f"servers/{number}", make_registration(number), revision)
+            StoreItem(f"servers/{number}", make_registration(number), revision)
             for number in replicas
         ),
     )
@@ -83,7 +87,7 @@
     async def test():
         feed = make_feed()
         feed.merge(make_beliefs(2, revision=20))
-        feed.merge(Beliefs(30, b"{", 0, ()))
+        feed.merge(StoreSnapshot(30, b"{", 0, ()))
         assert feed.table.version == 2
 
     run(test)
--- a/tests/unit/test_store_return.py
+++ b/tests/unit/test_store_return.py
@@ -13,7 +13,7 @@
 from hyssopvane._internal.coordination.routing_feed import RoutingFeed
 from hyssopvane._internal.platform.store import PlatformStore
 from hyssopvane._internal.platform.wire import PlatformFormat
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem
+from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from tests.lib.direct_store import DirectStore
 from tests.lib.store_return_model import DirectStoreClient, StoreReturnModel
 from tests.unit.test_routing_feed import make_registration
@@ -95,8 +95,8 @@
     async def main():
         _, feed = make_feed_with_store()
         feed._load("servers/", make_snapshot(2, (1, READY)))
-        item = BelievedItem("servers/2", make_registration(2), revision)
-        feed.merge(Beliefs(0, b"", revision, (item,), era))
+        item = StoreItem("servers/2", make_registration(2), revision)
+        feed.merge(StoreSnapshot(0, b"", revision, (item,), era))
         assert ("servers/2" in feed.replicas) == taken
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -121,7 +121,7 @@
             await trio.sleep(0.3)
             assert not feed.replicas
             if told_by == "beliefs":
-                feed.merge(Beliefs(0, b"", 1, (), 1))
+                feed.merge(StoreSnapshot(0, b"", 1, (), 1))
             else:
                 feed.note_era(1)
             await trio.sleep(0.6)
--- a/tests/unit/test_strangers.py
+++ b/tests/unit/test_strangers.py
@@ -10,7 +10,7 @@
     MAX_REGISTRATION_BYTES,
     decode_replica,
 )
-from hyssopvane._internal.state.beliefs import Beliefs, BelievedItem
+from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from tests.unit.test_routing_feed import make_feed, make_registration, run
 
 GOOD = json.loads(make_registration(1))
@@ -139,8 +139,8 @@
         feed._put(KeyValue("servers/2", make_registration(2), 3))
         feed._put(KeyValue("servers/1", make_registration(1), 4))
         feed._put(KeyValue("servers/1", b"{}", 8))
-        old = (BelievedItem("servers/1", make_registration(1), 4),)
-        feed.merge(Beliefs(0, b"", 20, old))
+        old = (StoreItem("servers/1", make_registration(1), 4),)
+        feed.merge(StoreSnapshot(0, b"", 20, old))
         assert "servers/1" not in feed.replicas
 
     run(test)
