--- a/src/hyssopvane/_internal/coordination/demand.py
+++ b/src/hyssopvane/_internal/coordination/demand.py
@@ -16,7 +16,7 @@
     encode_answers,
     encode_asks,
 )
-from hyssopvane._internal.state.shares import EntryId, ShareAsk
+from hyssopvane._internal.state.shares import EntryId, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
 
 _INTERVAL_S = 1.0
@@ -76,7 +76,9 @@
         for vm, asks in self._holder.choose_asks(now=now).items():
             nursery.start_soon(self._exchange, vm, asks, now)
 
-    async def _exchange(self, vm: str, asks: list[ShareAsk], sent_at: float) -> None:
+    async def _exchange(
+        self, vm: str, asks: list[ShareRequest], sent_at: float
+    ) -> None:
         body = encode_asks(asks)
         if vm == self._own.vm:
             answered = self.answer(self._own, body)
--- a/src/hyssopvane/_internal/policy/share_grants.py
+++ b/src/hyssopvane/_internal/policy/share_grants.py
@@ -12,7 +12,7 @@
     RESERVE,
     get_longest_lease,
 )
-from hyssopvane._internal.state.shares import EntryId, ShareAnswer, ShareAsk
+from hyssopvane._internal.state.shares import EntryId, ShareGrant, ShareRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,8 +75,8 @@
                 self._pools[customer] = _Pool(since=now)
 
     def answer(
-        self, entry: EntryId, ask: ShareAsk, *, now: float
-    ) -> ShareAnswer | None:
+        self, entry: EntryId, ask: ShareRequest, *, now: float
+    ) -> ShareGrant | None:
         """Grant a share; None when this entry does not aggregate the customer."""
         pool = self._pools.get(ask.customer)
         if pool is None or not self._is_mine(ask.customer):
@@ -91,11 +91,11 @@
         holder.asked_until = now + lease_s
         amount = self._choose_amount(pool, entry, holder, now=now)
         holder.grants.append(_Grant(amount, now + lease_s))
-        return ShareAnswer(
+        return ShareGrant(
             ask.customer, ask.sequence, amount, lease_s, RENEW_SHARE * lease_s
         )
 
-    def _note(self, holder: _Holder, ask: ShareAsk, *, now: float) -> None:
+    def _note(self, holder: _Holder, ask: ShareRequest, *, now: float) -> None:
         # What the entry names is all it has in force, and the only answer that it will
         # still take is the one to this ask; so grants that it never heard of end here.
         # What a predecessor gave is counted in the same way.
--- a/src/hyssopvane/_internal/policy/shares.py
+++ b/src/hyssopvane/_internal/policy/shares.py
@@ -14,7 +14,7 @@
     RESERVE,
     SHRINKAGE,
 )
-from hyssopvane._internal.state.shares import ShareAnswer, ShareAsk
+from hyssopvane._internal.state.shares import ShareGrant, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
 
 # Demand falls slowly in the eyes of the measure, so that a pause of seconds gives
@@ -90,9 +90,9 @@
             if idle and now >= holding.expires_at:
                 del self._holdings[customer]
 
-    def choose_asks(self, *, now: float) -> dict[str, list[ShareAsk]]:
+    def choose_asks(self, *, now: float) -> dict[str, list[ShareRequest]]:
         """Return the asks that are due, by the entry that gives."""
-        asks: dict[str, list[ShareAsk]] = {}
+        asks: dict[str, list[ShareRequest]] = {}
         if self._view.count_known(now=now) == 1:
             return asks
         for customer, holding in self._holdings.items():
@@ -102,7 +102,7 @@
             asks.setdefault(giver, []).append(self._make_ask(customer, holding, now))
         return asks
 
-    def apply(self, answers: Iterable[ShareAnswer], *, sent_at: float) -> None:
+    def apply(self, answers: Iterable[ShareGrant], *, sent_at: float) -> None:
         """Put answers in force; the lease counts from when they were asked for."""
         for answer in answers:
             holding = self._holdings.get(answer.customer)
@@ -114,7 +114,7 @@
             holding.expires_at = sent_at + answer.lease_s
             holding.renew_at = sent_at + RENEW_SHARE * answer.lease_s
             if answer.amount < need:
-                holding.ask_more_at = sent_at + answer.again_s
+                holding.ask_more_at = sent_at + answer.retry_after_s
             share = Share(answer.amount, holding.expires_at)
             self._admission.set_share(answer.customer, share)
 
@@ -147,12 +147,12 @@
             return True
         return need > 0 and granted > 0 and now >= holding.renew_at
 
-    def _make_ask(self, customer: str, holding: _Holding, now: float) -> ShareAsk:
+    def _make_ask(self, customer: str, holding: _Holding, now: float) -> ShareRequest:
         self._sequence += 1
         holding.asked_sequence = self._sequence
         holding.asked_at = now
         valid = now < holding.expires_at
-        return ShareAsk(
+        return ShareRequest(
             customer=customer,
             sequence=self._sequence,
             need=self._get_need(holding),
--- a/src/hyssopvane/_internal/protocol/demand.py
+++ b/src/hyssopvane/_internal/protocol/demand.py
@@ -6,7 +6,7 @@
 
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.protocol.codec import load_schema
-from hyssopvane._internal.state.shares import ShareAnswer, ShareAsk
+from hyssopvane._internal.state.shares import ShareGrant, ShareRequest
 
 DEMAND_TOPIC = "demand"
 
@@ -14,7 +14,7 @@
 _MILLISECONDS = 1_000
 
 
-def encode_asks(asks: Sequence[ShareAsk]) -> bytes:
+def encode_asks(asks: Sequence[ShareRequest]) -> bytes:
     """Encode asks to one entry."""
     message = load_schema(_SCHEMA_FILE).Asks.new_message()
     builders = message.init("asks", len(asks))
@@ -29,10 +29,10 @@
     return encoded
 
 
-def decode_asks(data: bytes) -> list[ShareAsk]:
+def decode_asks(data: bytes) -> list[ShareRequest]:
     """Decode asks; raise `ProtocolError` when they are none."""
     return [
-        ShareAsk(
+        ShareRequest(
             customer=one.customer,
             sequence=one.sequence,
             need=one.need,
@@ -43,7 +43,7 @@
     ]
 
 
-def encode_answers(answers: Sequence[ShareAnswer]) -> bytes:
+def encode_answers(answers: Sequence[ShareGrant]) -> bytes:
     """Encode the answers to asks."""
     message = load_schema(_SCHEMA_FILE).Answers.new_message()
     builders = message.init("answers", len(answers))
@@ -52,20 +52,20 @@
         builder.sequence = answer.sequence
         builder.amount = answer.amount
         builder.leaseMs = int(answer.lease_s * _MILLISECONDS)
-        builder.againMs = int(answer.again_s * _MILLISECONDS)
+        builder.againMs = int(answer.retry_after_s * _MILLISECONDS)
     encoded: bytes = message.to_bytes_packed()
     return encoded
 
 
-def decode_answers(data: bytes) -> list[ShareAnswer]:
+def decode_answers(data: bytes) -> list[ShareGrant]:
     """Decode answers; raise `ProtocolError` when they are none."""
     return [
-        ShareAnswer(
+        ShareGrant(
             customer=one.customer,
             sequence=one.sequence,
             amount=one.amount,
             lease_s=one.leaseMs / _MILLISECONDS,
-            again_s=one.againMs / _MILLISECONDS,
+            retry_after_s=one.againMs / _MILLISECONDS,
         )
         for one in _read("Answers", data).answers
     ]
--- a/src/hyssopvane/_internal/state/shares.py
+++ b/src/hyssopvane/_internal/state/shares.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareAsk:
+class ShareRequest:
     """Ask for a part of a customer's limits, as a fraction of the whole."""
 
     customer: str
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareAnswer:
+class ShareGrant:
     """Grant a part of a customer's limits for a time."""
 
     customer: str
@@ -27,7 +27,7 @@
     amount: float
     lease_s: float
     """Counted from when the ask was sent."""
-    again_s: float
+    retry_after_s: float
     """Time until it is of use to ask for more."""
 
 
--- a/tests/lib/share_network.py
+++ b/tests/lib/share_network.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.policy.entry_views import EntryView
 from hyssopvane._internal.policy.share_grants import ShareGiver
 from hyssopvane._internal.policy.shares import ShareHolder
-from hyssopvane._internal.state.shares import EntryId, ShareAsk
+from hyssopvane._internal.state.shares import EntryId, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
 
 CUSTOMER = "registry"
@@ -124,7 +124,9 @@
         for vm, asks in node.holder.choose_asks(now=self.now).items():
             self._send(node, vm, asks, self.now)
 
-    def _send(self, node: ShareNode, vm: str, asks: list[ShareAsk], at: float) -> None:
+    def _send(
+        self, node: ShareNode, vm: str, asks: list[ShareRequest], at: float
+    ) -> None:
         self.asks += 1
         if vm == node.id.vm:
             self._answer(node, vm, asks, at)
@@ -134,7 +136,7 @@
             self._deliver(node, lambda: self._answer(node, vm, asks, at))
 
     def _answer(
-        self, node: ShareNode, vm: str, asks: list[ShareAsk], at: float
+        self, node: ShareNode, vm: str, asks: list[ShareRequest], at: float
     ) -> None:
         giver = self.nodes.get(vm)
         if giver is None or giver.cut_off != node.cut_off:
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -17,7 +17,7 @@
     encode_answers,
     encode_asks,
 )
-from hyssopvane._internal.state.shares import EntryId, ShareAnswer, ShareAsk
+from hyssopvane._internal.state.shares import EntryId, ShareGrant, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
 
 # Of three entries, another than the first gives out its shares.
@@ -28,12 +28,12 @@
 @settings(derandomize=True, deadline=None)
 @given(st.text(max_size=20), st.integers(0, 2**63), st.floats(0, 1), st.floats(0, 480))
 def test_messages_survive_the_codec(customer, sequence, fraction, seconds):
-    ask = ShareAsk(customer, sequence, fraction, fraction, seconds)
+    ask = ShareRequest(customer, sequence, fraction, fraction, seconds)
     (found,) = decode_asks(encode_asks([ask]))
     assert (found.customer, found.sequence) == (customer, sequence)
     assert found.need == found.held == fraction
     assert seconds <= found.held_s <= seconds + 0.002
-    answer = ShareAnswer(customer, sequence, fraction, seconds, seconds)
+    answer = ShareGrant(customer, sequence, fraction, seconds, seconds)
     (answered,) = decode_answers(encode_answers([answer]))
     assert answered.amount == fraction
     assert seconds - 0.002 <= answered.lease_s <= seconds
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -13,7 +13,7 @@
     MIN_LEASE_S,
     RESERVE,
 )
-from hyssopvane._internal.state.shares import EntryId, ShareAnswer, ShareAsk
+from hyssopvane._internal.state.shares import EntryId, ShareGrant, ShareRequest
 from tests.lib.share_network import CUSTOMER, ROWS, ShareNetwork, ShareNode
 
 _WARM_UP_S = MIN_LEASE_S + LIST_LAG_S + 5
@@ -201,7 +201,7 @@
 
 
 def ask(sequence, need, held=0.0, held_s=0.0):
-    return ShareAsk(CUSTOMER, sequence, need, held, held_s)
+    return ShareRequest(CUSTOMER, sequence, need, held, held_s)
 
 
 def test_late_copy_of_an_ask_changes_nothing():
@@ -248,7 +248,7 @@
     giver counts it.
     """
     node, asked = make_asking_node()
-    answer = ShareAnswer(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
+    answer = ShareGrant(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
     node.holder.apply([answer], sent_at=1.0)
     assert node.holder.get_fraction(CUSTOMER, now=10.9) == pytest.approx(0.6)
     assert node.holder.get_fraction(CUSTOMER, now=11.0) == pytest.approx(0.1)
@@ -264,7 +264,7 @@
     node.ask_for_requests(now=4.0)
     node.holder.measure_demand(ROWS, now=4.0)
     assert node.holder.choose_asks(now=4.0)
-    answer = ShareAnswer(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
+    answer = ShareGrant(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
     node.holder.apply([answer], sent_at=1.0)
     assert node.holder.get_fraction(CUSTOMER, now=5.0) == pytest.approx(0.1)
 
