--- a/src/hyssopvane/_internal/policy/limited_replicas.py
+++ b/src/hyssopvane/_internal/policy/limited_replicas.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from hyssopvane._internal.policy.limit_shares import EntryCensus, RequestPace
-from hyssopvane._internal.state.limits import LimitNews
+from hyssopvane._internal.state.limits import LimitReport
 from hyssopvane._internal.state.routing import Replica
 
 KEPT_S = 30.0
@@ -105,7 +105,7 @@
             return None
         return self._measure_share(replica, known.per_s)
 
-    def list_news(self, now: float) -> list[LimitNews]:
+    def list_news(self, now: float) -> list[LimitReport]:
         """Return what other entries are told now, a bounded number in turn."""
         known = list(self._known.values())
         if len(known) > MAX_TOLD:
@@ -113,7 +113,7 @@
             self._turn += MAX_TOLD
             known = (known[at:] + known[:at])[:MAX_TOLD]
         return [
-            LimitNews(
+            LimitReport(
                 replica=one.replica.address,
                 started_ms=one.replica.started_ms,
                 per_s=one.per_s,
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -17,7 +17,7 @@
 from hyssopvane._internal.policy.replica_choice import ReplicaChooser
 from hyssopvane._internal.policy.replica_load import ReplicaLoad
 from hyssopvane._internal.policy.replica_notices import ReplicaNotices
-from hyssopvane._internal.state.limits import LimitNews
+from hyssopvane._internal.state.limits import LimitReport
 from hyssopvane._internal.state.loads import RankLoad
 from hyssopvane._internal.state.routing import EngineModel, Incarnation, Replica
 
@@ -280,7 +280,7 @@
         heard_at = now - age_s
         return self.limits.observe(one.replica, per_s, heard_at=heard_at, now=now)
 
-    def note_news(self, news: LimitNews, *, now: float) -> bool:
+    def note_news(self, news: LimitReport, *, now: float) -> bool:
         """Take what another entry tells of a limit; tell whether that is new."""
         told = False
         for one in self._by_address.get(news.replica, ()):
--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -20,7 +20,7 @@
     Presence,
     RankState,
 )
-from hyssopvane._internal.state.limits import LimitNews, ReplicaLimits
+from hyssopvane._internal.state.limits import LimitReport, ReplicaLimits
 from hyssopvane._internal.state.loads import (
     EntryContact,
     GroupLoad,
@@ -129,8 +129,8 @@
         case MapChange():
             addresses = message.forward
         case ReplicaLimits():
-            addresses = tuple(one.replica for one in message.news)
-            sound = all(_is_limit(one.per_s) for one in message.news)
+            addresses = tuple(one.replica for one in message.reports)
+            sound = all(_is_limit(one.per_s) for one in message.reports)
     if not sound or not all(is_address(one) for one in addresses):
         raise ProtocolError(
             "a datagram holds what no process of ours sends", context=str(message)[:200]
@@ -257,8 +257,8 @@
 
 
 def _write_limits(builder: Any, message: ReplicaLimits) -> None:
-    items = builder.init("news", len(message.news))
-    for item, one in zip(items, message.news, strict=True):
+    items = builder.init("news", len(message.reports))
+    for item, one in zip(items, message.reports, strict=True):
         item.replica = one.replica
         item.startedMs = one.started_ms
         item.named = one.per_s is not None
@@ -269,7 +269,7 @@
 def _read_limits(datagram: Any) -> ReplicaLimits:
     return ReplicaLimits(
         tuple(
-            LimitNews(
+            LimitReport(
                 replica=one.replica,
                 started_ms=one.startedMs,
                 per_s=one.perS if one.named else None,
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -250,7 +250,7 @@
                 peers = self._choose_peers()
                 told.update(peers)
                 limits = self.gates.list_limits()
-                if limits.news and peers:
+                if limits.reports and peers:
                     await self._port.send(limits, *peers)
             if number % TELL_LEADERS_EVERY == 0:
                 told.update(map(self._find_agent, self._inbox.list_contacts()))
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -15,7 +15,7 @@
     Turned,
     Waiting,
 )
-from hyssopvane._internal.state.limits import LimitNews, ReplicaLimits
+from hyssopvane._internal.state.limits import LimitReport, ReplicaLimits
 from hyssopvane._internal.state.loads import (
     GroupLoad,
     RankLoad,
@@ -155,7 +155,7 @@
     def observe_limits(self, told: ReplicaLimits) -> None:
         """Take what another entry tells of request limits."""
         now = trio.current_time()
-        for news in told.news:
+        for news in told.reports:
             service = self._services.get(news.replica)
             if service is None:
                 continue
@@ -168,7 +168,7 @@
     def list_limits(self) -> ReplicaLimits:
         """Return what other entries are told of request limits now."""
         now = trio.current_time()
-        news: list[LimitNews] = []
+        news: list[LimitReport] = []
         for gate in self._gates.values():
             for address in gate.limits.refresh(now):
                 log_event("info", "limit-expired", replica=address)
--- a/src/hyssopvane/_internal/state/limits.py
+++ b/src/hyssopvane/_internal/state/limits.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitNews:
+class LimitReport:
     """Tell the request limit that one start of a replica named last."""
 
     replica: str
@@ -21,4 +21,4 @@
 class ReplicaLimits:
     """Tell other entries the request limits of some replicas."""
 
-    news: tuple[LimitNews, ...]
+    reports: tuple[LimitReport, ...]
--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -27,7 +27,7 @@
     Presence,
     RankState,
 )
-from hyssopvane._internal.state.limits import LimitNews, ReplicaLimits
+from hyssopvane._internal.state.limits import LimitReport, ReplicaLimits
 from hyssopvane._internal.state.loads import (
     EntryContact,
     GroupLoad,
@@ -73,7 +73,7 @@
         _A, _A, "g", 1, 0, 2, True, 1, 0, 9, 1, 2, 3, 4, 5, ((0, 1),), 1.0, (1, 2)
     ),
     MapChange("g", 1, 2, (((0,), (1,)),), 3, (_A,)),
-    ReplicaLimits((LimitNews(_A, 5, 2.5, 0.1), LimitNews(_A, 0, None, 1.0))),
+    ReplicaLimits((LimitReport(_A, 5, 2.5, 0.1), LimitReport(_A, 0, None, 1.0))),
 )
 _BELIEFS = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
 
--- a/tests/unit/test_request_limits.py
+++ b/tests/unit/test_request_limits.py
@@ -19,7 +19,7 @@
     encode_message,
 )
 from hyssopvane._internal.protocol.replica_headers import read_request_limit
-from hyssopvane._internal.state.limits import LimitNews, ReplicaLimits
+from hyssopvane._internal.state.limits import LimitReport, ReplicaLimits
 from hyssopvane._internal.state.routing import Replica
 from tests.lib.limit_model import LimitModel
 
@@ -169,13 +169,13 @@
 
 @pytest.mark.parametrize("per_s", [None, 0.0, 2.5])
 def test_limits_are_told_between_entries(per_s):
-    told = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
+    told = ReplicaLimits((LimitReport("10.0.0.1:80", 7, per_s, 1.5),))
     assert decode_message(encode_message(told)) == told
 
 
 @pytest.mark.parametrize("per_s", [-1.0, float("nan"), float("inf")])
 def test_limit_that_no_entry_tells_is_refused(per_s):
-    told = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
+    told = ReplicaLimits((LimitReport("10.0.0.1:80", 7, per_s, 1.5),))
     with pytest.raises(ProtocolError):
         decode_message(encode_message(told))
 
