--- a/src/hyssopvane/_internal/policy/load_relays.py
+++ b/src/hyssopvane/_internal/policy/load_relays.py
@@ -83,7 +83,7 @@
             known = self._entries[state.address] = _Known(zone, now)
         known.heard_at = now
         known.via = state.via or known.via
-        if state.unheard:
+        if state.lacks_load:
             self._take_complaint(state.address, known, now)
         return is_new
 
--- a/src/hyssopvane/_internal/policy/load_teller.py
+++ b/src/hyssopvane/_internal/policy/load_teller.py
@@ -73,7 +73,7 @@
         """Take an entry's word; tell whether the entry is new."""
         is_new = self.relays.observe(state, now=now)
         told = self._told.get(state.availability_zone)
-        if told is not None and (is_new or state.unheard):
+        if told is not None and (is_new or state.lacks_load):
             # It may lack the roster: a load says nothing without it.
             told.asked = True
         return is_new
--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -204,7 +204,7 @@
     builder.configurationVersion = message.configuration_version
     builder.replicasRevision = message.replicas_revision
     builder.replicasEra = message.replicas_era
-    builder.unheard = message.unheard
+    builder.unheard = message.lacks_load
     builder.availabilityZone = message.availability_zone
     builder.via = message.via
     if message.store_returned_s is not None:
@@ -220,7 +220,7 @@
         configuration_version=one.configurationVersion,
         replicas_revision=one.replicasRevision,
         replicas_era=one.replicasEra,
-        unheard=one.unheard,
+        lacks_load=one.unheard,
         availability_zone=one.availabilityZone,
         via=one.via,
         store_returned_s=_read_returned(one.storeReturnedMs),
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -256,7 +256,7 @@
                 told.update(map(self._find_agent, self._inbox.list_contacts()))
             await self._port.send(state, *told)
             self._note_silence(now)
-            await self._complain(replace(state, unheard=True), now)
+            await self._complain(replace(state, lacks_load=True), now)
             await trio.sleep(LOOK_S)
 
     def _note_silence(self, now: float) -> None:
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -282,7 +282,7 @@
             # The store may turn away this machine alone. Without the layout of the
             # experts an agent that leads changes no map, and all passes stay long.
             self._exchange.observe(state)
-        if not state.unheard or state.via or report is None or not report.group:
+        if not state.lacks_load or state.via or report is None or not report.group:
             return
         leader = self._presence.find_leader(report.rank, now)
         if leader is not None and self._complaints.take(now):
--- a/src/hyssopvane/_internal/state/group.py
+++ b/src/hyssopvane/_internal/state/group.py
@@ -25,7 +25,7 @@
     availability_zone: str = ""
     store_returned_s: float | None = None
     """Time since the store's last return from a silence, for some seconds after it."""
-    unheard: bool = False
+    lacks_load: bool = False
     """Whether it has no fresh load of the group of the agent that gets this."""
     via: str = ""
     """Agent that passes this on to its leader; empty where the entry itself does."""
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -162,7 +162,7 @@
                 told.append(message)
 
         await entry.start(nursery, receive)
-        state = EntryState(entry.address, "", 0, 0, "zone-a", unheard=True)
+        state = EntryState(entry.address, "", 0, 0, "zone-a", lacks_load=True)
         while not list_whole_loads(told):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
             await trio.sleep(0.1)
--- a/tests/lib/telling_model.py
+++ b/tests/lib/telling_model.py
@@ -161,7 +161,7 @@
             for replica in entry.inbox.list_contacts():
                 to = by_replica[replica]
                 entry.sent_bytes += self._send(entry.address, to, state)
-        complaint = replace(state, unheard=True)
+        complaint = replace(state, lacks_load=True)
         asked = entry.inbox.choose_complaints(self.now)
         asked += entry.inbox.choose_asked(replicas, self.now)
         for replica in asked:
@@ -212,7 +212,7 @@
     def _pass_on(self, agent: str, message: GroupMessage) -> None:
         """Bring complaints to the leader, and its loads to who complained."""
         match message:
-            case EntryState() if message.unheard and not message.via:
+            case EntryState() if message.lacks_load and not message.via:
                 leader = self.leaders[self.leading[0]].address
                 self._send(agent, leader, replace(message, via=agent))
             case GroupLoad() | Roster() if message.forward:
--- a/tests/unit/test_load_telling.py
+++ b/tests/unit/test_load_telling.py
@@ -290,7 +290,7 @@
     seen = set()
     for tick in range(100):
         now = tick * 0.01
-        relays.observe(make_state(tick % 7 + 1, unheard=True), now=now)
+        relays.observe(make_state(tick % 7 + 1, lacks_load=True), now=now)
         chosen = relays.choose(now)
         assert len(chosen) <= MAX_RELAYS
         seen.add(tuple(chosen))
