--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -254,7 +254,7 @@
         if why is not None and opening.incarnation == self.incarnation:
             # The entry goes on to another target on the strength of this answer, so a
             # late copy must find a tombstone.
-            told = self._register.lay_tombstone(opening.attempt, owner=None, now=now)
+            told = self._register.add_tombstone(opening.attempt, owner=None, now=now)
             return why if told.proves_not_run else told
         refusal = self._register.accept(
             opening.attempt, incarnation=opening.incarnation, owner=None, now=now
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -62,7 +62,7 @@
                 await self._relay(response)
         except TargetUnreachable as error:
             # The connection was never made, so the target can't have seen the request.
-            self._register.undo_start(opening.attempt)
+            self._register.revert_start(opening.attempt)
             self._record("refused", f"target unreachable: {error}")
             self._stream.send(Refused(AgentRefusal.TARGET_UNREACHABLE.value))
         except TargetFailed as error:
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -25,7 +25,7 @@
     make_refused,
     observe_rest,
 )
-from hyssopvane._internal.state.attempts import AttemptRegister, KeyOwner
+from hyssopvane._internal.state.attempts import AttemptRegister, CustomerKey
 from hyssopvane._internal.state.decisions import DecisionMemory, DecisionRecord
 from hyssopvane._internal.transport.peer_connection import PeerStream
 from hyssopvane._internal.transport.target_client import (
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Run:
-    owner: KeyOwner
+    owner: CustomerKey
     body_digest: bytes
     answer: KeptAnswer
 
@@ -100,25 +100,25 @@
             self._end_work()
 
     def _accept(
-        self, opening: Open, owner: KeyOwner, *, leaving: bool
+        self, opening: Open, owner: CustomerKey, *, leaving: bool
     ) -> AgentRefusal | None:
         now = time.time()
         why = find_refusal(self._rest, leaving=leaving)
         if why is not None and opening.incarnation == self._register.incarnation:
-            told = self._register.lay_tombstone(opening.attempt, owner=owner, now=now)
+            told = self._register.add_tombstone(opening.attempt, owner=owner, now=now)
             return why if told.proves_not_run else told
         return self._register.accept(
             opening.attempt, incarnation=opening.incarnation, owner=owner, now=now
         )
 
     async def _join(
-        self, stream: PeerStream, opening: Open, owner: KeyOwner
+        self, stream: PeerStream, opening: Open, owner: CustomerKey
     ) -> AgentRefusal | None:
         if opening.incarnation != self._register.incarnation:
             return AgentRefusal.WRONG_INCARNATION
         run = self._runs.get(opening.attempt)
         if run is None:
-            return self._register.lay_tombstone(
+            return self._register.add_tombstone(
                 opening.attempt, owner=owner, now=time.time()
             )
         if run.owner.name != owner.name or run.body_digest != opening.body_digest:
@@ -130,7 +130,7 @@
         return None
 
     async def _receive_and_run(
-        self, stream: PeerStream, opening: Open, owner: KeyOwner
+        self, stream: PeerStream, opening: Open, owner: CustomerKey
     ) -> None:
         answer = self._budget.add(opening.attempt)
         self._runs[opening.attempt] = _Run(owner, opening.body_digest, answer)
@@ -139,7 +139,7 @@
         except BaseException:
             # The entry died or gave up before the body was whole; nothing has reached
             # the target, and now nothing will.
-            self._register.lay_tombstone(opening.attempt, owner=owner, now=time.time())
+            self._register.add_tombstone(opening.attempt, owner=owner, now=time.time())
             answer.finish(Refused(AgentRefusal.CANCELLED.value))
             raise
         if not self._register.start(opening.attempt):
@@ -158,7 +158,7 @@
             await self._call_target(opening, body, answer)
         except TargetUnreachable as error:
             # The connection was never made, so the target can't have seen the request.
-            self._register.undo_start(opening.attempt)
+            self._register.revert_start(opening.attempt)
             self._record(opening, "refused", f"target unreachable: {error}")
             answer.finish(Refused(AgentRefusal.TARGET_UNREACHABLE.value))
         except TargetFailed as error:
@@ -208,11 +208,11 @@
         )
 
 
-def _read_owner(opening: Open) -> KeyOwner:
+def _read_owner(opening: Open) -> CustomerKey:
     key = parse_key(opening.key)
     if key is None:
         raise PeerLost("the entry sent a malformed key", context=opening.key)
-    return KeyOwner(
+    return CustomerKey(
         opening.customer, opening.key, key.created_at, float(opening.key_window_s)
     )
 
--- a/src/hyssopvane/_internal/state/attempts.py
+++ b/src/hyssopvane/_internal/state/attempts.py
@@ -5,10 +5,10 @@
 
 from hyssopvane._internal.models.refusals import AgentRefusal
 
-UNKEYED_MEMORY_S = 600.0
+UNKEYED_RETENTION_S = 600.0
 """Time for which an attempt without a key is remembered after it was first seen."""
 
-MAX_UNKEYED = 50_000
+MAX_UNKEYED_ATTEMPTS = 50_000
 """Attempts without a key that are remembered, some 10 MB.
 
 At 80 requests a second, more than one target takes, this is the whole memory time. A
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyOwner:
+class CustomerKey:
     """Name the caller's key that attempts belong to."""
 
     customer: str
@@ -52,7 +52,7 @@
 @dataclass(slots=True)
 class _Attempt:
     phase: AttemptPhase
-    owner: KeyOwner | None
+    owner: CustomerKey | None
     expires_at: float
 
 
@@ -69,10 +69,10 @@
         self._held: dict[tuple[str, str], bytes] = {}
         # Keys made up to this time may have been forgotten. It holds the proof when an
         # operator widens the window, or when the VM's clock is set, after that.
-        self._forgotten_to = float("-inf")
+        self._removed_until = float("-inf")
 
     def accept(
-        self, attempt: bytes, *, incarnation: int, owner: KeyOwner | None, now: float
+        self, attempt: bytes, *, incarnation: int, owner: CustomerKey | None, now: float
     ) -> AgentRefusal | None:
         """Accept an attempt that may start, or say why it does not."""
         if incarnation != self.incarnation:
@@ -91,9 +91,9 @@
         if owner is not None and owner.name in self._held:
             # The claim in the key-value service lets no second attempt come this far;
             # this holds even when a fault lets one through.
-            self._remember(attempt, AttemptPhase.TOMBSTONE, owner, now)
+            self._record(attempt, AttemptPhase.TOMBSTONE, owner, now)
             return AgentRefusal.KEY_HELD
-        self._remember(attempt, AttemptPhase.ACCEPTED, owner, now)
+        self._record(attempt, AttemptPhase.ACCEPTED, owner, now)
         if owner is not None:
             self._held[owner.name] = attempt
         return None
@@ -106,8 +106,8 @@
         known.phase = AttemptPhase.STARTED
         return True
 
-    def lay_tombstone(
-        self, attempt: bytes, *, owner: KeyOwner | None, now: float
+    def add_tombstone(
+        self, attempt: bytes, *, owner: CustomerKey | None, now: float
     ) -> AgentRefusal:
         """Make sure that an attempt never starts, or say that this is too late."""
         known = self._attempts.get(attempt)
@@ -116,50 +116,50 @@
                 return AgentRefusal.KEY_EXPIRED
             # Its copy may still be on its way, through a connection that was silent
             # or from an entry that was paused.
-            self._remember(attempt, AttemptPhase.TOMBSTONE, owner, now)
+            self._record(attempt, AttemptPhase.TOMBSTONE, owner, now)
         elif known.phase is AttemptPhase.STARTED:
             return AgentRefusal.DUPLICATE_ATTEMPT
         else:
-            self._lay_known_tombstone(attempt, known)
+            self._mark_tombstone(attempt, known)
         return AgentRefusal.TOMBSTONE
 
-    def undo_start(self, attempt: bytes) -> None:
+    def revert_start(self, attempt: bytes) -> None:
         """Bury a started attempt of which provably nothing reached the target."""
         known = self._attempts.get(attempt)
         if known is not None:
-            self._lay_known_tombstone(attempt, known)
+            self._mark_tombstone(attempt, known)
 
     def expire(self, *, now: float) -> list[bytes]:
         """Forget attempts whose copies are refused by their age; return them."""
         old = [one for one, known in self._attempts.items() if known.expires_at < now]
         for attempt in old:
-            self._forget(attempt)
+            self._remove(attempt)
         return old
 
-    def _is_too_old(self, owner: KeyOwner, now: float) -> bool:
-        return now > owner.expires_at or owner.created_at <= self._forgotten_to
+    def _is_too_old(self, owner: CustomerKey, now: float) -> bool:
+        return now > owner.expires_at or owner.created_at <= self._removed_until
 
-    def _remember(
-        self, attempt: bytes, phase: AttemptPhase, owner: KeyOwner | None, now: float
+    def _record(
+        self, attempt: bytes, phase: AttemptPhase, owner: CustomerKey | None, now: float
     ) -> None:
         if owner is not None:
             self._attempts[attempt] = _Attempt(phase, owner, owner.expires_at)
             return
-        self._attempts[attempt] = _Attempt(phase, None, now + UNKEYED_MEMORY_S)
+        self._attempts[attempt] = _Attempt(phase, None, now + UNKEYED_RETENTION_S)
         self._unkeyed[attempt] = None
-        if len(self._unkeyed) > MAX_UNKEYED:
-            self._forget(next(iter(self._unkeyed)))
+        if len(self._unkeyed) > MAX_UNKEYED_ATTEMPTS:
+            self._remove(next(iter(self._unkeyed)))
 
-    def _lay_known_tombstone(self, attempt: bytes, known: _Attempt) -> None:
+    def _mark_tombstone(self, attempt: bytes, known: _Attempt) -> None:
         known.phase = AttemptPhase.TOMBSTONE
         self._release(attempt, known)
 
-    def _forget(self, attempt: bytes) -> None:
+    def _remove(self, attempt: bytes) -> None:
         known = self._attempts.pop(attempt)
         self._unkeyed.pop(attempt, None)
         self._release(attempt, known)
         if known.owner is not None:
-            self._forgotten_to = max(self._forgotten_to, known.owner.created_at)
+            self._removed_until = max(self._removed_until, known.owner.created_at)
 
     def _release(self, attempt: bytes, known: _Attempt) -> None:
         if known.owner is not None and self._held.get(known.owner.name) == attempt:
--- a/tests/unit/test_keyed_machine.py
+++ b/tests/unit/test_keyed_machine.py
@@ -28,14 +28,14 @@
     Write,
 )
 from hyssopvane._internal.protocol.idempotency import IdempotencyKey, check_key
-from hyssopvane._internal.state.attempts import AttemptRegister, KeyOwner
+from hyssopvane._internal.state.attempts import AttemptRegister, CustomerKey
 from hyssopvane._internal.state.claims import ClaimPage, make_claim_key
 
 WINDOW_S = 600.0
 CREATED_AT = 1_000_000.0
 KEY = IdempotencyKey("key", CREATED_AT)
 CLAIM_KEY = make_claim_key("bidders", KEY.text, CREATED_AT)
-OWNER = KeyOwner("bidders", KEY.text, CREATED_AT, WINDOW_S)
+OWNER = CustomerKey("bidders", KEY.text, CREATED_AT, WINDOW_S)
 AGENTS = ("lots-1", "lots-2")
 HOWS = ["done"] * 6 + ["cached", "reply lost", "late", "down"]
 ACCEPTED = ["run", "run", "later", "unreachable", "body cut"]
@@ -260,7 +260,7 @@
             return None
         if claim.attempt in agent.accepted:
             return None
-        return agent.register.lay_tombstone(
+        return agent.register.add_tombstone(
             to_bytes(claim.attempt), owner=OWNER, now=self.get_time(claim.target)
         )
 
@@ -272,12 +272,12 @@
             return
         attempt, request = agent.accepted.popitem()
         if how == "body cut":
-            agent.register.lay_tombstone(
+            agent.register.add_tombstone(
                 to_bytes(attempt), owner=OWNER, now=self.get_time(name)
             )
         elif agent.register.start(to_bytes(attempt)):
             if how == "unreachable":
-                agent.register.undo_start(to_bytes(attempt))
+                agent.register.revert_start(to_bytes(attempt))
                 step = request.step
                 if self.waits_for(request, attempt):
                     reason = AgentRefusal.TARGET_UNREACHABLE
