--- a/src/hyssopvane/_internal/coordination/claims.py
+++ b/src/hyssopvane/_internal/coordination/claims.py
@@ -444,7 +444,7 @@
         if lost is None:
             return stored
         page = restore_claims(
-            stored.page, lost, lost_wins=get_page_slice(key) <= fenced
+            stored.page, lost, prefer_lost=get_page_slice(key) <= fenced
         )
         if page == stored.page:
             del self._lost[key]
--- a/src/hyssopvane/_internal/policy/replica_load.py
+++ b/src/hyssopvane/_internal/policy/replica_load.py
@@ -151,6 +151,6 @@
         self.failures += _FAILURE_WEIGHT * (failed - self.failures)
         if self.load is not None and not self.sent_at and self.load.active:
             # The place is free before the next report says so.
-            self.load = self.load.leave()
+            self.load = self.load.remove_request()
         elif self.sent_at:
             self.sent_at.pop(0)
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -19,7 +19,7 @@
 )
 from hyssopvane._internal.roles.resting_target import observe_rest
 from hyssopvane._internal.state.attempts import AttemptRegister
-from hyssopvane._internal.state.decisions import DecisionMemory, DecisionRecord
+from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
 from hyssopvane._internal.transport.peer_connection import PeerStream
 from hyssopvane._internal.transport.target_client import (
     TargetClient,
@@ -37,7 +37,7 @@
         opening: Open,
         *,
         target: TargetClient,
-        memory: DecisionMemory,
+        memory: DecisionLog,
         register: AttemptRegister,
         rest: TargetRest,
     ) -> None:
--- a/src/hyssopvane/_internal/roles/dispatcher.py
+++ b/src/hyssopvane/_internal/roles/dispatcher.py
@@ -31,7 +31,7 @@
 from hyssopvane._internal.roles.keyed_dispatch import KeyedDispatch, Places
 from hyssopvane._internal.roles.peer_pool import PeerPool
 from hyssopvane._internal.state.claims import ATTEMPT_BYTES
-from hyssopvane._internal.state.decisions import DecisionMemory, DecisionRecord
+from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
 from hyssopvane._internal.state.work import (
     AttemptReport,
     AttemptResult,
@@ -54,7 +54,7 @@
         scheduler: Scheduler,
         pool: PeerPool,
         metrics: Metrics,
-        memory: DecisionMemory,
+        memory: DecisionLog,
         claims: ClaimRouter,
     ) -> None:
         self._scheduler = scheduler
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -46,7 +46,7 @@
     ATTEMPT_BYTES,
     Claim,
     make_claim_key,
-    shorten_digest,
+    truncate_digest,
 )
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -115,7 +115,7 @@
         self._claims = claims
         self._claim_key = make_claim_key(self._work.customer, key.text, key.created_at)
         self._flow = KeyedRequest(
-            self._claim_key, shorten_digest(self._work.body_digest)
+            self._claim_key, truncate_digest(self._work.body_digest)
         )
         self._placed = False
 
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -26,7 +26,7 @@
     observe_rest,
 )
 from hyssopvane._internal.state.attempts import AttemptRegister, CustomerKey
-from hyssopvane._internal.state.decisions import DecisionMemory, DecisionRecord
+from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
 from hyssopvane._internal.transport.peer_connection import PeerStream
 from hyssopvane._internal.transport.target_client import (
     TargetClient,
@@ -52,7 +52,7 @@
         *,
         register: AttemptRegister,
         target: TargetClient,
-        memory: DecisionMemory,
+        memory: DecisionLog,
         rest: TargetRest | None = None,
     ) -> None:
         self._register = register
--- a/src/hyssopvane/_internal/roles/operators.py
+++ b/src/hyssopvane/_internal/roles/operators.py
@@ -10,7 +10,7 @@
 from hyssopvane._internal.exceptions import OperatorRequestError
 from hyssopvane._internal.models.settings import AgentSettings, EntrySettings
 from hyssopvane._internal.roles.process import Role
-from hyssopvane._internal.state.decisions import DecisionMemory
+from hyssopvane._internal.state.decisions import DecisionLog
 from hyssopvane._internal.transport.asgi_messages import (
     TEXT_TYPE,
     send_json,
@@ -28,7 +28,7 @@
 
     def __init__(self, settings: EntrySettings | AgentSettings) -> None:
         self.metrics = Metrics(role=settings.role, vm=settings.vm)
-        self.decisions = DecisionMemory()
+        self.decisions = DecisionLog()
         self.vm = settings.vm
         self.token = settings.token
         self.pages: dict[str, ShowPage] = {}
--- a/src/hyssopvane/_internal/state/claims.py
+++ b/src/hyssopvane/_internal/state/claims.py
@@ -83,9 +83,9 @@
         return replace(self, claims=claims)
 
 
-def restore_claims(page: ClaimPage, lost: ClaimPage, *, lost_wins: bool) -> ClaimPage:
+def restore_claims(page: ClaimPage, lost: ClaimPage, *, prefer_lost: bool) -> ClaimPage:
     """Return a page with the claims that the service has lost of it."""
-    if lost_wins:
+    if prefer_lost:
         return ClaimPage({**page.claims, **lost.claims})
     return ClaimPage({**lost.claims, **page.claims})
 
@@ -105,6 +105,6 @@
     return int(time_s * _MILLISECONDS) // (SLICE_S * _MILLISECONDS)
 
 
-def shorten_digest(body_digest: bytes) -> int:
+def truncate_digest(body_digest: bytes) -> int:
     """Return the part of a body's digest that a claim keeps."""
     return int.from_bytes(body_digest[:4])
--- a/src/hyssopvane/_internal/state/columns.py
+++ b/src/hyssopvane/_internal/state/columns.py
@@ -196,7 +196,7 @@
 _MILLION = 1_000_000
 _BILLION = 1_000_000_000
 
-_ALL = (
+_ALL_COLUMNS = (
     Column(_C, "key_sha256", CellType.SHA256, "", "SHA-256 of the customer's API key"),
     _make_integer(
         _C, "weight", 100, (1, 10_000), "share of the service under load, to the others"
@@ -302,6 +302,6 @@
 )
 
 COLUMNS: dict[RowKind, dict[str, Column]] = {
-    kind: {column.name: column for column in _ALL if column.kind is kind}
+    kind: {column.name: column for column in _ALL_COLUMNS if column.kind is kind}
     for kind in RowKind
 }
--- a/src/hyssopvane/_internal/state/decisions.py
+++ b/src/hyssopvane/_internal/state/decisions.py
@@ -27,7 +27,7 @@
     decisions: tuple[DecisionRecord, ...]
 
 
-class DecisionMemory:
+class DecisionLog:
     """Keep the decisions about the latest requests."""
 
     def __init__(self, *, max_requests: int = MAX_REQUESTS) -> None:
--- a/src/hyssopvane/_internal/state/loads.py
+++ b/src/hyssopvane/_internal/state/loads.py
@@ -108,7 +108,7 @@
     epoch: int = 0
     """Counts how often the group was formed."""
 
-    def leave(self) -> "RankLoad":
+    def remove_request(self) -> "RankLoad":
         """Return the load without one of its requests."""
         return replace(self, active=max(0, self.active - 1))
 
--- a/src/hyssopvane/_internal/state/vm_status.py
+++ b/src/hyssopvane/_internal/state/vm_status.py
@@ -80,7 +80,7 @@
     newest = max(
         (report.position for report in known.values()), default=StorePosition(0, 0)
     )
-    digest = _find_usual_digest(known, newest)
+    digest = _find_most_common_digest(known, newest)
     return FleetStatus(
         newest.revision,
         tuple(
@@ -90,7 +90,9 @@
     )
 
 
-def _find_usual_digest(known: Mapping[str, VmReport], newest: StorePosition) -> int:
+def _find_most_common_digest(
+    known: Mapping[str, VmReport], newest: StorePosition
+) -> int:
     digests = [
         one.digest for one in known.values() if one.position == newest and one.digest
     ]
--- a/tests/unit/test_keyed_runs.py
+++ b/tests/unit/test_keyed_runs.py
@@ -19,7 +19,7 @@
 from hyssopvane._internal.roles.kept_answer import MAX_ANSWER_BYTES, AnswerBudget
 from hyssopvane._internal.roles.keyed_runs import KeyedRuns
 from hyssopvane._internal.state.attempts import AttemptRegister
-from hyssopvane._internal.state.decisions import DecisionMemory
+from hyssopvane._internal.state.decisions import DecisionLog
 from tests.lib.keys import make_key
 from tests.lib.peers import connect_pair, make_opening
 
@@ -70,9 +70,7 @@
 async def run_agent():
     """Run the keyed part of an agent; give its target and a way to connect to it."""
     target = FakeTarget()
-    runs = KeyedRuns(
-        register=AttemptRegister(1), target=target, memory=DecisionMemory()
-    )
+    runs = KeyedRuns(register=AttemptRegister(1), target=target, memory=DecisionLog())
 
     async def serve(stream, opening):
         await runs.serve(stream, opening, leaving=False)
