--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -447,7 +447,7 @@
         target.closed_until = max(target.closed_until, now + target.pause_s)
         target.pause_s = min(target.pause_s * 2, LONGEST_UNREACHABLE_S)
     elif report.reason == AgentRefusal.TARGET_FULL:
-        target.closed_until = max(target.closed_until, now + report.rest_s)
+        target.closed_until = max(target.closed_until, now + report.backoff_s)
 
 
 def _find_service(table: Table, service: str) -> ServiceRow:
--- a/src/hyssopvane/_internal/roles/dispatcher.py
+++ b/src/hyssopvane/_internal/roles/dispatcher.py
@@ -204,7 +204,7 @@
                 AttemptResult.NOT_STARTED,
                 end.reason.value,
                 retry_after_s=0.0 if full else end.retry_after_s,
-                rest_s=end.retry_after_s if full else 0.0,
+                backoff_s=end.retry_after_s if full else 0.0,
             ),
             Refusal(RefusalReason.NO_TARGET, Outcome.NOT_RUN, _RETRY_AFTER_S),
         )
--- a/src/hyssopvane/_internal/state/work.py
+++ b/src/hyssopvane/_internal/state/work.py
@@ -96,7 +96,7 @@
     """Time to the first byte of the answer; 0 when there was none."""
     retry_after_s: float = 0.0
     """Time until the request may be tried again, wherever."""
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     """Time for which its target wants no requests; others may take them."""
     final: bool = False
     """Whether no other attempt can follow, as when the answer has begun."""
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -237,7 +237,7 @@
 def test_target_gets_nothing_within_the_time_that_it_asked_for(also):
     """Guards against a pause that binds one repeat only, or a shorter one after it."""
     placer = make_placer(["t0"])
-    rested = AttemptReport(AttemptResult.NOT_STARTED, "target-full", rest_s=9.0)
+    rested = AttemptReport(AttemptResult.NOT_STARTED, "target-full", backoff_s=9.0)
     placer.place(make_request(0), now=WARM)
     placer.place(make_request(1), now=WARM)
     placer.release("r0", rested, now=WARM)
