--- a/src/hyssopvane/_internal/roles/map_agent.py
+++ b/src/hyssopvane/_internal/roles/map_agent.py
@@ -25,8 +25,8 @@
     EngineOrder,
     OrderKind,
     OrderRefusal,
-    RankAgent,
     RankAnswer,
+    RankSwitchPlanner,
     RankView,
     make_answer,
 )
@@ -175,7 +175,7 @@
         self._store = store
         self._metrics = metrics
         self._random = random
-        self._agent = RankAgent()
+        self._agent = RankSwitchPlanner()
         # Two passes at once would order the engine by two different records.
         self._lock = trio.Lock()
         self._waits_since: float | None = None
--- a/src/hyssopvane/_internal/state/map_switch.py
+++ b/src/hyssopvane/_internal/state/map_switch.py
@@ -267,7 +267,7 @@
         return StorePosition(self.era, self.revision)
 
 
-class RankAgent:
+class RankSwitchPlanner:
     """Keep what the agent of one rank knows, and choose its orders to the engine."""
 
     def __init__(self) -> None:
@@ -340,8 +340,8 @@
         order: EngineOrder | None = _plan_start(record, rank)
     else:
         order = (
-            _plan_end_of_arming(record, rank)
-            or _plan_clearing(record, rank)
+            _plan_arming_result(record, rank)
+            or _plan_cleanup(record, rank)
             or _plan_pending(record, rank)
             or _plan_proposal(record, rank)
         )
@@ -350,7 +350,7 @@
     return order and replace(order, fence=record.fence)
 
 
-def _plan_end_of_arming(record: GroupRecord, rank: RankView) -> EngineOrder | None:
+def _plan_arming_result(record: GroupRecord, rank: RankView) -> EngineOrder | None:
     if not rank.armed or rank.armed_decided:
         return None
     if record.find_switch(rank.armed) is not None:
@@ -358,7 +358,7 @@
     return _plan_abort(record, rank.armed)
 
 
-def _plan_clearing(record: GroupRecord, rank: RankView) -> EngineOrder | None:
+def _plan_cleanup(record: GroupRecord, rank: RankView) -> EngineOrder | None:
     # A stage order that arrives after its proposal ended would hold memory for ever.
     for name in sorted(rank.staged - {rank.armed}):
         switch = record.find_switch(name)
--- a/tests/lib/map_model.py
+++ b/tests/lib/map_model.py
@@ -10,8 +10,8 @@
     GroupRecord,
     Move,
     Phase,
-    RankAgent,
     RankAnswer,
+    RankSwitchPlanner,
     RankView,
     SwitchProgress,
     VersionedRecord,
@@ -74,7 +74,7 @@
 
     def __init__(self, rank: ExpertRank) -> None:
         self.rank = rank
-        self.late: list[EngineOrder] = []
+        self.in_flight: list[EngineOrder] = []
         self.staged = {rank.map}
         """Maps whose weights the engine has fetched since it started."""
 
@@ -92,11 +92,11 @@
 
     def send(self, order: EngineOrder) -> None:
         """Put an order on its way."""
-        self.late.append(order)
+        self.in_flight.append(order)
 
     def deliver(self, index: int, *, keep: bool = False) -> str | None:
         """Let an order arrive and return its refusal."""
-        order = self.late[index] if keep else self.late.pop(index)
+        order = self.in_flight[index] if keep else self.in_flight.pop(index)
         return self.carry_out(order)
 
     def carry_out(self, order: EngineOrder) -> str | None:
@@ -139,14 +139,14 @@
         return f"{bare}.{fence}" if fence else bare
 
 
-class TrustingAgent(RankAgent):
+class UnconfirmedPlanner(RankSwitchPlanner):
     """Start a rank without confirming the record."""
 
     def needs_confirmation(self, rank: RankView) -> bool:
         return False
 
 
-class UncheckedRank(ExpertRank):
+class UncheckedArmingRank(ExpertRank):
     """Take an arming for a step that the rank has passed."""
 
     def _arm(self, order: expert_rank.Order) -> expert_rank.OrderRefusal | None:
@@ -156,7 +156,7 @@
         return refusal
 
 
-class ImpatientRank(ExpertRank):
+class NonWaitingRank(ExpertRank):
     """Take the armed step without knowing the decision."""
 
     def _must_wait(self, step: int) -> bool:
@@ -186,7 +186,7 @@
     service: type[Service] = Service
     rank: type[ExpertRank] = ExpertRank
     port: type[EnginePort] = EnginePort
-    agent: type[RankAgent] = RankAgent
+    agent: type[RankSwitchPlanner] = RankSwitchPlanner
 
 
 class Group:
@@ -317,7 +317,7 @@
     ) -> None:
         """Let an order arrive at an engine; a refused arming is answered."""
         port = self.ports[name]
-        order = port.late[index]
+        order = port.in_flight[index]
         refusal = port.deliver(index, keep=keep)
         if refusal is not None and order.kind.value == "arm":
             for number in range(len(self.coordinators)):
@@ -332,7 +332,7 @@
             self.read_agent(name)
             self.confirm_restart(name)
             while self.run_agent(name):
-                self.deliver_engine_order(name, len(self.ports[name].late) - 1)
+                self.deliver_engine_order(name, len(self.ports[name].in_flight) - 1)
                 if self.answers and self.answers[-1][1].engine_refusal:
                     break
         self.ask(index)
@@ -355,7 +355,7 @@
             for port in self.ports.values()
         )
 
-    def _read(self, agent: RankAgent, age: int) -> bool:
+    def _read(self, agent: RankSwitchPlanner, age: int) -> bool:
         if not self.service.is_up:
             return False
         agent.learn(self.service.read(age))
--- a/tests/unit/test_map_switch_model.py
+++ b/tests/unit/test_map_switch_model.py
@@ -16,10 +16,10 @@
     BareNamePort,
     EnginePort,
     Group,
-    ImpatientRank,
+    NonWaitingRank,
     Service,
-    TrustingAgent,
-    UncheckedRank,
+    UncheckedArmingRank,
+    UnconfirmedPlanner,
     Weakening,
 )
 
@@ -34,7 +34,7 @@
     suppress_health_check=list(HealthCheck),
 )
 # A weakened protocol only has to be caught, so its failure is not made smaller.
-CATCHING_SETTINGS = settings(
+WEAKENED_SETTINGS = settings(
     MODEL_SETTINGS, max_examples=4000, phases=(Phase.generate,), print_blob=False
 )
 
@@ -44,7 +44,7 @@
 some_age = st.sampled_from((0, 0, 0, 1, 2, 5))
 
 
-class BlindService(Service):
+class NonComparingService(Service):
     """Write without comparing."""
 
     compares = False
@@ -116,9 +116,9 @@
 
     @rule(name=some_rank, index=some_index, keep=st.booleans())
     def deliver_engine_order(self, name, index, keep):
-        late = self.group.ports[name].late
-        if late:
-            self.group.deliver_engine_order(name, index % len(late), keep=keep)
+        in_flight = self.group.ports[name].in_flight
+        if in_flight:
+            self.group.deliver_engine_order(name, index % len(in_flight), keep=keep)
 
     @rule(name=some_rank, age=some_age)
     def run_agent(self, name, age):
@@ -140,7 +140,7 @@
         group.read_agent(name, age=age)
         group.confirm_restart(name)
         while group.run_agent(name, age=age):
-            group.deliver_engine_order(name, len(group.ports[name].late) - 1)
+            group.deliver_engine_order(name, len(group.ports[name].in_flight) - 1)
             if group.answers and group.answers[-1][1].engine_refusal:
                 break
         for _ in range(RUN_AHEAD_STEPS):
@@ -154,7 +154,7 @@
 
     @rule(name=some_rank, keep=st.booleans())
     def run_ahead_after_a_late_order(self, name, keep):
-        if self.group.ports[name].late:
+        if self.group.ports[name].in_flight:
             self.group.deliver_engine_order(name, 0, keep=keep)
         for _ in range(RUN_AHEAD_STEPS):
             self.group.take_step(name)
@@ -211,14 +211,17 @@
     ("weakening", "faults", "seen"),
     [
         pytest.param(
-            Weakening(rank=UncheckedRank), None, "used", id="no-armed-step-refusal"
+            Weakening(rank=UncheckedArmingRank),
+            None,
+            "used",
+            id="no-armed-step-refusal",
         ),
-        pytest.param(Weakening(rank=ImpatientRank), None, "used", id="no-waiting"),
+        pytest.param(Weakening(rank=NonWaitingRank), None, "used", id="no-waiting"),
         pytest.param(
-            Weakening(service=BlindService), None, "used|twice", id="no-compare"
+            Weakening(service=NonComparingService), None, "used|twice", id="no-compare"
         ),
         pytest.param(
-            Weakening(agent=TrustingAgent),
+            Weakening(agent=UnconfirmedPlanner),
             {"restart_and_run_ahead"},
             "used",
             id="no-read-on-restart",
@@ -232,7 +235,7 @@
     """
     model = make_model(weakening, checks_fence=False, faults=faults)
     with pytest.raises(AssertionError, match=seen):
-        run_state_machine_as_test(model, settings=CATCHING_SETTINGS)
+        run_state_machine_as_test(model, settings=WEAKENED_SETTINGS)
 
 
 @pytest.mark.parametrize(
