--- a/src/hyssopvane/_internal/state/__init__.py
+++ b/src/hyssopvane/_internal/state/__init__.py
@@ -1,1 +1,1 @@
-"""Hold frozen data that the other layers share."""
+"""Define the data types that the other layers share."""
--- a/src/hyssopvane/_internal/state/attempts.py
+++ b/src/hyssopvane/_internal/state/attempts.py
@@ -1,4 +1,4 @@
-"""Remember which attempts an agent may start, and which it never will."""
+"""Decide which attempts an agent may start, and reject duplicates."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,47 +6,48 @@
 from hyssopvane._internal.models.refusals import AgentRefusal
 
 UNKEYED_RETENTION_S = 600.0
-"""Time for which an attempt without a key is remembered after it was first seen."""
+"""Time for which an attempt without a key is kept after its first arrival."""
 
 MAX_UNKEYED_ATTEMPTS = 50_000
-"""Attempts without a key that are remembered, some 10 MB.
+"""Maximum number of attempts without a key that are kept, about 10 MB.
 
-At 80 requests a second, more than one target takes, this is the whole memory time. A
-late copy of an attempt without a key can only come from a fault of an entry, because
-one connection keeps the order; so this bound gives way before the agent's memory does.
+At 80 requests a second, more than one target serves, they cover the whole retention
+time. Above that rate the oldest are removed early to bound the agent's memory. A late
+copy of an attempt without a key can only come from a faulty entry, because one
+connection preserves the order.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerKey:
-    """Name the caller's key that attempts belong to."""
+    """Identify the customer's idempotency key that attempts belong to."""
 
     customer: str
     key: str
     created_at: float
-    """Seconds since 1970 as the key tells them."""
+    """Creation time stated in the key, in seconds since 1970."""
     window_s: float
-    """Age in seconds after which the key is no longer run."""
+    """Age in seconds after which no attempt for the key may run."""
 
     @property
     def name(self) -> tuple[str, str]:
-        """Return what stays the same when the window is changed."""
+        """Return the customer and key, which do not change with the window."""
         return self.customer, self.key
 
     @property
     def expires_at(self) -> float:
-        """Return when the key is no longer run."""
+        """Return the time after which no attempt for the key may run."""
         return self.created_at + self.window_s
 
 
 class AttemptPhase(StrEnum):
-    """Tell how far an attempt came."""
+    """Name the state of an attempt."""
 
     ACCEPTED = "accepted"
-    """Its body still arrives; nothing has reached the target."""
+    """Its body is still being received; nothing has been sent to the target."""
     STARTED = "started"
     TOMBSTONE = "tombstone"
-    """It never started and never will."""
+    """It did not start and must never start."""
 
 
 @dataclass(slots=True)
@@ -57,9 +58,9 @@
 
 
 class AttemptRegister:
-    """Decide for each attempt whether it may start, once and for all.
+    """Decide once for each attempt whether it may start.
 
-    The caller brings the clock, in seconds since 1970.
+    Callers pass the current time as `now`, in seconds since 1970.
     """
 
     def __init__(self, incarnation: int) -> None:
@@ -67,17 +68,18 @@
         self._attempts: dict[bytes, _Attempt] = {}
         self._unkeyed: dict[bytes, None] = {}
         self._held: dict[tuple[str, str], bytes] = {}
-        # Keys made up to this time may have been forgotten. It holds the proof when an
-        # operator widens the window, or when the VM's clock is set, after that.
+        # Attempts for keys created up to this time may have been removed, so these keys
+        # stay refused even if an operator widens the window later or the VM's clock
+        # is set.
         self._removed_until = float("-inf")
 
     def accept(
         self, attempt: bytes, *, incarnation: int, owner: CustomerKey | None, now: float
     ) -> AgentRefusal | None:
-        """Accept an attempt that may start, or say why it does not."""
+        """Accept an attempt that may start, or return why it is refused."""
         if incarnation != self.incarnation:
-            # A restart loses what is kept here, so a copy that was meant for an
-            # earlier start could run a second time.
+            # A restart clears the register, so a copy sent to an earlier incarnation
+            # could run a second time.
             return AgentRefusal.WRONG_INCARNATION
         known = self._attempts.get(attempt)
         if known is not None:
@@ -85,12 +87,12 @@
                 return AgentRefusal.TOMBSTONE
             return AgentRefusal.DUPLICATE_ATTEMPT
         if owner is not None and self._is_too_old(owner, now):
-            # An entry that was paused wakes after the claim has gone and the caller
-            # was told that the key is too old.
+            # A paused entry may resume after the claim has been removed and the caller
+            # was answered that the key is too old.
             return AgentRefusal.KEY_EXPIRED
         if owner is not None and owner.name in self._held:
-            # The claim in the key-value service lets no second attempt come this far;
-            # this holds even when a fault lets one through.
+            # The claim in the key-value service normally stops a second attempt. This
+            # check also stops one that gets through because of a fault.
             self._record(attempt, AttemptPhase.TOMBSTONE, owner, now)
             return AgentRefusal.KEY_HELD
         self._record(attempt, AttemptPhase.ACCEPTED, owner, now)
@@ -99,7 +101,7 @@
         return None
 
     def start(self, attempt: bytes) -> bool:
-        """Mark an accepted attempt as started; return False when it has a tombstone."""
+        """Mark an accepted attempt as started; return False if it may not start."""
         known = self._attempts.get(attempt)
         if known is None or known.phase is not AttemptPhase.ACCEPTED:
             return False
@@ -109,13 +111,17 @@
     def add_tombstone(
         self, attempt: bytes, *, owner: CustomerKey | None, now: float
     ) -> AgentRefusal:
-        """Make sure that an attempt never starts, or say that this is too late."""
+        """Ensure that an attempt never starts.
+
+        Return `TOMBSTONE` on success, `DUPLICATE_ATTEMPT` if it has started, and
+        `KEY_EXPIRED` if an unknown attempt's key is too old to run.
+        """
         known = self._attempts.get(attempt)
         if known is None:
             if owner is not None and self._is_too_old(owner, now):
                 return AgentRefusal.KEY_EXPIRED
-            # Its copy may still be on its way, through a connection that was silent
-            # or from an entry that was paused.
+            # The attempt may still arrive over a connection that was silent or from an
+            # entry that was paused.
             self._record(attempt, AttemptPhase.TOMBSTONE, owner, now)
         elif known.phase is AttemptPhase.STARTED:
             return AgentRefusal.DUPLICATE_ATTEMPT
@@ -124,13 +130,13 @@
         return AgentRefusal.TOMBSTONE
 
     def revert_start(self, attempt: bytes) -> None:
-        """Bury a started attempt of which provably nothing reached the target."""
+        """Mark a started attempt as never run; provably none of it reached the target."""
         known = self._attempts.get(attempt)
         if known is not None:
             self._mark_tombstone(attempt, known)
 
     def expire(self, *, now: float) -> list[bytes]:
-        """Forget attempts whose copies are refused by their age; return them."""
+        """Remove and return expired attempts; late copies are refused by their age."""
         old = [one for one, known in self._attempts.items() if known.expires_at < now]
         for attempt in old:
             self._remove(attempt)
--- a/src/hyssopvane/_internal/state/claims.py
+++ b/src/hyssopvane/_internal/state/claims.py
@@ -1,26 +1,27 @@
-"""Describe which attempt may run for an idempotency key."""
+"""Define claims, which record the attempt that may run for an idempotency key."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
 BUCKET_COUNT = 8
-"""Pages of one time slice.
+"""Number of pages of one time slice.
 
-Each is written by one compare-and-swap at a time, so this and the interval between
-batches bound the writes a second, whatever the number of entries and requests.
+Each page is written by one compare-and-swap at a time. This number and the interval
+between batches therefore limit the writes a second, regardless of the number of entries
+and requests.
 """
 
 SLICE_S = 8
-"""Seconds of keys that share the pages of one slice.
+"""Length of a slice in seconds; keys created in one slice share its pages.
 
-A page is rewritten whole for each batch: at 870 claims a second a page of 8 s holds
-870 claims at its end (about 21 kB), where one of the whole window of 600 s would hold
-65,000 (1.6 MB, above the service's limit).
+Each batch rewrites the whole page. At 870 claims a second, a page of 8 s holds 870
+claims when the slice ends (about 21 kB). A page of the whole 600 s window would hold
+65,000 claims (1.6 MB), which exceeds the service's limit.
 """
 
 MAX_WINDOW_S = 3600
-"""Widest window that the table allows, in seconds."""
+"""Maximum idempotency window that the table allows, in seconds."""
 
 ATTEMPT_BYTES = 8
 NO_ATTEMPT = 0
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """Name a claim: the hash of customer and key, and where its page is."""
+    """Identify a claim by the hash of customer and key, and locate its page."""
 
     key_hash: int
     slice: int
@@ -38,24 +39,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Say which attempt may run for a key; a void one says that none may."""
+    """Record which attempt may run for a key; if the claim is void, none may run."""
 
     attempt: int
-    """Number of the attempt; it stays after the claim is void."""
+    """Number of the attempt; it is kept when the claim becomes void."""
     body_digest: int
     target: str = ""
     incarnation: int = 0
-    """Incarnation of the agent that the attempt is meant for."""
+    """Incarnation of the agent that the attempt is sent to."""
     void: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimChange:
-    """Ask for a claim to be written if the present attempt is the expected one."""
+    """Request to write a claim if the present attempt is the expected one."""
 
     key: ClaimKey
     expected_attempt: int
-    """Attempt of the claim to replace; `NO_ATTEMPT` where there must be none."""
+    """Attempt of the claim to replace; `NO_ATTEMPT` if no claim may exist."""
     claim: Claim
 
 
@@ -66,17 +67,19 @@
     claims: Mapping[int, Claim] = field(default_factory=dict)
 
     def apply(self, changes: Iterable[ClaimChange]) -> "ClaimPage":
-        """Return the page with each change made whose expectation holds.
+        """Return the page with every change applied whose expected attempt matches.
 
-        Whoever asked finds out by looking for its own claim; so a change that was made
-        already, and whose confirmation was lost, may be applied again.
+        A requester detects success by looking for its own claim in the page. A change
+        that was already applied may therefore be applied again, as happens when its
+        confirmation is lost.
         """
         claims = dict(self.claims)
         for change in changes:
             present = claims.get(change.key.key_hash)
             attempt = NO_ATTEMPT if present is None else present.attempt
             if present is not None and present.void:
-                # An earlier caller was told that the key never ran and never will.
+                # An earlier caller was answered that the key did not run and never
+                # will.
                 continue
             if attempt == change.expected_attempt:
                 claims[change.key.key_hash] = change.claim
@@ -84,27 +87,27 @@
 
 
 def restore_claims(page: ClaimPage, lost: ClaimPage, *, prefer_lost: bool) -> ClaimPage:
-    """Return a page with the claims that the service has lost of it."""
+    """Merge claims that the service lost into a page."""
     if prefer_lost:
         return ClaimPage({**page.claims, **lost.claims})
     return ClaimPage({**lost.claims, **page.claims})
 
 
 def make_claim_key(customer: str, key: str, created_at: float) -> ClaimKey:
-    """Return the name of a key's claim."""
-    # A hash of 64 bits: two keys of one slice that meet are told as a mismatch of the
-    # body, and the agent compares the whole key; nothing runs twice and no answer
-    # reaches another caller.
+    """Build the claim key of a customer's idempotency key."""
+    # If two keys of one slice collide in this 64-bit hash, the second is rejected as a
+    # body mismatch, and the agent compares the whole key. No request runs twice and no
+    # answer reaches another caller.
     digest = hashlib.blake2b(f"{customer}\0{key}".encode(), digest_size=8).digest()
     key_hash = int.from_bytes(digest)
     return ClaimKey(key_hash, get_slice(created_at), key_hash % BUCKET_COUNT)
 
 
 def get_slice(time_s: float) -> int:
-    """Return the number of the slice that a time belongs to."""
+    """Return the number of the slice that contains a time in seconds since 1970."""
     return int(time_s * _MILLISECONDS) // (SLICE_S * _MILLISECONDS)
 
 
 def truncate_digest(body_digest: bytes) -> int:
-    """Return the part of a body's digest that a claim keeps."""
+    """Return the first 32 bits of a body's digest, which a claim stores."""
     return int.from_bytes(body_digest[:4])
--- a/src/hyssopvane/_internal/state/store_position.py
+++ b/src/hyssopvane/_internal/state/store_position.py
@@ -1,12 +1,12 @@
-"""Order what a key-value service has said."""
+"""Order states of a key-value service across its eras."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class StorePosition:
-    """Name a point in the store's history; any point of a later era comes later."""
+    """Identify a point in the store's history; eras are compared before revisions."""
 
     era: int
-    """Number of the era, higher after each return from a copy; 0 where not told."""
+    """Number of the era, raised when the store returns from a copy; 0 if unknown."""
     revision: int
--- a/src/hyssopvane/_internal/state/store_snapshot.py
+++ b/src/hyssopvane/_internal/state/store_snapshot.py
@@ -1,4 +1,4 @@
-"""Hold what a process has learnt from the store, to pass it on."""
+"""Define the part of the store's content that processes exchange."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreItem:
-    """Hold one key of the store as it was at a revision."""
+    """Hold one key of the store and its value as of a revision."""
 
     key: str
     value: bytes
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """Hold the configuration and the registrations of replicas."""
+    """Hold the configuration and the registrations of replicas read from the store."""
 
     configuration_revision: int
     configuration: bytes
     replicas_revision: int
-    """Revision of the store up to which the registrations are known."""
+    """Revision of the store up to which the registrations are complete."""
     replicas: tuple[StoreItem, ...]
     replicas_era: int = 0
-    """Era of the store that the registrations and their revisions belong to."""
+    """Era of the store in which the registrations and their revisions are valid."""
 
     @property
     def replicas_position(self) -> StorePosition:
-        """Return the point of the store's history up to which they are known."""
+        """Return the store position up to which the registrations are complete."""
         return StorePosition(self.replicas_era, self.replicas_revision)
