--- a/src/hyssopvane/_internal/state/columns.py
+++ b/src/hyssopvane/_internal/state/columns.py
@@ -1,4 +1,4 @@
-"""Describe every column of the table as data."""
+"""Define the columns of the operators' table: types, ranges and defaults."""
 
 import re
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class RowKind(StrEnum):
-    """Name the kinds of row."""
+    """Enumerate the kinds of row; the values appear in row ids."""
 
     CUSTOMER = "customer"
     SERVICE = "service"
@@ -22,7 +22,7 @@
 
 
 class CellType(StrEnum):
-    """Name the types of cell."""
+    """Enumerate the types of cell; the values appear in error messages."""
 
     INTEGER = "integer"
     NUMBER = "number"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowId:
-    """Name one row of the table."""
+    """Identify one row of the table."""
 
     kind: RowKind
     name: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """Describe one column: what a cell may hold and what it means."""
+    """Describe a column: the type, range and meaning of its cells."""
 
     kind: RowKind
     name: str
@@ -57,24 +57,24 @@
     high: int | float | None = None
 
     def parse(self, text: str, *, row: RowId) -> CellValue:
-        """Return the value of a cell; raise `TableError` when it can't be used."""
+        """Parse a cell; raise `TableError` if the text is not a value in range."""
         value = _PARSERS[self.type](text.strip())
         if value is None or not self._is_in_range(value):
             raise TableError(
-                f"{row} can't have {self.name} = {text!r}",
+                f"{row}: invalid value {text!r} for column {self.name}",
                 context=f"allowed: {self.describe_range()}",
                 hint=f"set {self.name} to a value in this range; nothing was changed",
             )
         return value
 
     def format(self, value: CellValue) -> str:
-        """Return a cell's text, which `parse` reads back to the same value."""
+        """Return the text of a value, which `parse` turns back into the same value."""
         if isinstance(value, bool):
             return "yes" if value else "no"
         return str(value)
 
     def describe_range(self) -> str:
-        """Return the values that are allowed, in words."""
+        """Describe the allowed values in words."""
         words = _RANGES.get(self.type)
         if words is None:
             words = f"{self.type} from {self.low} to {self.high}"
@@ -85,16 +85,16 @@
             return True
         low = self.low if self.low is not None else float("-inf")
         high = self.high if self.high is not None else float("inf")
-        # A value that is not a number compares as False and is refused.
+        # Comparisons with NaN are false, so NaN is refused.
         return low <= value <= high
 
 
 def parse_row_id(text: str) -> RowId:
-    """Read a row's id, such as customer/alice."""
+    """Parse a row id such as customer/alice; raise `TableError` if it is invalid."""
     kind, _, name = text.strip().partition("/")
     if kind not in {str(known) for known in RowKind}:
         raise TableError(
-            f"{text!r} names no kind of row",
+            f"row id {text!r} has an unknown kind",
             context="kinds: customer, service, target",
             hint="name a row as in customer/alice",
         )
@@ -102,10 +102,10 @@
 
 
 def check_name(name: str) -> str:
-    """Return the name of a row; raise `TableError` when it can't be one."""
+    """Return a row's name unchanged; raise `TableError` if it is invalid."""
     if _NAME.fullmatch(name) is None:
         raise TableError(
-            f"{name!r} can't be the name of a row",
+            f"row name {name!r} is invalid",
             context="allowed: 1 to 63 of a-z, 0-9 and -, not starting with -",
             hint="choose a name of these characters; nothing was changed",
         )
@@ -113,7 +113,7 @@
 
 
 def get_column(kind: RowKind, name: str) -> Column:
-    """Return a column; raise `TableError` when rows of this kind have none such."""
+    """Return a column; raise `TableError` if rows of this kind do not have it."""
     column = COLUMNS[kind].get(name)
     if column is None:
         raise TableError(
--- a/src/hyssopvane/_internal/state/directory.py
+++ b/src/hyssopvane/_internal/state/directory.py
@@ -4,7 +4,7 @@
 
 
 class Directory:
-    """Index a table for requests."""
+    """Index the customers and services of a table for lookups by requests."""
 
     def __init__(self, table: Table) -> None:
         self.table = table
@@ -19,11 +19,11 @@
         )
 
     def find_customer(self, key_sha256: str) -> CustomerRow | None:
-        """Return the customer whose key has this hash."""
+        """Return the customer whose API key has this SHA-256, or None."""
         return self._customers.get(key_sha256)
 
     def find_service(self, path: str) -> ServiceRow | None:
-        """Return the service with the longest prefix of the path."""
+        """Return the service with the longest matching path prefix, or None."""
         for prefix, row in self._prefixes:
             if path == prefix or path.startswith(prefix + "/"):
                 return row
