--- a/src/hyssopvane/_internal/state/group.py
+++ b/src/hyssopvane/_internal/state/group.py
@@ -1,4 +1,4 @@
-"""Describe what agents of one group tell each other about its expert map."""
+"""Define the messages that entries and the agents of a group exchange."""
 
 from dataclasses import dataclass
 
@@ -7,51 +7,55 @@
 ExpertsBySet = tuple[tuple[int, ...], ...]
 
 Counts = tuple[int, ...]
-"""Choices of each expert, one set behind the other."""
+"""Number of times each expert was chosen, with the sets concatenated."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryState:
-    """Tell that an entry lives and how new its beliefs are."""
+    """Report that an entry is alive and how recent its view of the store is."""
 
     address: str
-    """Where it takes datagrams."""
+    """Address at which it receives datagrams."""
     beliefs: str
-    """Where it gives what it has learnt from the store."""
+    """Address at which it serves its snapshot of the store; empty if it serves none."""
     configuration_version: int
-    """Version of the configuration in force; 0 where none is."""
+    """Version of the configuration in force; 0 if there is none."""
     replicas_revision: int
-    """Revision of the store up to which it knows the registrations."""
+    """Revision of the store up to which its replica registrations are complete."""
     availability_zone: str = ""
     store_returned_s: float | None = None
-    """Time since the store's last return from a silence, for some seconds after it."""
+    """Time since the store became reachable again; set for some seconds after that."""
     lacks_load: bool = False
-    """Whether it has no fresh load of the group of the agent that gets this."""
+    """Whether it has no recent load of the receiving agent's group."""
     via: str = ""
-    """Agent that passes this on to its leader; empty where the entry itself does."""
+    """Agent that forwards this to its leader; empty if the entry sent it directly."""
     replicas_era: int = 0
-    """Era of the store that the revision belongs to."""
+    """Era of the store in which `replicas_revision` is valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Presence:
-    """Tell that the agent of a rank lives, and may lead its group."""
+    """Report that the agent of a rank is alive, and whether it leads its group."""
 
     messages: str
-    """Address of the agent."""
+    """Address at which the agent receives messages."""
     group: str
     epoch: int
     rank: int
     leads: bool = False
-    """Whether it leads: it has not heard of a lower rank for a while."""
+    """Whether it leads because all lower ranks have been silent for some time."""
 
 
 @dataclass(frozen=True, slots=True)
 class RankState:
-    """Hold what one rank's agent knows of its rank."""
+    """Report the state of a rank as its agent knows it."""
 
     messages: str
-    """Address of the agent; empty in a short word, as are the next two."""
+    """Address of the agent.
+
+    An abbreviated report leaves this, `replica` and `group` empty, because the report
+    before it contains them.
+    """
     replica: str
     """Address of the rank's replica."""
     group: str
@@ -68,35 +72,35 @@
     armed_step: int
     held_step: int
     experts: ExpertsBySet = ()
-    """Experts of the map in use that are on this rank, by set."""
+    """Experts that the map in use places on this rank, by set."""
     pace: float = 1.0
-    """Time the replica takes against its usual one; over 1 when it is slow."""
+    """Time the replica takes relative to its usual time; above 1 if it is slow."""
     counts: Counts = ()
-    """How often this rank's requests chose each expert since its last such word."""
+    """How often this rank's requests chose each expert since its last such report."""
     started_ms: int = 0
-    """Names the start of the replica that this is of; 0 where not told."""
+    """Start time that identifies the replica's incarnation; 0 if not given."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRequest:
-    """Ask the agent beside a rank to hold or release a pass, or only to look at it."""
+    """Ask a rank's agent to hold or release a pass, or only to report its state."""
 
     group: str
     epoch: int
     step: int = 0
-    """Pass that is held or released; 0 to look only."""
+    """Pass to hold or release; 0 to only request the state."""
     release: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class MapChange:
-    """Ask the agents of a group to bring their ranks to a map."""
+    """Ask the agents of a group to apply an expert map to their ranks."""
 
     group: str
     epoch: int
     version: int
     experts: ExpertLists
     step: int = 0
-    """Pass from which on the map is used; 0 while its experts are being copied."""
+    """First pass that uses the map; 0 while its experts are being copied."""
     forward: tuple[str, ...] = ()
-    """Agents to which the one who gets this passes it on."""
+    """Addresses of agents to which the receiver forwards this."""
--- a/src/hyssopvane/_internal/state/loads.py
+++ b/src/hyssopvane/_internal/state/loads.py
@@ -1,23 +1,23 @@
-"""Describe the load of replicas as the agents beside them tell it."""
+"""Define the load of replicas as their agents report it."""
 
 from dataclasses import dataclass, replace
 
 SLOW_PACE = 1.5
-"""Pace from which on a replica counts as slow; replicas of a service differ by less."""
+"""Pace above which a replica counts as slow; replicas of a service differ by less."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Name one start of a replica."""
+    """Identify one incarnation of a replica."""
 
     address: str
     started_ms: int = 0
-    """Names the start; 0 where not told."""
+    """Start time that identifies the incarnation; 0 if not given."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryContact:
-    """Say where an entry takes messages."""
+    """Hold the address and zone at which an entry receives messages."""
 
     address: str
     availability_zone: str
@@ -25,68 +25,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Roster:
-    """Name the members of a group once, so that each load need not.
+    """List the members of a group, so that load messages can omit their addresses.
 
-    Addresses and starts change seldom and loads come eight times a second: a load of 64
-    members has 0.5 KB with places in a roster, and 2.9 KB with addresses.
+    Addresses and start times rarely change, but loads are sent eight times a second. A
+    load of 64 members takes 0.5 KB with positions in a roster, and 2.9 KB with
+    addresses.
     """
 
     number: int
-    """Digest of the group and its members: both ends agree, or the number differs."""
+    """Digest of the group and its members, by which the receiver detects a mismatch."""
     group: str
-    """Empty for a replica in no group, whose agent speaks for it alone."""
+    """Name of the group; empty for a single replica that is in no group."""
     members: tuple[Member, ...]
-    """By rank, the lowest first."""
+    """Members in ascending order of rank."""
     entries: tuple[EntryContact, ...] = ()
-    """Entries of the receiver's zone, and a few of the others."""
+    """Entries of the receiver's zone and a few of other zones."""
     relay: bool = False
-    """Whether the receiver passes it on to the entries of its zone."""
+    """Whether the receiver forwards it to the entries of its zone."""
     forward: str = ""
-    """Entry to which an agent that gets this sends it on."""
+    """Address of the entry to which a receiving agent forwards it."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberLoad:
-    """Hold the load of one replica of a group."""
+    """Hold the load of one member of a group."""
 
     active: int
     queued: int
     pace: float
-    """Time the replica takes against its usual one; over 1 when it is slow."""
+    """Time the replica takes relative to its usual time; above 1 if it is slow."""
     age_s: float
-    """Time since its own agent told it."""
+    """Time since the replica's agent reported it."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupLoad:
-    """Hold what the leading agent of a group tells the entries."""
+    """Hold the load of a group as its leader publishes it to the entries."""
 
     roster: int
-    """Number of the roster that names the members."""
+    """Number of the roster that lists the members."""
     source: int
-    """Names the process that tells this."""
+    """Identifier of the process that publishes this."""
     sequence: int
-    """Counts the loads that the process has told."""
+    """Number of loads that the process has published."""
     epoch: int
     ranks: int
     open: bool
     step: int
-    """The last pass that was begun."""
+    """Last pass that was started."""
     pass_s: float
-    """Mean time of a pass lately, 0 where none was seen."""
+    """Mean duration of recent passes; 0 if none was observed."""
     entries: int
-    """Number of entries that the leader hears."""
+    """Number of entries that the leader receives messages from."""
     members: tuple[MemberLoad, ...]
-    """In the order of the roster."""
+    """Loads in the order of the roster's members."""
     relay: bool = False
-    """Whether the receiver passes it on to the entries of its zone."""
+    """Whether the receiver forwards it to the entries of its zone."""
     forward: str = ""
-    """Entry to which an agent that gets this sends it on."""
+    """Address of the entry to which a receiving agent forwards it."""
 
 
 @dataclass(frozen=True, slots=True)
 class RankLoad:
-    """Hold the load of one replica, with what holds for its whole group."""
+    """Hold the load of one replica and the state of its group."""
 
     address: str
     """Address of the replica."""
@@ -96,25 +97,25 @@
     active: int
     queued: int
     step: int
-    """The last pass that was begun."""
+    """Last pass that was started."""
     pass_s: float
-    """Mean time of a pass lately, 0 where none was seen."""
+    """Mean duration of recent passes; 0 if none was observed."""
     entries: int
-    """Number of entries that are told this load."""
+    """Number of entries that receive this load."""
     pace: float = 1.0
-    """Time the replica takes against its usual one; over 1 when it is slow."""
+    """Time the replica takes relative to its usual time; above 1 if it is slow."""
     started_ms: int = 0
-    """Names the start of the replica that the load is of; 0 where not told."""
+    """Start time that identifies the replica's incarnation; 0 if not given."""
     epoch: int = 0
-    """Counts how often the group was formed."""
+    """Number of times the group was formed."""
 
     def remove_request(self) -> "RankLoad":
-        """Return the load without one of its requests."""
+        """Return the load with one active request less, at least 0."""
         return replace(self, active=max(0, self.active - 1))
 
 
 def split_load(load: GroupLoad, roster: Roster) -> list[tuple[RankLoad, float]]:
-    """Return the load of each member, and its age in seconds."""
+    """Return the load of each member and its age in seconds."""
     return [
         (
             RankLoad(
