--- a/src/hyssopvane/_internal/state/attempts.py
+++ b/src/hyssopvane/_internal/state/attempts.py
@@ -130,7 +130,7 @@
         return AgentRefusal.TOMBSTONE
 
     def revert_start(self, attempt: bytes) -> None:
-        """Mark a started attempt as never run; provably none of it reached the target."""
+        """Mark a started attempt as never run, as provably none of it was sent."""
         known = self._attempts.get(attempt)
         if known is not None:
             self._mark_tombstone(attempt, known)
--- a/src/hyssopvane/_internal/state/map_switch.py
+++ b/src/hyssopvane/_internal/state/map_switch.py
@@ -1,9 +1,9 @@
-"""Decide when the ranks of a group use which expert map.
+"""Define the protocol that switches all ranks of a group to a new expert map.
 
 A group has one record in the key-value service. It is changed only by compare-and-swap,
-so that whoever writes first decides, and everyone else finds out. What a rank does
-follows from the record and from what its engine says; an order from a coordinator only
-tells the rank's agent to look.
+so the first writer decides and the others read the outcome. What a rank does follows
+from the record and from the state that its engine reports. An order from a coordinator
+only tells the rank's agent to read the record.
 """
 
 from collections.abc import Mapping
@@ -13,18 +13,18 @@
 from hyssopvane._internal.state.store_position import StorePosition
 
 INITIAL_MAP = "initial"
-"""Map of a group that has never switched."""
+"""Name of the map of a group that has not switched yet."""
 
 KEPT_SWITCHES = 8
-"""Decided switches that a record keeps.
+"""Number of decided switches that a record keeps.
 
-A step is fixed only after every rank has reported the map in force, so no rank can be
-more than one switch behind; the others are kept for operators to read.
+A step is fixed only after every rank has reported the map in force, so no rank is more
+than one switch behind. Older switches are kept for operators to read.
 """
 
 
 class Phase(StrEnum):
-    """Name how far a proposed switch has come."""
+    """Enumerate the phases of a proposed switch, from first to last."""
 
     STAGING = "staging"
     ARMING = "arming"
@@ -37,32 +37,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """Hold the switch that was proposed last."""
+    """Hold the most recently proposed switch."""
 
     fence: int
     map: str
     phase: Phase = Phase.STAGING
     step: int = 0
-    """First step with the new map; 0 until it is fixed."""
+    """First step that uses the new map; 0 until it is fixed."""
     weights_bytes: int = 0
-    """Weights that the rank with the most new experts has to fetch."""
+    """Bytes that the rank with the most new experts has to fetch."""
     why: str = ""
-    """Why it was aborted."""
+    """Reason of the abort; empty if it was not aborted."""
 
     @property
     def name(self) -> str:
-        """Return the name by which engines know this map."""
+        """Return the name of this map in orders to engines."""
         return get_engine_name(self.map, self.fence)
 
     @property
     def is_open(self) -> bool:
-        """Tell whether it can still be decided or aborted."""
+        """Return whether it can still be decided or aborted."""
         return self.phase in OPEN_PHASES
 
 
 @dataclass(frozen=True, slots=True)
 class Switch:
-    """Tell from which step on a map is used."""
+    """Hold a decided map and the first step that uses it."""
 
     map: str
     step: int
@@ -70,23 +70,23 @@
 
     @property
     def name(self) -> str:
-        """Return the name by which engines know this map."""
+        """Return the name of this map in orders to engines."""
         return get_engine_name(self.map, self.fence)
 
 
 @dataclass(frozen=True, slots=True)
 class GroupRecord:
-    """Hold what is decided and proposed for one group."""
+    """Hold the decided switches and the latest proposal of one group."""
 
     fence: int = 0
-    """Highest fencing number that was given out."""
+    """Highest fencing number issued so far."""
     switches: tuple[Switch, ...] = (Switch(INITIAL_MAP, 0, 0),)
     """Decided switches, oldest first."""
     proposal: Proposal | None = None
 
     @property
     def current(self) -> Switch:
-        """Return the switch that was decided last."""
+        """Return the most recently decided switch."""
         return self.switches[-1]
 
     @property
@@ -96,12 +96,12 @@
         return proposal if proposal is not None and proposal.is_open else None
 
     def get_switch(self, step: int) -> Switch:
-        """Return the switch whose map is used in a step."""
+        """Return the switch whose map is in use at a step."""
         used = [switch for switch in self.switches if switch.step <= step]
         return used[-1] if used else self.switches[0]
 
     def is_ahead_of(self, other: "GroupRecord") -> bool:
-        """Tell whether the group had come further by this record."""
+        """Return whether this record is a later state of the group than another."""
         return self._get_progress() > other._get_progress()
 
     def _get_progress(self) -> tuple[int, int, int]:
@@ -110,24 +110,24 @@
         return self.fence, self.current.fence, phase
 
     def find_switch(self, name: str) -> Switch | None:
-        """Return the decided switch to the map that engines know by a name."""
+        """Return the decided switch whose map has this engine name, or None."""
         return next((one for one in self.switches if one.name == name), None)
 
 
 def get_engine_name(expert_map: str, fence: int) -> str:
-    """Return the name under which an engine is told of a map.
+    """Return the name that orders to an engine use for a map.
 
     An order can reach an engine long after its proposal ended, and an engine that
-    ignores fencing numbers would carry it out: the abort of an earlier proposal of the
-    same map would disarm one rank of the current one, which would then go on with the
-    old map while the others switch. As the fence is part of the name, an old order
-    names something that the engine does not hold.
+    ignores fencing numbers would execute it. The abort of an earlier proposal of the
+    same map would then disarm one rank in the current proposal, and this rank would
+    keep the old map while the others switch. The fence is part of the name, so a stale
+    order refers to a name that the engine does not have.
     """
     return expert_map if fence == 0 else f"{expert_map}.{fence}"
 
 
 def get_name_fence(name: str) -> int:
-    """Return the fence in an engine's name for a map."""
+    """Return the fence contained in an engine name; 0 if there is none."""
     _, _, fence = name.rpartition(".")
     return int(fence) if fence.isdecimal() else 0
 
@@ -139,9 +139,9 @@
     weights_bytes: int = 0,
     least_fence: int = 0,
 ) -> GroupRecord | None:
-    """Open a proposal with a new fence, or return None while one is open.
+    """Open a proposal with a new fence of at least `least_fence`.
 
-    The map in use is not proposed again either.
+    Return None if a proposal is open or the map is already in use.
     """
     if record.open_proposal is not None or record.current.map == expert_map:
         return None
@@ -151,7 +151,7 @@
 
 
 def fix_step(record: GroupRecord, fence: int, step: int) -> GroupRecord | None:
-    """Fix the step of a staged proposal once, or return None when it can't be."""
+    """Fix the step of a staging proposal; return None if it is fixed or has ended."""
     proposal = record.open_proposal
     if proposal is None or proposal.fence != fence or proposal.phase is Phase.ARMING:
         return None
@@ -160,7 +160,7 @@
 
 
 def decide(record: GroupRecord, fence: int) -> GroupRecord | None:
-    """Decide an armed proposal, or return None when it has ended."""
+    """Decide the proposal with a fence, or return None if it is not arming."""
     proposal = record.open_proposal
     if proposal is None or proposal.fence != fence or proposal.phase is Phase.STAGING:
         return None
@@ -171,7 +171,7 @@
 
 
 def abort(record: GroupRecord, fence: int, why: str) -> GroupRecord | None:
-    """Abort an open proposal, or return None when it has ended."""
+    """Abort an open proposal, or return None if it has ended."""
     proposal = record.open_proposal
     if proposal is None or proposal.fence != fence:
         return None
@@ -182,11 +182,11 @@
 def confirm_for_restart(record: GroupRecord) -> GroupRecord:
     """Return the record that a restarted rank writes before it takes a step.
 
-    The rank may have been armed before and has forgotten it. Were the proposal decided
-    after that, the others would switch and this rank would not. So the rank aborts an
-    open proposal, or finds that the decision was first. With none open it writes the
-    record unchanged, because a plain read may be answered with an old state of the
-    record that hides an open proposal; a compare-and-swap can't be.
+    The restart cleared any arming of the rank. If the proposal were decided afterwards,
+    the other ranks would switch and this one would not. The rank therefore aborts an
+    open proposal, unless the decision was written first. If no proposal is open, it
+    writes the record unchanged: a plain read may return a stale record that hides an
+    open proposal, whereas a compare-and-swap on a stale record fails.
     """
     proposal = record.open_proposal
     if proposal is None:
@@ -195,7 +195,7 @@
 
 
 class OrderKind(StrEnum):
-    """Name what an engine is asked to do with a map."""
+    """Enumerate the orders that an engine receives for a map."""
 
     STAGE = "stage"
     ARM = "arm"
@@ -205,25 +205,25 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """Ask an engine to do something with a map."""
+    """Order an engine to stage, arm, decide or abort a map."""
 
     kind: OrderKind
     name: str
-    """Name by which the engine knows the map."""
+    """Engine name of the map, as `get_engine_name` returns it."""
     step: int = 0
     weights_bytes: int = 0
     fence: int = 0
-    """Highest fencing number that the service has shown."""
+    """Highest fencing number read from the service."""
 
 
 @dataclass(frozen=True, slots=True)
 class RankView:
-    """Hold what an engine says of its rank."""
+    """Hold the state of a rank as its engine reports it."""
 
     step: int
-    """Last step that was begun."""
+    """Last step that was started."""
     map: str
-    """Map in use; empty after a restart, when the rank takes no step."""
+    """Engine name of the map in use; empty after a restart, when no step is taken."""
     staged: frozenset[str] = frozenset()
     armed: str = ""
     armed_step: int = 0
@@ -231,18 +231,18 @@
 
     @property
     def is_held(self) -> bool:
-        """Tell whether the rank waits for its first map since it started."""
+        """Return whether the rank waits for its first map since its restart."""
         return not self.map
 
     @property
     def waits(self) -> bool:
-        """Tell whether the rank has come to a step whose map it does not know."""
+        """Return whether the rank has reached a step whose map is not decided yet."""
         undecided = bool(self.armed) and not self.armed_decided
         return undecided and self.step + 1 >= self.armed_step
 
 
 class OrderRefusal(StrEnum):
-    """Name why an agent does not follow a coordinator's order."""
+    """Enumerate the reasons why an agent refuses a coordinator's order."""
 
     OLD_FENCE = "old-fence"
     UNKNOWN_FENCE = "unknown-fence"
@@ -252,23 +252,23 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedRecord:
-    """Hold a record with the revision at which it was written; 0 when it is absent."""
+    """Hold a record and the revision at which it was written; 0 if it is absent."""
 
     record: GroupRecord = GroupRecord()
     revision: int = 0
     era: int = 0
-    """Era of the service in which it was read or written."""
+    """Era of the service in which the record was read or written."""
     prefix: bytes = b""
-    """First bytes of its value in the service."""
+    """First bytes of the record's value in the service."""
 
     @property
     def position(self) -> StorePosition:
-        """Return the point of the service's history that orders records."""
+        """Return the position in the service's history that orders records."""
         return StorePosition(self.era, self.revision)
 
 
 class RankSwitchPlanner:
-    """Keep what the agent of one rank knows, and choose its orders to the engine."""
+    """Plan the orders to one rank's engine from the record and the rank's state."""
 
     def __init__(self) -> None:
         self.known = VersionedRecord()
@@ -276,44 +276,45 @@
 
     @property
     def highest_fence(self) -> int:
-        """Return the highest fence that the service has shown."""
+        """Return the highest fence read from the service."""
         return self.known.record.fence
 
     def learn(self, read: VersionedRecord) -> None:
-        """Take over a record that was read from the service, unless it is older.
+        """Keep a record read from the service, unless it is older than the known one.
 
-        A read may show an old state of the record. To go back to it would stage and
-        arm a proposal that has ended.
+        A read may return a stale record. Falling back to it would stage and arm a
+        proposal that has ended.
         """
         if read.position > self.known.position:
             self.known = read
 
     def confirm(self, written: VersionedRecord) -> None:
-        """Take over the record that was written by compare-and-swap for a held rank."""
+        """Keep the record that was written by compare-and-swap to confirm a restart."""
         self.learn(written)
         self._confirmed = True
 
     def needs_confirmation(self, rank: RankView) -> bool:
-        """Tell whether the record must be confirmed before the rank may start."""
+        """Return whether the record must be confirmed before the rank may start."""
         return rank.is_held and not self._confirmed
 
     def find_refusal(self, fence: int) -> OrderRefusal | None:
-        """Return why a coordinator's order is not followed.
+        """Return why a coordinator's order is refused, or None if it is accepted.
 
-        A coordinator that was paused past its lease sends orders of a proposal that
-        has long ended, and engines that ignore fencing numbers would take them.
+        A coordinator that was paused past its lease sends orders for a proposal that
+        has ended, and engines that ignore fencing numbers would execute them.
         """
         if fence < self.highest_fence:
             return OrderRefusal.OLD_FENCE
-        # The service gives fences out, so one it has not shown yet is from a record
-        # newer than the one that was read; the coordinator asks again.
+        # The service issues fences, so an unknown one comes from a record newer than
+        # the one that was read; the coordinator retries.
         return OrderRefusal.UNKNOWN_FENCE if fence > self.highest_fence else None
 
     def plan(self, rank: RankView, *, is_fresh: bool) -> EngineOrder | None:
-        """Return the next order; `is_fresh` tells that the service has just answered.
+        """Return the next order to the engine, or None.
 
-        While the service is out nothing is armed: the rank would wait at the step for
-        a decision that nobody can write or read, and hold the whole group back.
+        `is_fresh` is true if the service has just answered. The rank is not armed while
+        the service is unavailable: it would wait at the step for a decision that cannot
+        be written or read, and block the whole group.
         """
         if self.needs_confirmation(rank):
             return None
@@ -323,18 +324,18 @@
         return order
 
     def note_order(self, order: EngineOrder, rank: RankView) -> None:
-        """Take note of an order that is sent to the engine."""
+        """Update the state for an order that is sent to the engine."""
         starts = rank.is_held and order.kind is OrderKind.DECIDE
         if starts and order.name != rank.armed:
-            # From now on the rank may take steps and be armed, so a restart that
-            # follows has to be confirmed anew.
+            # The rank may take steps and be armed from here on, so the next restart
+            # has to be confirmed again.
             self._confirmed = False
 
 
 def plan_order(record: GroupRecord, rank: RankView) -> EngineOrder | None:
-    """Return the next order that brings a rank in line with the record.
+    """Return the next order that aligns a rank with the record, or None.
 
-    A held rank is only to be given a record that was confirmed after its restart.
+    For a held rank, the record must have been confirmed after the rank's restart.
     """
     if rank.is_held:
         order: EngineOrder | None = _plan_start(record, rank)
@@ -345,8 +346,8 @@
             or _plan_pending(record, rank)
             or _plan_proposal(record, rank)
         )
-    # Every order carries the newest fence that is known, also one about an older map:
-    # an engine that checks fences would refuse it otherwise.
+    # Every order carries the newest known fence, also if it concerns an older map:
+    # otherwise an engine that checks fences would refuse it.
     return order and replace(order, fence=record.fence)
 
 
@@ -359,7 +360,8 @@
 
 
 def _plan_cleanup(record: GroupRecord, rank: RankView) -> EngineOrder | None:
-    # A stage order that arrives after its proposal ended would hold memory for ever.
+    # Weights staged by an order that arrives after its proposal ended would occupy
+    # memory forever.
     for name in sorted(rank.staged - {rank.armed}):
         switch = record.find_switch(name)
         if switch is None or switch.step <= rank.step:
@@ -373,14 +375,14 @@
     fence = get_name_fence(name)
     proposal = record.open_proposal
     is_open = proposal is not None and proposal.fence == fence
-    # A name with a later fence comes of a newer record than the one that was read.
+    # A name with a higher fence comes from a newer record than the one that was read.
     if is_open or fence > record.fence:
         return None
     return EngineOrder(OrderKind.ABORT, name)
 
 
 def _plan_pending(record: GroupRecord, rank: RankView) -> EngineOrder | None:
-    """Return the next order for a decided switch whose step is still to come."""
+    """Return the next order for a decided switch whose step is in the future."""
     switch = record.current
     if switch.step <= rank.step or rank.armed_decided:
         return None
@@ -406,14 +408,14 @@
 
 
 def _plan_start(record: GroupRecord, rank: RankView) -> EngineOrder:
-    """Return the next order for a rank that has no map since its restart."""
+    """Return the next order for a rank without a map after its restart."""
     used = record.get_switch(rank.step + 1)
     if used.name not in rank.staged:
         return EngineOrder(OrderKind.STAGE, used.name)
     later = record.current
     if later != used and not rank.armed_decided:
-        # The rank is armed before it gets the map that lets it take steps, so that it
-        # can't run past a switch that is decided but still to come.
+        # The rank is armed before it receives the map that lets it take steps, so that
+        # it cannot run past a switch that is decided for a future step.
         order = _plan_stage_or_arm(rank, later.name, later.step)
         return order or EngineOrder(OrderKind.DECIDE, later.name)
     return EngineOrder(OrderKind.DECIDE, used.name)
@@ -421,7 +423,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RankAnswer:
-    """Tell a coordinator how far one rank is with a proposal."""
+    """Report to a coordinator how far one rank is with a proposal."""
 
     rank: str
     fence: int
@@ -429,15 +431,15 @@
     map: str = ""
     staged: bool = False
     armed_step: int = 0
-    """Step for which the rank is armed; 0 when it is not."""
+    """Step for which the rank is armed; 0 if it is not armed."""
     refusal: str = ""
-    """Why the agent did not follow the order; the coordinator asks again."""
+    """Reason why the agent refused the order; the coordinator retries."""
     engine_refusal: str = ""
-    """Why the engine refused an order of this proposal, which is then aborted."""
+    """Reason why the engine refused an order; the proposal is then aborted."""
 
 
 def make_answer(record: GroupRecord, rank: str, view: RankView) -> RankAnswer:
-    """Describe a rank for the proposal in the record."""
+    """Return a rank's answer for the proposal in the record."""
     proposal = record.proposal
     if proposal is None:
         return RankAnswer(rank, record.fence, view.step, view.map)
@@ -452,10 +454,10 @@
 
 
 class Move(StrEnum):
-    """Name what a coordinator does next."""
+    """Enumerate the actions of a coordinator."""
 
     ASK = "ask"
-    """Tell the ranks that are behind to look at the record."""
+    """Tell the agents of the ranks that are behind to read the record."""
     FIX_STEP = "fix-step"
     DECIDE = "decide"
     ABORT = "abort"
@@ -464,7 +466,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NextMove:
-    """Tell what a coordinator does next, and for which ranks or step."""
+    """Hold a coordinator's next action, and its ranks, step or reason."""
 
     move: Move
     ranks: frozenset[str] = frozenset()
@@ -474,32 +476,32 @@
 
 @dataclass(slots=True)
 class SwitchProgress:
-    """Collect the answers of the ranks to one proposal."""
+    """Track the ranks' answers to a proposal and plan the coordinator's actions."""
 
     ranks: frozenset[str]
     margin_steps: int
-    """Steps left for arming, between the furthest rank and the switch."""
+    """Number of steps between the furthest rank and the switch, left for arming."""
     record: GroupRecord = field(default_factory=GroupRecord)
     _answers: dict[str, RankAnswer] = field(default_factory=dict)
 
     def learn(self, record: GroupRecord) -> None:
-        """Take over a record of the service."""
+        """Set the record; drop the answers if it belongs to another proposal."""
         if record.fence != self.record.fence:
             self._answers.clear()
         self.record = record
 
     def receive(self, answer: RankAnswer) -> None:
-        """Take note of an answer; one to another proposal is ignored."""
+        """Store a rank's answer; ignore one to another proposal."""
         if answer.fence == self.record.fence and answer.rank in self.ranks:
             self._answers[answer.rank] = answer
 
     @property
     def answers(self) -> Mapping[str, RankAnswer]:
-        """Return the last answer of each rank."""
+        """Return the latest answer of each rank."""
         return self._answers
 
     def plan(self) -> NextMove:
-        """Return what to do next."""
+        """Return the coordinator's next action."""
         proposal = self.record.open_proposal
         if proposal is None:
             return NextMove(Move.END)
--- a/src/hyssopvane/_internal/state/ranks.py
+++ b/src/hyssopvane/_internal/state/ranks.py
@@ -1,19 +1,19 @@
-"""Describe the ranks of a group and the orders that change their expert map."""
+"""Define the reports of a group's ranks and the orders that change their map."""
 
 from dataclasses import dataclass
 
 ExpertLists = tuple[tuple[tuple[int, ...], ...], ...]
-"""Experts by set and rank."""
+"""Numbers of the experts on each rank, indexed by set and rank."""
 
 
 @dataclass(frozen=True, slots=True)
 class RankReport:
-    """Hold what a rank says of itself at one moment."""
+    """Hold the state that a rank reports at one moment."""
 
     group: str
-    """Empty where the replica is in no group."""
+    """Name of the group; empty if the replica is in no group."""
     epoch: int
-    """Counts how often the group was formed; orders of an earlier one are refused."""
+    """Number of times the group was formed; orders with a lower epoch are refused."""
     rank: int
     ranks: int
     open: bool
@@ -21,31 +21,31 @@
     active: int
     queued: int
     pace: float
-    """Time the replica takes against its usual one; over 1 when it is slow."""
+    """Time the replica takes relative to its usual time; above 1 if it is slow."""
     step: int
-    """The last pass that was begun."""
+    """Last pass that was started."""
     map_version: int
     prepared: int
-    """Version whose experts have been copied, 0 for none."""
+    """Version of the map whose experts have been copied; 0 if none."""
     armed_version: int
     armed_step: int
     held_step: int
-    """Pass that does not begin until it is released, 0 for none."""
+    """Pass that does not start until it is released; 0 if none."""
     busy: bool
-    """Whether an order is still being carried out."""
+    """Whether an order is still being executed."""
     sequence: int
-    """Orders that were accepted since the replica's start."""
+    """Number of orders accepted since the replica started."""
     started_ms: int = 0
-    """Start of the replica by its own clock, in Unix milliseconds; 0 where not told.
+    """Start of the replica by its own clock, in Unix milliseconds; 0 if not given.
 
-    It names one start among others. Clocks jump, so a later start may have a smaller
-    number; only equal and different mean anything.
+    It identifies the incarnation. Clocks can jump, so a later start may have a smaller
+    number. Compare it only for equality.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Ask a rank to copy the experts of a map that are new to it."""
+    """Order a rank to copy the experts of a map that it does not have yet."""
 
     epoch: int
     version: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arm:
-    """Ask a rank to use a map from the beginning of a pass on."""
+    """Order a rank to use a map from the start of a pass."""
 
     epoch: int
     version: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Ask a rank to keep its group from beginning a pass."""
+    """Order a rank to prevent its group from starting a pass."""
 
     epoch: int
     step: int
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """End the hold of a pass."""
+    """Order a rank to let a held pass start."""
 
     epoch: int
     step: int
