--- a/src/hyssopvane/_internal/state/routing.py
+++ b/src/hyssopvane/_internal/state/routing.py
@@ -1,4 +1,4 @@
-"""Hold the operators' configuration of routes, services and customers."""
+"""Define the operators' configuration of routes, services and customers."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class RequestKind(StrEnum):
-    """Tell whether a request may run more than once."""
+    """Classify requests by whether they may run more than once."""
 
     IDEMPOTENT = "idempotent"
     NOT_IDEMPOTENT = "not-idempotent"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SplitPart:
-    """Give a service its part of a route's requests."""
+    """Hold the share of a route's requests that a service receives."""
 
     service: str
     weight: float
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Say where requests of one host and path prefix go, and what they may cost."""
+    """Define the services and limits for requests with one host and path prefix."""
 
     name: str
     host: str
@@ -32,22 +32,22 @@
     kind: RequestKind
     split: tuple[SplitPart, ...]
     timeout_s: float
-    """Longest time that a request may stay without its whole answer."""
+    """Maximum time until a request has its complete answer."""
     objective_s: float
-    """Time to the answer, or to the first event, that callers should get."""
+    """Target time to the answer, or to the first event of a stream."""
     priority: int
-    """Rank among the requests, 0 first."""
+    """Priority of the requests; 0 is served first."""
     max_attempts: int
     public: bool
-    """Whether requests need no key."""
+    """Whether requests need no API key."""
     resumable: bool
-    """Whether a broken stream may go on at another replica."""
+    """Whether a broken stream may be resumed at another replica."""
     pause_s: float
-    """Longest pause between events that callers should get; 0 where there are none."""
+    """Target for the longest pause between events; 0 if there are no events."""
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
@@ -55,60 +55,60 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpertLayout:
-    """Describe the experts of a group's ranks."""
+    """Hold the numbers and sizes of the experts on a group's ranks."""
 
     sets: int
-    """Sets of layers, each with experts of its own."""
+    """Number of sets of layers; each set has its own experts."""
     experts: int
-    """Experts in a set."""
+    """Number of experts in a set."""
     places: int
-    """Experts that fit on a rank, by set."""
+    """Number of experts of each set that fit on a rank."""
     new_copies: int
-    """Experts of a set that one change may bring to a rank."""
+    """Maximum number of experts of a set that one map change may add to a rank."""
     work_share: float
-    """Share of the work for tokens that experts do."""
+    """Fraction of the work per token that the experts do."""
     expert_mb: float
-    """Size of an expert."""
+    """Size of an expert in megabytes."""
     link_mbps: float
-    """Speed at which experts are copied to a rank."""
+    """Bandwidth for copying experts to a rank, in megabits a second."""
     report_lag_s: float | None = None
-    """Age of what a rank's report says when another machine reads it, if known."""
+    """Age of a rank's report when another machine reads it; None if unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineModel:
-    """Describe how long the engines of a service take for a pass."""
+    """Hold the parameters that determine how long an engine takes for a pass."""
 
     slots: int
-    """Requests that one replica works on at once."""
+    """Number of requests that one replica processes concurrently."""
     kv_tokens: int
-    """Tokens that fit in a replica's memory."""
+    """Number of tokens whose keys and values fit in a replica's memory."""
     steps_per_pass: int
     step_s: float
     per_request_s: float
-    """Time that each writing request adds to a step."""
+    """Time that each generating request adds to a step."""
     context_s: float
-    """Time that each token of a writing request's context adds to a step."""
+    """Time that each context token of a generating request adds to a step."""
     read_tokens_per_s: float
     read_chunk: int = 0
-    """Prompt tokens that a step reads at most; 0 where there is no such bound."""
+    """Maximum number of prompt tokens that a step reads; 0 if unlimited."""
     layout: ExpertLayout | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """Describe a service."""
+    """Hold the configuration of a service."""
 
     name: str
     health_path: str
     max_connections: int
     engine: EngineModel | None = None
-    """None for a plain service."""
+    """Model of the service's engines; None for a service without engines."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerBounds:
-    """Bound what a caller may send and how long it may take."""
+    """Limit the size of callers' requests and the time that sending may take."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -118,16 +118,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Name a customer and its rank."""
+    """Hold a customer's name and priority."""
 
     name: str
     priority: int | None = None
-    """Goes before the route's priority; None where the customer has none."""
+    """Overrides the route's priority; None if the customer has no priority."""
 
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """Hold one accepted configuration."""
+    """Hold one accepted version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -147,7 +147,7 @@
         object.__setattr__(self, "_by_host", by_host)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix that begins a path."""
+        """Return the host's route with the longest matching path prefix, or None."""
         by_host: Mapping[str, list[Route]] = self._by_host  # type: ignore[attr-defined]
         for route in by_host.get(host, ()):
             if path.startswith(route.prefix):
@@ -156,24 +156,24 @@
 
 
 Incarnation = tuple[str, int]
-"""Id of a replica, and what names one of its starts."""
+"""Id of a replica, and the start time that identifies one of its starts."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """Describe one start of a replica, as it registered itself."""
+    """Describe one incarnation of a replica as it registered itself."""
 
     id: str
-    """May be that of an earlier start."""
+    """Id of the replica; a later start may reuse it."""
     service: str
     address: str
     availability_zone: str
     slots: int
     draining: bool
     started_ms: int = 0
-    """Names its start, in Unix milliseconds of its own clock; 0 where not told."""
+    """Start by its own clock, in Unix milliseconds; 0 if not given."""
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return what names this start of the replica."""
+        """Return the identifier of this start of the replica."""
         return self.id, self.started_ms
--- a/src/hyssopvane/_internal/state/shares.py
+++ b/src/hyssopvane/_internal/state/shares.py
@@ -1,39 +1,39 @@
-"""Describe what entries tell each other about shares of customers' limits."""
+"""Define the messages by which entries divide customers' limits."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ShareRequest:
-    """Ask for a part of a customer's limits, as a fraction of the whole."""
+    """Request a share of a customer's limits, as a fraction of the whole."""
 
     customer: str
     sequence: int
-    """Grows with each ask of one incarnation of an entry."""
+    """Number that grows with each request of one incarnation of an entry."""
     need: float
-    """Wanted beyond the safe share."""
+    """Fraction needed in addition to the safe share."""
     held: float = 0.0
-    """The grant in force; earlier ones are no longer used."""
+    """Fraction of the grant in force; earlier grants are no longer used."""
     held_s: float = 0.0
-    """Time that the grant in force still lasts."""
+    """Remaining time of the grant in force."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShareGrant:
-    """Grant a part of a customer's limits for a time."""
+    """Grant a share of a customer's limits for a limited time."""
 
     customer: str
     sequence: int
     amount: float
     lease_s: float
-    """Counted from when the ask was sent."""
+    """Duration of the grant, from the time at which the request was sent."""
     retry_after_s: float
-    """Time until it is of use to ask for more."""
+    """Time after which requesting more can succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryId:
-    """Name one incarnation of an entry."""
+    """Identify one incarnation of an entry."""
 
     vm: str
     incarnation: int
--- a/src/hyssopvane/_internal/state/work.py
+++ b/src/hyssopvane/_internal/state/work.py
@@ -1,4 +1,4 @@
-"""Describe requests, targets and decisions for the scheduler."""
+"""Define the requests, targets, reports and decisions of the scheduler."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,21 +8,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkRequest:
-    """Describe one caller's request, as far as decisions depend on it."""
+    """Hold the properties of a caller's request that decisions depend on."""
 
     request_id: str
     customer: str
     service: str
     tokens: int
-    """Estimated prompt and answer tokens."""
+    """Estimated number of tokens of the prompt and the answer."""
     priority: int
-    """0 is urgent, 9 can wait."""
+    """Priority from 0, the most urgent, to 9."""
     deadline: float
-    """Clock value after which the answer is of no use."""
+    """Clock time after which the caller no longer needs the answer."""
     repeatable: bool = False
-    """Whether it may run again when it is unknown whether it ran."""
+    """Whether it may run again if it is unknown whether it ran."""
     affinity: tuple[int, ...] = ()
-    """Hashes of ever longer prefixes of the prompt."""
+    """Hashes of prefixes of the prompt, in ascending order of length."""
     body_digest: bytes = b""
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Tell what an agent last reported of its target."""
+    """Hold the latest load that an agent reported for its target."""
 
     running: int
     tokens_in_flight: int
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheReport:
-    """Tell changes of a target's prefix cache; they come late and with gaps."""
+    """Report changes of a target's prefix cache; reports can be late or missing."""
 
     stored: tuple[int, ...] = ()
     evicted: tuple[int, ...] = ()
     gap: bool = False
-    """Whether changes before these were lost."""
+    """Whether changes before this report were lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """Send the request to this target now."""
+    """Decide to dispatch the request to a target now."""
 
     target: str
     incarnation: int
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """Keep the request until the scheduler places or refuses it."""
+    """Decide to queue the request until the scheduler places or refuses it."""
 
 
 Decision = Placed | Waiting | Refusal
 
 
 class AttemptResult(StrEnum):
-    """Tell how an attempt ended."""
+    """Enumerate the ways in which an attempt can end."""
 
     ANSWERED = "answered"
     NOT_STARTED = "not-started"
@@ -88,15 +88,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptReport:
-    """Describe the end of an attempt."""
+    """Report the end of an attempt."""
 
     result: AttemptResult
     reason: str = ""
     latency_s: float = 0.0
-    """Time to the first byte of the answer; 0 when there was none."""
+    """Time to the first byte of the answer; 0 if there was no answer."""
     retry_after_s: float = 0.0
-    """Time until the request may be tried again, wherever."""
+    """Time until the request may be retried at any target."""
     backoff_s: float = 0.0
-    """Time for which its target wants no requests; others may take them."""
+    """Time for which the target asked for no requests; other targets may get them."""
     final: bool = False
-    """Whether no other attempt can follow, as when the answer has begun."""
+    """Whether no further attempt can follow, for example as the answer has begun."""
