--- a/src/hyssopvane/_internal/state/table.py
+++ b/src/hyssopvane/_internal/state/table.py
@@ -1,4 +1,4 @@
-"""Hold the operators' table as one process sees it."""
+"""Define the operators' table as one process has read it."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
     name: str
     key_sha256: str = ""
-    """SHA-256 of the caller's API key in hexadecimal; empty when there is none."""
+    """SHA-256 of the customer's API key in hexadecimal; empty if there is none."""
     weight: int = 100
     priority: int = 5
     rate_limit: float = 0.0
@@ -36,7 +36,7 @@
 
     name: str
     path_prefix: str = ""
-    """Paths of the service; "/" and the name unless set."""
+    """Path prefix of the service; `/NAME` unless set."""
     repeatable: bool = False
     key_required: bool = False
     idempotency_window_s: int = 600
@@ -46,9 +46,9 @@
     target_concurrency: int = 32
     target_tokens: int = 100_000
     retry_budget: int = 10
-    """Retries, in per cent of fresh requests."""
+    """Maximum number of retries, in percent of new requests."""
     max_ejected: int = 30
-    """Targets that may be set aside as slow, in per cent."""
+    """Maximum share of targets that may be ejected as slow, in percent."""
     quarantine_s: int = 3600
     skew_worth: float = 0.0
     move_cost: float = 1.0
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellId:
-    """Name one cell of the table."""
+    """Identify one cell of the table."""
 
     row: RowId
     column: str
@@ -94,13 +94,13 @@
     """Hold the revisions of one row's cells."""
 
     row: int
-    """Revision at which the row was added; cells that were never set have it too."""
+    """Revision at which the row was added, which also applies to unset cells."""
     cells: Mapping[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """Hold every row in force as of one revision of the key-value service."""
+    """Hold all rows as of one revision of the key-value service."""
 
     revision: int = 0
     customers: Mapping[str, CustomerRow] = field(
@@ -116,11 +116,11 @@
         default_factory=lambda: MappingProxyType({})
     )
     era: int = 0
-    """Era of the service that the revision belongs to."""
+    """Era of the service in which the revision is valid."""
 
     @property
     def position(self) -> StorePosition:
-        """Return the point of the service's history that the table is of."""
+        """Return the position in the service's history that the table reflects."""
         return StorePosition(self.era, self.revision)
 
     def get_rows(self, kind: RowKind) -> Mapping[str, Row]:
@@ -133,13 +133,16 @@
         return rows[kind]
 
     def get_cell_revision(self, cell: CellId) -> int:
-        """Return the revision of a cell, 0 when its row does not exist."""
+        """Return the revision of a cell; 0 if its row does not exist."""
         row = self.revisions.get(cell.row)
         return row.cells.get(cell.column, row.row) if row else 0
 
 
 def build_row(row: RowId, cells: Mapping[str, str]) -> Row:
-    """Make a row of the texts of its cells; others have their defaults."""
+    """Parse the given cells into a row; the other cells get their defaults.
+
+    Raise `TableError` if a column is unknown or a value is invalid.
+    """
     values = {
         name: get_column(row.kind, name).parse(text, row=row)
         for name, text in cells.items()
@@ -148,24 +151,24 @@
 
 
 def _make_row(row: RowId, values: Mapping[str, CellValue]) -> Row:
-    # Each column's type is checked when its text is parsed, so the fields agree.
+    # Parsing has checked the type of each value, so the fields' types match.
     return ROW_TYPES[row.kind](row.name, **values)  # type: ignore[arg-type]
 
 
 def get_cell(row: Row, kind: RowKind, column: str) -> CellValue:
-    """Return the value of one cell, the default where it was never set."""
+    """Return the value of one cell; raise `TableError` if the column is unknown."""
     get_column(kind, column)
     value: CellValue = getattr(row, column)
     return value
 
 
 def format_cell(row: Row, kind: RowKind, column: str) -> str:
-    """Return the text of one cell."""
+    """Return the text of one cell, which parses back to its value."""
     return COLUMNS[kind][column].format(get_cell(row, kind, column))
 
 
 def check_references(table: Table) -> None:
-    """Refuse a table whose rows don't fit together."""
+    """Raise `TableError` if a target's service is missing or a value is not unique."""
     for target in table.targets.values():
         if target.service and target.service not in table.services:
             raise TableError(
--- a/src/hyssopvane/_internal/state/table_text.py
+++ b/src/hyssopvane/_internal/state/table_text.py
@@ -1,4 +1,4 @@
-"""Lay the table out as text, like a spreadsheet."""
+"""Format the table as text with aligned columns."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
 
 _GAP = "  "
 _SHOWN_DIGITS = 8
-"""Digits of a hash that the spreadsheet shows; a row's own page has them all."""
+"""Number of hash digits shown by `format_rows`; `format_row` shows all of them."""
 
 _NUMBERS = frozenset({CellType.INTEGER, CellType.NUMBER})
 
 
 @dataclass(frozen=True, slots=True)
 class _TextColumn:
-    """Hold the texts of one column, its heading first."""
+    """Hold the texts of one column, starting with its heading."""
 
     texts: tuple[str, ...]
     is_number: bool
@@ -37,9 +37,9 @@
 
 
 def format_rows(table: Table, kind: RowKind, *, width: int) -> list[str]:
-    """Return the lines of all rows of a kind.
+    """Return the lines of all rows of a kind, sorted by name.
 
-    Columns that don't fit in the width follow in further blocks of lines.
+    Columns that do not fit in the width are put into further blocks of lines.
     """
     rows = [row for _, row in sorted(table.get_rows(kind).items())]
     if not rows:
@@ -55,7 +55,7 @@
 
 
 def format_row(table: Table, row_id: RowId) -> list[str]:
-    """Return the lines of one row: each cell with its revision and its meaning."""
+    """Return the lines of one row: each cell with its revision, range and meaning."""
     row = table.get_rows(row_id.kind).get(row_id.name)
     if row is None:
         raise TableError(
--- a/src/hyssopvane/_internal/state/vm_status.py
+++ b/src/hyssopvane/_internal/state/vm_status.py
@@ -1,4 +1,4 @@
-"""Say for each VM which table is in force there."""
+"""Build the status of all VMs, which shows the table in force on each."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -8,37 +8,37 @@
 
 
 class InForce(StrEnum):
-    """Name how a VM stands to the newest table that any VM has."""
+    """Compare the table of a VM with the newest table that any VM has."""
 
     NEWEST = "newest"
     BEHIND = "behind"
     INCOMPLETE = "incomplete"
-    """The newest page, but not all pages beneath it."""
+    """The VM has the newest page, but lacks changes of other pages."""
     NO_ANSWER = "no answer"
 
 
 @dataclass(frozen=True, slots=True)
 class VmReport:
-    """Hold what a process says of itself, or a heartbeat of it."""
+    """Hold the state that a process reports on request or in a heartbeat."""
 
     vm: str
     revision: int
     digest: int = 0
-    """Hash of the revisions of all pages; 0 for an agent, which has no pages."""
+    """Hash of the revisions of all pages; 0 for an agent, as it has no pages."""
     leaving: bool = False
     running: int = 0
     era: int = 0
-    """Era of the service that the revision belongs to."""
+    """Era of the service in which the revision is valid."""
 
     @property
     def position(self) -> StorePosition:
-        """Return the point of the service's history that the table is of."""
+        """Return the position in the service's history that the table reflects."""
         return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedVm:
-    """Name a VM of the platform's list."""
+    """Hold a VM as the platform lists it."""
 
     vm: str
     role: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmStatus:
-    """Hold one line of the status."""
+    """Hold the status of one VM."""
 
     vm: str
     role: str
@@ -56,7 +56,7 @@
     listed_state: str
     revision: int
     lag: int
-    """Revisions of the service behind the newest table; also other writes count."""
+    """Number of revisions behind the newest table; other writes count as well."""
     in_force: InForce
     leaving: bool
     running: int
@@ -71,7 +71,7 @@
 
 
 def build_status(vms: Iterable[ListedVm], reports: Iterable[VmReport]) -> FleetStatus:
-    """Join the platform's list with what the processes said."""
+    """Join the platform's list with the newest report of each VM."""
     known: dict[str, VmReport] = {}
     for report in reports:
         other = known.get(report.vm)
@@ -109,7 +109,7 @@
         availability_zone=listed.availability_zone,
         listed_state=listed.listed_state,
         revision=revision,
-        # Revisions of an earlier era may be higher.
+        # A revision of an earlier era may be higher than the newest one.
         lag=max(0, newest.revision - revision),
         in_force=_compare(report, newest, digest),
         leaving=report.leaving if report else False,
