--- a/src/hyssopvane/_internal/state/columns.py
+++ b/src/hyssopvane/_internal/state/columns.py
@@ -61,7 +61,7 @@
         value = _PARSERS[self.type](text.strip())
         if value is None or not self._is_in_range(value):
             raise TableError(
-                f"{row}: invalid value {text!r} for column {self.name}",
+                f"{row}: column {self.name} has invalid value {text!r}",
                 context=f"allowed: {self.describe_range()}",
                 hint=f"set {self.name} to a value in this range; nothing was changed",
             )
