--- a/tests/lib/map_model.py
+++ b/tests/lib/map_model.py
@@ -1,4 +1,4 @@
-"""Model a group, its agents, coordinators, service and network in one process."""
+"""Model a group with its agents, coordinators, service and network in memory."""
 
 from dataclasses import dataclass, field, replace
 
@@ -29,11 +29,11 @@
 
 
 class ServiceDown(Exception):
-    """Report a call during an outage."""
+    """Signal a call to the service during an outage."""
 
 
 class Service:
-    """Hold every state that the group's record has had."""
+    """Model the key-value service; keep the history of the group's record."""
 
     compares = True
 
@@ -43,14 +43,14 @@
         self.ended: dict[int, Phase] = {}
 
     def read(self, age: int = 0) -> VersionedRecord:
-        """Return the record as it was some writes ago."""
+        """Return the record as it was `age` writes ago."""
         if not self.is_up:
             raise ServiceDown
         revision = max(0, len(self.history) - 1 - age)
         return VersionedRecord(self.history[revision], revision)
 
     def swap(self, record: GroupRecord, expected: int) -> VersionedRecord | None:
-        """Write if nobody else wrote since; return what was written."""
+        """Write the record if the revision is the expected one, else return None."""
         if not self.is_up:
             raise ServiceDown
         if self.compares and expected != len(self.history) - 1:
@@ -70,16 +70,16 @@
 
 
 class EnginePort:
-    """Deliver orders to an engine, late and twice if need be."""
+    """Deliver orders to an engine, possibly late, reordered or twice."""
 
     def __init__(self, rank: ExpertRank) -> None:
         self.rank = rank
         self.in_flight: list[EngineOrder] = []
         self.staged = {rank.map}
-        """Maps whose weights the engine has fetched since it started."""
+        """Maps whose weights the engine has fetched since its start."""
 
     def get_view(self) -> RankView:
-        """Return what the engine says."""
+        """Return the state that the engine reports."""
         rank, armed = self.rank, self.rank.armed
         return RankView(
             step=rank.step,
@@ -91,16 +91,16 @@
         )
 
     def send(self, order: EngineOrder) -> None:
-        """Put an order on its way."""
+        """Add an order to those in flight."""
         self.in_flight.append(order)
 
     def deliver(self, index: int, *, keep: bool = False) -> str | None:
-        """Let an order arrive and return its refusal."""
+        """Deliver an order in flight and return the engine's refusal, if any."""
         order = self.in_flight[index] if keep else self.in_flight.pop(index)
         return self.carry_out(order)
 
     def carry_out(self, order: EngineOrder) -> str | None:
-        """Give an order to the engine."""
+        """Execute an order at the engine and return its refusal, if any."""
         kind = expert_rank.OrderKind(order.kind.value)
         refusal = self.rank.take_order(
             expert_rank.Order(kind, order.fence, order.name, step=order.step)
@@ -111,7 +111,7 @@
 
 
 class BareNamePort(EnginePort):
-    """Tell the engine names without fences, as if none were needed."""
+    """Send map names without fences to the engine."""
 
     def __init__(self, rank: ExpertRank) -> None:
         super().__init__(rank)
@@ -140,14 +140,14 @@
 
 
 class UnconfirmedPlanner(RankSwitchPlanner):
-    """Start a rank without confirming the record."""
+    """Start a restarted rank without confirming the record."""
 
     def needs_confirmation(self, rank: RankView) -> bool:
         return False
 
 
 class UncheckedArmingRank(ExpertRank):
-    """Take an arming for a step that the rank has passed."""
+    """Accept an arm order for a step that the rank has passed."""
 
     def _arm(self, order: expert_rank.Order) -> expert_rank.OrderRefusal | None:
         step, self.step = self.step, 0
@@ -157,7 +157,7 @@
 
 
 class NonWaitingRank(ExpertRank):
-    """Take the armed step without knowing the decision."""
+    """Start the armed step without waiting for the decision."""
 
     def _must_wait(self, step: int) -> bool:
         return not self.map
@@ -165,7 +165,7 @@
 
 @dataclass
 class Coordinator:
-    """Hold what one coordinator believes."""
+    """Hold the state of one coordinator, which may be stale."""
 
     progress: SwitchProgress = field(
         default_factory=lambda: SwitchProgress(frozenset(RANKS), MARGIN_STEPS)
@@ -173,7 +173,7 @@
     seen: VersionedRecord = field(default_factory=VersionedRecord)
 
     def learn(self, read: VersionedRecord) -> None:
-        """Take over what was read or written."""
+        """Keep a record that was read or written, unless it is older."""
         if read.revision >= self.seen.revision:
             self.seen = read
             self.progress.learn(read.record)
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True)
 class Weakening:
-    """Name the parts that stand in for the real ones."""
+    """Select the classes of a model; each default is the full protocol."""
 
     service: type[Service] = Service
     rank: type[ExpertRank] = ExpertRank
@@ -190,7 +190,7 @@
 
 
 class Group:
-    """Run the ranks and check every step that one of them takes."""
+    """Run the ranks of a group and check every step that one of them takes."""
 
     def __init__(self, weakening: Weakening, *, checks_fence: bool) -> None:
         self._weakening = weakening
@@ -200,12 +200,12 @@
         self.agents = {name: weakening.agent() for name in RANKS}
         self.coordinators = [Coordinator(), Coordinator()]
         self.orders: list[tuple[str, int, int]] = []
-        """Orders on their way: rank, fence, coordinator."""
+        """Coordinators' orders in flight, each as rank, fence and coordinator index."""
         self.answers: list[tuple[int, RankAnswer]] = []
         self.maps_by_step: dict[int, str] = {}
 
     def take_step(self, name: str) -> bool:
-        """Let one rank begin its next step and check the map it uses."""
+        """Let a rank start its next step and compare its map with the other ranks."""
         port = self.ports[name]
         rank = port.rank
         if not rank.advance_step():
@@ -216,17 +216,17 @@
         return True
 
     def restart_rank(self, name: str) -> None:
-        """Replace an engine; its connections end, and so do the orders on them."""
+        """Replace an engine; orders in flight are lost with its connections."""
         step = self.ports[name].rank.step
         self.ports[name] = self._make_port("")
         self.ports[name].rank.step = step
 
     def restart_agent(self, name: str) -> None:
-        """Replace an agent; orders that it has sent may still arrive."""
+        """Replace an agent; orders that it sent may still be delivered."""
         self.agents[name] = self._weakening.agent()
 
     def run_agent(self, name: str, *, age: int = 0) -> bool:
-        """Let an agent read the record and send the next order to its engine."""
+        """Let an agent read the record and send an order; return whether it did."""
         agent, port = self.agents[name], self.ports[name]
         is_fresh = self._read(agent, age)
         view = port.get_view()
@@ -251,7 +251,7 @@
             agent.confirm(written)
 
     def abort_by_agent(self, name: str, *, lost: bool = False) -> None:
-        """Let an agent write the abort of the proposal that it knows."""
+        """Let an agent abort the proposal that it knows."""
         agent = self.agents[name]
         known = agent.known
         aborted = abort(known.record, known.record.fence, "waited too long")
@@ -262,14 +262,14 @@
             agent.learn(written)
 
     def propose(self, index: int, expert_map: str, *, lost: bool = False) -> None:
-        """Let a coordinator open a proposal on the record that it knows."""
+        """Let a coordinator open a proposal based on the record that it knows."""
         coordinator = self.coordinators[index]
         proposed = propose(coordinator.seen.record, expert_map)
         if proposed is not None:
             self._write(coordinator, proposed, lost)
 
     def write_move(self, index: int, *, lost: bool = False) -> None:
-        """Let a coordinator write the next move, by what it believes."""
+        """Let a coordinator write its next action, based on its latest record."""
         coordinator = self.coordinators[index]
         record = coordinator.seen.record
         move = coordinator.progress.plan()
@@ -282,7 +282,7 @@
             self._write(coordinator, written, lost)
 
     def ask(self, index: int) -> None:
-        """Let a coordinator send its orders."""
+        """Let a coordinator send orders to the ranks that are behind."""
         progress = self.coordinators[index].progress
         move = progress.plan()
         for name in sorted(move.ranks):
@@ -294,7 +294,7 @@
             self.coordinators[index].learn(self.service.read(age))
 
     def deliver_order(self, index: int, *, keep: bool = False) -> None:
-        """Let a coordinator's order arrive at an agent, which answers."""
+        """Deliver a coordinator's order to an agent, which answers."""
         order = self.orders[index] if keep else self.orders.pop(index)
         name, fence, coordinator = order
         agent = self.agents[name]
@@ -308,14 +308,14 @@
         self.answers.append((coordinator, answer))
 
     def deliver_answer(self, index: int, *, keep: bool = False) -> None:
-        """Let an answer arrive at its coordinator."""
+        """Deliver an answer to its coordinator."""
         answer = self.answers[index] if keep else self.answers.pop(index)
         self.coordinators[answer[0]].progress.receive(answer[1])
 
     def deliver_engine_order(
         self, name: str, index: int, *, keep: bool = False
     ) -> None:
-        """Let an order arrive at an engine; a refused arming is answered."""
+        """Deliver an order to an engine; report a refused arm order to coordinators."""
         port = self.ports[name]
         order = port.in_flight[index]
         refusal = port.deliver(index, keep=keep)
@@ -325,7 +325,7 @@
                 self.answers.append((number, answer))
 
     def run_round(self, index: int) -> None:
-        """Run a coordinator and all agents once, with nothing lost or late."""
+        """Run a coordinator and all agents once, without lost or delayed messages."""
         self.read_by_coordinator(index)
         self.write_move(index)
         for name in RANKS:
@@ -346,7 +346,7 @@
         self._read(self.agents[name], age)
 
     def is_settled(self) -> bool:
-        """Tell whether no proposal is open and all ranks use the decided map."""
+        """Return whether no proposal is open and all ranks use the decided map."""
         record = self.service.history[-1]
         if record.open_proposal is not None:
             return False
--- a/tests/unit/test_map_switch_model.py
+++ b/tests/unit/test_map_switch_model.py
@@ -1,4 +1,4 @@
-"""Test the switch of expert maps over all interleavings of faults."""
+"""Test the expert map switch under random interleavings of faults."""
 
 import pytest
 from hypothesis import HealthCheck, Phase, settings
@@ -33,7 +33,7 @@
     stateful_step_count=60,
     suppress_health_check=list(HealthCheck),
 )
-# A weakened protocol only has to be caught, so its failure is not made smaller.
+# A weakened protocol only has to fail, so the failing example is not shrunk.
 WEAKENED_SETTINGS = settings(
     MODEL_SETTINGS, max_examples=4000, phases=(Phase.generate,), print_blob=False
 )
@@ -45,16 +45,16 @@
 
 
 class NonComparingService(Service):
-    """Write without comparing."""
+    """Write without comparing revisions."""
 
     compares = False
 
 
 class PlainModel(RuleBasedStateMachine):
-    """Propose switches and run rounds in which only answers of the service are lost.
+    """Propose switches and run rounds; the only fault is a lost answer of the service.
 
-    `run_round` is one whole round without a fault; without it random rules would
-    hardly ever come as far as a decision.
+    `run_round` runs a complete round without faults. Without it, random rules would
+    rarely reach a decision.
     """
 
     weakening = Weakening()
@@ -86,7 +86,7 @@
 
 
 class SwitchModel(PlainModel):
-    """Interleave coordinators, agents, engines, the service and their faults."""
+    """Interleave actions and faults of coordinators, agents, engines and service."""
 
     @rule(index=some_coordinator, expert_map=st.sampled_from("ab"))
     def propose_after_a_pause(self, index, expert_map):
@@ -173,20 +173,20 @@
 
 
 def settle(group):
-    """Let a group without further faults finish what was begun."""
+    """Run rounds without faults until the group is settled."""
     for _ in range(SETTLE_ROUNDS):
         if group.is_settled():
             return
         group.run_round(0)
         for name in RANKS:
             group.take_step(name)
-    raise AssertionError("the switch neither completed nor aborted")
+    raise AssertionError("the switch was neither completed nor aborted")
 
 
 def make_model(weakening, *, checks_fence, faults=None):
-    """Return a model with some parts replaced, and with these faults only.
+    """Return a model with some classes replaced, and with the given faults only.
 
-    With all faults at once random sequences seldom come to the one that matters.
+    With all faults enabled, random sequences rarely reach the relevant one.
     """
     changes = {"weakening": weakening, "choices": st.just(checks_fence)}
     if faults is None:
@@ -196,13 +196,13 @@
 
 
 def test_every_rank_uses_the_same_map_in_each_step():
-    """Interleave everything that can go wrong around a switch.
+    """Guard against two ranks that use different maps in one step.
 
-    A coordinator is paused and acts on what it knew, two act at once, ranks and agents
-    restart, answers of the service are lost after the write, it is down between any
-    two moves and shows old states, orders come late, twice and out of order. If two
-    ranks used different maps in one step, tokens would go to experts that are not
-    there, and callers would get garbled answers.
+    Tokens would then be sent to experts that are not there, and callers would get
+    garbled answers. The model interleaves these faults: a coordinator resumes from a
+    pause with stale state, two coordinators act concurrently, ranks and agents restart,
+    answers of the service are lost after the write, the service is down between any two
+    actions or returns stale records, and orders arrive late, twice or out of order.
     """
     run_state_machine_as_test(SwitchModel, settings=MODEL_SETTINGS)
 
@@ -228,10 +228,10 @@
         ),
     ],
 )
-def test_weakened_switch_is_caught(weakening, faults, seen):
-    """Take one protection out and let the check find two maps in one step.
+def test_model_detects_weakened_protocol(weakening, faults, seen):
+    """Remove one protection and expect the model to find two maps in one step.
 
-    A check that never fails would prove nothing about the real protocol.
+    A model that never fails would prove nothing about the real protocol.
     """
     model = make_model(weakening, checks_fence=False, faults=faults)
     with pytest.raises(AssertionError, match=seen):
@@ -246,11 +246,11 @@
         pytest.param(BareNamePort, False, False, id="no fence"),
     ],
 )
-def test_abort_that_arrives_a_proposal_late(port, checks_fence, is_safe):
-    """Hold an order to abort back until the same map was proposed and armed again.
+def test_late_abort_of_an_earlier_proposal(port, checks_fence, is_safe):
+    """Deliver an abort order after the same map was proposed and armed again.
 
-    An engine that ignores fencing numbers would forget that it is armed and go on with
-    the old map, while the others switch.
+    An engine that ignores fencing numbers and gets names without fences would disarm
+    and keep the old map, while the others switch.
     """
     group = Group(Weakening(port=port), checks_fence=checks_fence)
     group.propose(0, "a")
@@ -275,6 +275,6 @@
 
 
 def test_engine_that_checks_fences_needs_no_fence_in_names():
-    """Give bare names to engines that refuse old fencing numbers themselves."""
+    """Use names without fences with engines that refuse old fencing numbers."""
     model = make_model(Weakening(port=BareNamePort), checks_fence=True)
     run_state_machine_as_test(model, settings=MODEL_SETTINGS)
