--- a/tests/unit/test_columns.py
+++ b/tests/unit/test_columns.py
@@ -1,4 +1,4 @@
-"""Test the columns, cells and text of the table."""
+"""Test the table's columns, cells, CSV format and text output."""
 
 import dataclasses
 import re
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("kind", RowKind)
-def test_columns_agree_with_fields_of_rows(kind):
+def test_columns_match_fields_of_rows(kind):
     fields = {field.name: field for field in dataclasses.fields(ROW_TYPES[kind])}
     del fields["name"]
     assert list(fields) == list(COLUMNS[kind])
@@ -84,7 +84,7 @@
         parse_row_id(text)
 
 
-def test_path_prefix_is_the_name_unless_set():
+def test_path_prefix_defaults_to_name():
     assert ServiceRow("draft").path_prefix == "/draft"
     assert ServiceRow("draft", path_prefix="/d").path_prefix == "/d"
 
@@ -136,7 +136,7 @@
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(text=draw_csv())
-def test_csv_is_read_back_to_the_same_table(text):
+def test_csv_round_trip_keeps_table(text):
     table = build_table_from_csv(text)
     assert build_table_from_csv(format_csv(table)) == table
 
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("kind", RowKind)
-def test_format_cell_gives_each_default(kind):
+def test_format_cell_formats_each_default(kind):
     row = build_row(RowId(kind, "x"), {})
     for name, column in COLUMNS[kind].items():
         if name != "path_prefix":
--- a/tests/unit/test_vm_status.py
+++ b/tests/unit/test_vm_status.py
@@ -1,4 +1,4 @@
-"""Test how the status of all VMs is joined."""
+"""Test the status of all VMs."""
 
 import pytest
 
@@ -22,7 +22,7 @@
         (None, InForce.NO_ANSWER, 9),
     ],
 )
-def test_laggards_are_marked(report, in_force, lag):
+def test_status_shows_vms_without_newest_table(report, in_force, lag):
     reports = [VmReport("a", 9, 1), VmReport("b", 9, 1)] + ([report] if report else [])
     status = build_status(VMS, reports)
     assert status.newest_revision == 9
@@ -30,6 +30,6 @@
     assert [one.in_force for one in status.vms[:2]] == [InForce.NEWEST] * 2
 
 
-def test_newest_report_of_a_vm_counts():
+def test_newest_report_of_a_vm_is_used():
     status = build_status(VMS[:1], [VmReport("a", 9), VmReport("a", 7)])
     assert status.vms[0].in_force is InForce.NEWEST
