--- a/src/hyssopvane/_internal/state/claims.py
+++ b/src/hyssopvane/_internal/state/claims.py
@@ -78,8 +78,8 @@
             present = claims.get(change.key.key_hash)
             attempt = NO_ATTEMPT if present is None else present.attempt
             if present is not None and present.void:
-                # An earlier caller was answered that the key did not run and never
-                # will.
+                # An earlier caller was answered that the key did not run and will not
+                # run.
                 continue
             if attempt == change.expected_attempt:
                 claims[change.key.key_hash] = change.claim
--- a/src/hyssopvane/_internal/state/loads.py
+++ b/src/hyssopvane/_internal/state/loads.py
@@ -35,7 +35,7 @@
     number: int
     """Digest of the group and its members, by which the receiver detects a mismatch."""
     group: str
-    """Name of the group; empty for a single replica that is in no group."""
+    """Name of the group; empty for a replica in no group, which is the only member."""
     members: tuple[Member, ...]
     """Members in ascending order of rank."""
     entries: tuple[EntryContact, ...] = ()
--- a/src/hyssopvane/_internal/state/ranks.py
+++ b/src/hyssopvane/_internal/state/ranks.py
@@ -13,7 +13,7 @@
     group: str
     """Name of the group; empty if the replica is in no group."""
     epoch: int
-    """Number of times the group was formed; orders with a lower epoch are refused."""
+    """Number of times the group was formed; orders of an earlier epoch are refused."""
     rank: int
     ranks: int
     open: bool
--- a/src/hyssopvane/_internal/state/routing.py
+++ b/src/hyssopvane/_internal/state/routing.py
@@ -34,7 +34,7 @@
     timeout_s: float
     """Maximum time until a request has its complete answer."""
     objective_s: float
-    """Target time to the answer, or to the first event of a stream."""
+    """Objective for the time to the answer, or to the first event of a stream."""
     priority: int
     """Priority of the requests; 0 is served first."""
     max_attempts: int
@@ -43,7 +43,7 @@
     resumable: bool
     """Whether a broken stream may be resumed at another replica."""
     pause_s: float
-    """Target for the longest pause between events; 0 if there are no events."""
+    """Objective for the longest pause between events; 0 if there are no events."""
 
     @property
     def repeatable(self) -> bool:
--- a/src/hyssopvane/_internal/state/table.py
+++ b/src/hyssopvane/_internal/state/table.py
@@ -156,7 +156,10 @@
 
 
 def get_cell(row: Row, kind: RowKind, column: str) -> CellValue:
-    """Return the value of one cell; raise `TableError` if the column is unknown."""
+    """Return the value of one cell, which is the default if the cell is not set.
+
+    Raise `TableError` if rows of this kind do not have the column.
+    """
     get_column(kind, column)
     value: CellValue = getattr(row, column)
     return value
--- a/src/hyssopvane/_internal/state/work.py
+++ b/src/hyssopvane/_internal/state/work.py
@@ -99,4 +99,4 @@
     backoff_s: float = 0.0
     """Time for which the target asked for no requests; other targets may get them."""
     final: bool = False
-    """Whether no further attempt can follow, for example as the answer has begun."""
+    """Whether no further attempt can follow, for example because the answer began."""
