--- a/src/hyssopvane/_internal/policy/admission.py
+++ b/src/hyssopvane/_internal/policy/admission.py
@@ -12,7 +12,7 @@
 MAX_RETRY_AFTER_S = 60.0
 # A bucket holds one second of its rate unless the table gives a burst: a terminal that
 # sends its second's worth at once is no abuse.
-_BURST_S = 1.0
+_DEFAULT_BURST_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,27 +47,27 @@
 
 
 @dataclass(slots=True)
-class CustomerUse:
+class CustomerUsage:
     """Count what a customer has open at this entry, and what it asked for."""
 
     requests: int = 0
     tokens: int = 0
     bucket: TokenBucket | None = None
-    asked: int = 0
+    arrived: int = 0
     """Requests that came since the last look, whether admitted or not."""
     refused: int = 0
     """Of these, refused by a limit."""
     refused_tokens: int = 0
-    most_requests: int = 0
-    most_tokens: int = 0
+    peak_requests: int = 0
+    peak_tokens: int = 0
 
-    def start_over(self) -> None:
+    def reset_interval(self) -> None:
         """Forget what was asked for before."""
-        self.asked = 0
+        self.arrived = 0
         self.refused = 0
         self.refused_tokens = 0
-        self.most_requests = self.requests
-        self.most_tokens = self.tokens
+        self.peak_requests = self.requests
+        self.peak_tokens = self.tokens
 
 
 class Admission:
@@ -84,7 +84,7 @@
         self._rows: Mapping[str, CustomerRow] = {}
         self._safe_share = 1.0
         self._shares: dict[str, Share] = {}
-        self._uses: dict[str, CustomerUse] = {}
+        self._uses: dict[str, CustomerUsage] = {}
 
     def update_rows(self, rows: Mapping[str, CustomerRow]) -> None:
         """Apply the customers of the table in force."""
@@ -106,7 +106,7 @@
         """Return a customer's row; one without limits when the table has none."""
         return self._rows.get(customer) or CustomerRow(customer)
 
-    def get_uses(self) -> Mapping[str, CustomerUse]:
+    def get_uses(self) -> Mapping[str, CustomerUsage]:
         """Return what each customer has open and has asked for."""
         return self._uses
 
@@ -117,8 +117,8 @@
 
         `hold_s` is the time that a request of average size stays, for Retry-After.
         """
-        use = self._get_use(customer)
-        use.asked += 1
+        use = self._get_usage(customer)
+        use.arrived += 1
         row = self._rows.get(customer)
         if row is None:
             return None
@@ -130,30 +130,30 @@
 
     def take(self, customer: str, tokens: int) -> None:
         """Count a request that was let in."""
-        use = self._get_use(customer)
+        use = self._get_usage(customer)
         use.requests += 1
         use.tokens += tokens
-        use.most_requests = max(use.most_requests, use.requests)
-        use.most_tokens = max(use.most_tokens, use.tokens)
+        use.peak_requests = max(use.peak_requests, use.requests)
+        use.peak_tokens = max(use.peak_tokens, use.tokens)
         if use.bucket is not None:
             use.bucket.take()
 
-    def give_back(self, customer: str, tokens: int) -> None:
+    def release(self, customer: str, tokens: int) -> None:
         """Count a request that is over."""
-        use = self._get_use(customer)
+        use = self._get_usage(customer)
         use.requests -= 1
         use.tokens -= tokens
 
-    def _get_use(self, customer: str) -> CustomerUse:
+    def _get_usage(self, customer: str) -> CustomerUsage:
         use = self._uses.get(customer)
         if use is None:
-            use = self._uses[customer] = CustomerUse()
+            use = self._uses[customer] = CustomerUsage()
         return use
 
     def _check_row(
         self,
         row: CustomerRow,
-        use: CustomerUse,
+        use: CustomerUsage,
         tokens: int,
         *,
         hold_s: float,
@@ -187,13 +187,15 @@
         return min(1.0, self._safe_share + share.granted)
 
     def _check_rate(
-        self, row: CustomerRow, use: CustomerUse, *, fraction: float, now: float
+        self, row: CustomerRow, use: CustomerUsage, *, fraction: float, now: float
     ) -> Refusal | None:
         if not row.rate_limit:
             use.bucket = None
             return None
         rate = row.rate_limit * fraction
-        burst = max(1.0, (row.rate_burst or row.rate_limit * _BURST_S) * fraction)
+        burst = max(
+            1.0, (row.rate_burst or row.rate_limit * _DEFAULT_BURST_S) * fraction
+        )
         if use.bucket is None:
             use.bucket = TokenBucket(burst=burst, now=now)
         wait_s = use.bucket.measure_wait(rate=rate, burst=burst, now=now)
--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -215,7 +215,7 @@
 
     def _forget(self, entry: _Request) -> None:
         del self._requests[entry.request.request_id]
-        self.admission.give_back(entry.request.customer, entry.tokens)
+        self.admission.release(entry.request.customer, entry.tokens)
 
     def _hold(
         self, entry: _Request, service: _Service, *, now: float
--- a/src/hyssopvane/_internal/policy/shares.py
+++ b/src/hyssopvane/_internal/policy/shares.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from hyssopvane._internal.policy.admission import Admission, CustomerUse, Share
+from hyssopvane._internal.policy.admission import Admission, CustomerUsage, Share
 from hyssopvane._internal.policy.entry_views import EntryView
 from hyssopvane._internal.policy.share_limits import (
     GROWTH,
@@ -80,9 +80,9 @@
         self._measured_at = now
         for customer, use in self._admission.get_uses().items():
             row = rows.get(customer)
-            if row is not None and (use.asked or use.requests):
+            if row is not None and (use.arrived or use.requests):
                 self._note_demand(row, use, elapsed_s)
-            use.start_over()
+            use.reset_interval()
         for customer in list(self._holdings):
             holding = self._holdings[customer]
             holding.demand *= _FADE
@@ -119,12 +119,12 @@
             self._admission.set_share(answer.customer, share)
 
     def _note_demand(
-        self, row: CustomerRow, use: CustomerUse, elapsed_s: float
+        self, row: CustomerRow, use: CustomerUsage, elapsed_s: float
     ) -> None:
         parts = [
-            (use.asked / elapsed_s, row.rate_limit),
-            (use.most_requests + use.refused, row.concurrency_limit),
-            (use.most_tokens + use.refused_tokens, row.token_limit),
+            (use.arrived / elapsed_s, row.rate_limit),
+            (use.peak_requests + use.refused, row.concurrency_limit),
+            (use.peak_tokens + use.refused_tokens, row.token_limit),
         ]
         demand = max((part / limit for part, limit in parts if limit), default=0.0)
         if demand:
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -66,7 +66,7 @@
     admission = make_admission(concurrency_limit=1)
     assert arrive(admission) is None
     assert arrive(admission) is not None
-    admission.give_back("a", 100)
+    admission.release("a", 100)
     assert arrive(admission) is None
 
 
