--- a/src/hyssopvane/_internal/policy/demand_window.py
+++ b/src/hyssopvane/_internal/policy/demand_window.py
@@ -12,11 +12,11 @@
 on within seconds. A pass alone has thousands of choices, so there is little noise.
 """
 
-RECENT_S = 0.15
+RECENT_WINDOW_S = 0.15
 """Time over which the newest demand is looked at by itself: each rank tells its counts
 at least once in it."""
 
-MOVED_SHARE = 0.25
+SHIFT_THRESHOLD = 0.25
 """Part of the choices by which the newest demand differs from the window's, above which
 demand has moved on and only the newest counts.
 
@@ -36,31 +36,31 @@
     """
 
     def __init__(self) -> None:
-        self._added: deque[tuple[float, Counts]] = deque()
+        self._samples: deque[tuple[float, Counts]] = deque()
         self._totals: list[int] = []
 
     def clear(self) -> None:
         """Forget everything: the ranks have started anew."""
-        self._added.clear()
+        self._samples.clear()
         self._totals.clear()
 
     def observe(self, counts: Counts, *, now: float) -> None:
         """Take what the requests of one rank chose since its last word."""
         if len(self._totals) != len(counts):
             self._totals = [0] * len(counts)
-            self._added.clear()
-        self._added.append((now, counts))
-        self._totals = _sum_pairs(self._totals, counts)
-        self._drop_old(now)
+            self._samples.clear()
+        self._samples.append((now, counts))
+        self._totals = _add_counts(self._totals, counts)
+        self._expire_samples(now)
 
     def measure(self, *, sets: int, now: float) -> list[list[float]]:
         """Return the choices that tell the present demand, by set and expert."""
-        self._drop_old(now)
-        if not self._added:
+        self._expire_samples(now)
+        if not self._samples:
             return []
         totals = self._totals
         recent = self._sum_recent(now)
-        if recent is not None and _measure_distance(recent, totals) > MOVED_SHARE:
+        if recent is not None and _measure_distance(recent, totals) > SHIFT_THRESHOLD:
             totals = recent
         experts = len(totals) // sets
         return [
@@ -69,17 +69,17 @@
         ]
 
     def _sum_recent(self, now: float) -> list[int] | None:
-        since = now - RECENT_S
-        recent = [added for at, added in self._added if at >= since]
+        since = now - RECENT_WINDOW_S
+        recent = [added for at, added in self._samples if at >= since]
         return [sum(one) for one in zip(*recent, strict=True)] if recent else None
 
-    def _drop_old(self, now: float) -> None:
-        while self._added and self._added[0][0] < now - WINDOW_S:
-            _, old = self._added.popleft()
-            self._totals = _sum_pairs(self._totals, (-one for one in old))
+    def _expire_samples(self, now: float) -> None:
+        while self._samples and self._samples[0][0] < now - WINDOW_S:
+            _, old = self._samples.popleft()
+            self._totals = _add_counts(self._totals, (-one for one in old))
 
 
-def _sum_pairs(totals: Iterable[int], added: Iterable[int]) -> list[int]:
+def _add_counts(totals: Iterable[int], added: Iterable[int]) -> list[int]:
     return [total + one for total, one in zip(totals, added, strict=True)]
 
 
--- a/src/hyssopvane/_internal/policy/estimates.py
+++ b/src/hyssopvane/_internal/policy/estimates.py
@@ -5,7 +5,7 @@
 # English text runs at about four bytes a token; the engines' reports correct the rest.
 _BYTES_PER_TOKEN = 4
 # The answer of a draft, when nothing else is known of it.
-_ANSWER_TOKENS = 256
+_DEFAULT_ANSWER_TOKENS = 256
 _PREFIX_BLOCK_BYTES = 1024
 # Long enough to tell system prompts apart, short enough to hash in microseconds.
 _MAX_PREFIX_BLOCKS = 8
@@ -13,7 +13,7 @@
 
 def estimate_tokens(body: bytes) -> int:
     """Estimate prompt and answer tokens of a request."""
-    return len(body) // _BYTES_PER_TOKEN + _ANSWER_TOKENS
+    return len(body) // _BYTES_PER_TOKEN + _DEFAULT_ANSWER_TOKENS
 
 
 def hash_prefixes(body: bytes) -> tuple[int, ...]:
