--- a/src/hyssopvane/_internal/policy/replica_choice.py
+++ b/src/hyssopvane/_internal/policy/replica_choice.py
@@ -6,17 +6,17 @@
 
 from hyssopvane._internal.policy.group_room import GroupRoom
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
-from hyssopvane._internal.policy.level_choice import (
-    REQUEST_COST,
-    choose_below,
-    find_level,
-)
 from hyssopvane._internal.policy.limited_replicas import LimitedReplicas
 from hyssopvane._internal.policy.replica_load import ReplicaLoad
 from hyssopvane._internal.policy.replica_notices import ReplicaNotices
+from hyssopvane._internal.policy.water_filling import (
+    REQUEST_COST,
+    choose_by_deficit,
+    find_water_level,
+)
 from hyssopvane._internal.state.routing import EngineModel, Incarnation
 
-NEAR_SLACK = 0.5 * REQUEST_COST
+LOCAL_ZONE_SLACK = 0.5 * REQUEST_COST
 """Cost by which replicas of the own zone may lie above all others: half a request."""
 
 
@@ -68,7 +68,7 @@
         limits = [one.get_limit(engine) for one in ordered]
         arrivals = max(1.0, sum(one.measure_arrivals(now) for one in ordered))
         costs = [fullness[id(one)] for one in ordered]
-        level = find_level(costs, arrivals, limits)
+        level = find_water_level(costs, arrivals, limits)
         weights = [
             limit * max(0.0, level - cost)
             for cost, limit in zip(costs, limits, strict=True)
@@ -117,20 +117,22 @@
         return [one for one in usable if notices.takes_requests(one.replica, now)]
 
     def _draw(self, room: list[_Candidate], arrivals: float) -> ReplicaLoad:
-        near = [one for one in room if one.load.replica.availability_zone == self._zone]
+        local = [
+            one for one in room if one.load.replica.availability_zone == self._zone
+        ]
         # Those of the own zone get about their part of what arrives. Bytes between
         # zones are paid for; a full rank beside a free one costs more.
-        near_arrivals = arrivals * len(near) / len(room)
-        highest = _find_level(room, arrivals) + NEAR_SLACK
-        home = [one for one in near if self._homes.is_home(one.load.replica.address)]
+        local_arrivals = arrivals * len(local) / len(room)
+        highest = _find_water_level(room, arrivals) + LOCAL_ZONE_SLACK
+        home = [one for one in local if self._homes.is_home(one.load.replica.address)]
         if home:
             least = min(one.cost for one in home)
             if least + REQUEST_COST <= highest:
                 best = [one for one in home if one.cost == least]
                 return self._random.choice(best).load
-        if near and _find_level(near, near_arrivals) <= highest:
-            room, arrivals = near, near_arrivals
-        number = choose_below(
+        if local and _find_water_level(local, local_arrivals) <= highest:
+            room, arrivals = local, local_arrivals
+        number = choose_by_deficit(
             [one.cost for one in room],
             arrivals,
             free=[one.free for one in room],
@@ -139,6 +141,6 @@
         return room[number].load
 
 
-def _find_level(room: list[_Candidate], arrivals: float) -> float:
+def _find_water_level(room: list[_Candidate], arrivals: float) -> float:
     costs = [one.cost for one in room]
-    return find_level(costs, max(1.0, arrivals) * REQUEST_COST)
+    return find_water_level(costs, max(1.0, arrivals) * REQUEST_COST)
--- a/src/hyssopvane/_internal/policy/level_choice.py
+++ b/src/hyssopvane/_internal/policy/water_filling.py
@@ -16,7 +16,7 @@
 prompt is still to be read."""
 
 
-def find_level(
+def find_water_level(
     costs: Sequence[float], added: float, widths: Sequence[float] = ()
 ) -> float:
     """Return the level that costs come to when so much is poured over the lowest.
@@ -35,7 +35,7 @@
     return cost + (added - filled) / (width + own_width)
 
 
-def choose_below(
+def choose_by_deficit(
     costs: Sequence[float], arrivals: float, *, free: Sequence[int], random: Random
 ) -> int:
     """Return the place of a replica, drawn by what it lacks to the common level.
@@ -43,7 +43,7 @@
     `arrivals` are the requests that all entries are expected to send until the next
     loads come, this one included; `free` are the replicas' free slots.
     """
-    level = find_level(costs, max(1.0, arrivals) * REQUEST_COST)
+    level = find_water_level(costs, max(1.0, arrivals) * REQUEST_COST)
     weights = [
         min(level - cost, REQUEST_COST * slots) if cost < level else 0.0
         for cost, slots in zip(costs, free, strict=True)
--- a/tests/unit/test_level_choice.py
+++ b/tests/unit/test_water_filling.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
-from hyssopvane._internal.policy.level_choice import (
+from hyssopvane._internal.policy.water_filling import (
     REQUEST_COST,
-    choose_below,
-    find_level,
+    choose_by_deficit,
+    find_water_level,
 )
 from tests.unit.test_service_gate import (
     ENGINE,
@@ -30,7 +30,7 @@
     st.floats(0.01, 200),
 )
 def test_level_holds_just_what_is_poured(costs, added):
-    level = find_level(costs, added)
+    level = find_water_level(costs, added)
     poured = sum(max(0.0, level - cost) for cost in costs)
     assert poured == pytest.approx(added)
 
@@ -42,14 +42,14 @@
 )
 def test_replica_above_the_level_is_not_chosen(costs, arrivals, seed):
     free = [SLOTS - cost for cost in costs]
-    number = choose_below(costs, arrivals, free=free, random=Random(seed))
-    assert costs[number] < find_level(costs, max(1.0, arrivals) * REQUEST_COST)
+    number = choose_by_deficit(costs, arrivals, free=free, random=Random(seed))
+    assert costs[number] < find_water_level(costs, max(1.0, arrivals) * REQUEST_COST)
 
 
 def test_alone_an_entry_sends_to_the_least_loaded():
     costs = [4, 4, 0, 4]
     chosen = {
-        choose_below(costs, 1.0, free=[2, 2, 6, 2], random=Random(seed))
+        choose_by_deficit(costs, 1.0, free=[2, 2, 6, 2], random=Random(seed))
         for seed in range(50)
     }
     assert chosen == {2}
