--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -12,7 +12,7 @@
     LimitedReplicas,
     may_be_one_start,
 )
-from hyssopvane._internal.policy.opening_times import PATIENCE, OpeningTimes
+from hyssopvane._internal.policy.outage_tracker import MAX_WAIT_SHARE, OutageTracker
 from hyssopvane._internal.policy.queueing import FairQueue, QueuedItem
 from hyssopvane._internal.policy.replica_choice import ReplicaChooser
 from hyssopvane._internal.policy.replica_load import ReplicaLoad
@@ -130,7 +130,7 @@
         """Replicas at whose address another one answered."""
         self._engine: EngineModel | None = None
         self._pause_s = 0.0
-        self.opening = OpeningTimes()
+        self.outages = OutageTracker()
 
     def update(
         self, replicas: Iterable[Replica], engine: EngineModel | None, *, now: float
@@ -403,7 +403,7 @@
         serve = [group.serves(now) for group in self._groups.values()]
         closed = bool(serve) and all(one is False for one in serve)
         if closed or True in serve:
-            self.opening.observe(is_open=not closed, now=now)
+            self.outages.observe(is_open=not closed, now=now)
         excess = self._find_excess(now)
         rest_s = self.measure_rest_s(now)
         for waiting in list(self._waiting.values()):
@@ -423,9 +423,9 @@
         return turned
 
     def _choose_return(self, waiting: Waiting, now: float) -> float:
-        wait_s = self.opening.measure_wait_s(now)
-        spread_s = self._random.uniform(0, self.opening.measure_spread_s(now))
-        return min(wait_s + spread_s, PATIENCE * (waiting.item.deadline - now))
+        wait_s = self.outages.measure_wait_s(now)
+        spread_s = self._random.uniform(0, self.outages.measure_jitter_s(now))
+        return min(wait_s + spread_s, MAX_WAIT_SHARE * (waiting.item.deadline - now))
 
     def _find_excess(self, now: float) -> dict[str, float]:
         """Return who waits in vain for limited replicas, and when to come back.
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -211,9 +211,9 @@
     def _settle(self, gate: ServiceGate) -> None:
         if not gate.count_waiting():
             return
-        was_closed = gate.opening.is_closed
+        was_closed = gate.outages.in_outage
         decisions = gate.settle(trio.current_time())
-        if gate.opening.is_closed != was_closed:
+        if gate.outages.in_outage != was_closed:
             _log_opening(gate, decided=len(decisions))
         for decision in decisions:
             waiter = self._waiters[decision.request_id]
@@ -233,7 +233,7 @@
 
 
 def _log_opening(gate: ServiceGate, *, decided: int) -> None:
-    closed = gate.opening.is_closed
+    closed = gate.outages.in_outage
     log_event(
         "warning" if closed else "info",
         "groups-closed" if closed else "groups-open",
--- a/tests/unit/test_opening_times.py
+++ b/tests/unit/test_outage_tracker.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from hyssopvane._internal.policy.opening_times import (
-    LEAST_WAIT_S,
-    OpeningTimes,
+from hyssopvane._internal.policy.outage_tracker import (
+    MIN_WAIT_S,
+    OutageTracker,
 )
 
 
-def play(*closed):
+def simulate_outages(*closed):
     """Let outages pass, each a pair of times, from an open service on."""
-    times = OpeningTimes()
+    times = OutageTracker()
     times.observe(is_open=True, now=0.0)
     for start, end in closed:
         times.observe(is_open=False, now=start)
@@ -21,11 +21,11 @@
 @pytest.mark.parametrize(
     ("outages", "elapsed_s", "expected_s"),
     [
-        ((), 0.0, LEAST_WAIT_S),
+        ((), 0.0, MIN_WAIT_S),
         ((), 3.0, 3.0),
         (((1.0, 6.0),), 0.5, 4.5),
         (((1.0, 6.0),), 3.5, 3.5),
-        (((1.0, 1.2),), 0.1, LEAST_WAIT_S),
+        (((1.0, 1.2),), 0.1, MIN_WAIT_S),
         (((1.0, 9.0), (11.0, 14.0)), 0.25, 2.75),
     ],
 )
@@ -36,13 +36,13 @@
 
     Callers that are asked back too early are refused again and have no try left.
     """
-    times = play(*outages)
+    times = simulate_outages(*outages)
     times.observe(is_open=False, now=20.0)
     assert times.measure_wait_s(20.0 + elapsed_s) == pytest.approx(expected_s)
 
 
 def test_return_is_spread_over_as_long_as_the_outage_lasts():
     """Those who were refused in two seconds must not come back in half of one."""
-    times = play()
+    times = simulate_outages()
     times.observe(is_open=False, now=10.0)
-    assert times.measure_spread_s(12.0) == pytest.approx(2.0)
+    assert times.measure_jitter_s(12.0) == pytest.approx(2.0)
