--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -29,7 +29,7 @@
 SPILL_RATIO = 1.2
 # Targets that are drawn at random for a choice. Two leave a third of a second more in
 # the tail of the wait than four; all of them send every entry to the same one.
-CHOICES = 4
+SAMPLED_TARGETS = 4
 # Weight of tokens beside requests in flight, each as a share of its limit. Slots run
 # out before memory does while prompts are of usual length: with tokens weighed as much
 # as requests, a mix of long and short work waited longer.
@@ -37,26 +37,26 @@
 # A target that holds a prefix is preferred while it would be fuller than the choice by
 # load by at most this factor. A hit saves the reading of the prompt; at 1.25 the wait
 # behind popular prefixes already costs more in the tail than hits save.
-AFFINITY_LOAD_BOUND = 1.15
+AFFINITY_MAX_LOAD_RATIO = 1.15
 # Below this share of its limits a target has room whatever the others have: with two
 # requests on twelve targets a comparison says nothing.
 AFFINITY_FREE_UTILISATION = 0.25
 # Targets in the rendezvous order that are tried for a prefix before load alone decides.
-_AFFINITY_CHOICES = 3
+_AFFINITY_CANDIDATES = 3
 _MAX_RANKINGS = 4_096
 # A new target has an empty cache and compiles its first batches; full work at once
 # would make its first callers wait while warm targets idle.
 SLOW_START_S = 20.0
-_SLOW_START_SHARE = 0.1
+_MIN_SLOW_START_WEIGHT = 0.1
 # Time for which a target that its agent can't reach gets no work, doubled each time. It
 # fails at once and so always looks least loaded: without a pause it would draw every
 # request and use up the budget of retries.
-UNREACHABLE_S = 0.5
-LONGEST_UNREACHABLE_S = 8.0
+UNREACHABLE_BACKOFF_S = 0.5
+MAX_UNREACHABLE_BACKOFF_S = 8.0
 # Share of a target whose reports stay away.
-_SILENT_SHARE = 0.1
+_SILENT_WEIGHT = 0.1
 # Incarnations seen lately, to tell a new process from a new connection to a warm one.
-_MAX_KNOWN = 1_024
+_MAX_KNOWN_INCARNATIONS = 1_024
 
 
 @dataclass(slots=True)
@@ -70,8 +70,8 @@
     weight: float = 1.0
     concurrency: int = 0
     token_limit: int = 0
-    closed_until: float = 0.0
-    pause_s: float = UNREACHABLE_S
+    unavailable_until: float = 0.0
+    backoff_s: float = UNREACHABLE_BACKOFF_S
 
 
 @dataclass(slots=True)
@@ -101,8 +101,8 @@
 
     row: ServiceRow
     ejector: Ejector
-    near: list[_Target] = field(default_factory=list)
-    far: list[_Target] = field(default_factory=list)
+    local: list[_Target] = field(default_factory=list)
+    remote: list[_Target] = field(default_factory=list)
     by_name: dict[str, _Target] = field(default_factory=dict)
     seeds: dict[str, int] = field(default_factory=dict)
     rankings: OrderedDict[int, tuple[str, ...]] = field(default_factory=OrderedDict)
@@ -124,7 +124,7 @@
         self._pools: dict[str, _Pool] = {}
         self._targets: dict[str, _Target] = {}
         self._placements: dict[str, _Placement] = {}
-        self._known: OrderedDict[str, int] = OrderedDict()
+        self._known_incarnations: OrderedDict[str, int] = OrderedDict()
         self.beliefs = PrefixBeliefs()
 
     def update_table(self, table: Table) -> None:
@@ -136,12 +136,12 @@
         for target in self._targets.values():
             self._apply_rows(target)
         for pool in self._pools.values():
-            self._arrange(pool)
+            self._split_by_zone(pool)
 
     def connect(self, info: TargetInfo, *, now: float) -> None:
         """Start to place work on a target."""
         self.disconnect(info.name)
-        target = _Target(info, now, warm=self._recognise(info))
+        target = _Target(info, now, warm=self._record_incarnation(info))
         if not target.warm:
             self.beliefs.forget_target(info.name)
         self._apply_rows(target)
@@ -150,7 +150,7 @@
         pool.by_name[info.name] = target
         pool.seeds[info.name] = rendezvous.hash_name(info.name)
         pool.ejector.connect(info.name, info.incarnation)
-        self._arrange(pool)
+        self._split_by_zone(pool)
 
     def disconnect(self, name: str) -> None:
         """Stop to place work on a target."""
@@ -161,7 +161,7 @@
         del pool.by_name[name]
         del pool.seeds[name]
         pool.ejector.disconnect(name)
-        self._arrange(pool)
+        self._split_by_zone(pool)
 
     def observe_load(self, name: str, report: LoadReport, *, now: float) -> None:
         """Take note of what a target's agent reports."""
@@ -182,7 +182,7 @@
     def has_target(self, service: str) -> bool:
         """Tell whether a service has a target that takes new work."""
         pool = self._pools.get(service)
-        return pool is not None and any(map(_is_open, pool.by_name.values()))
+        return pool is not None and any(map(_accepts_work, pool.by_name.values()))
 
     def list_targets(self, service: str) -> frozenset[str]:
         """Return the targets of a service that are connected."""
@@ -209,7 +209,7 @@
         target = self._choose(pool, query)
         if target is None:
             return None
-        self._count(pool, target, request, target.info.name in holders, now)
+        self._record_placement(pool, target, request, target.info.name in holders, now)
         return target.info
 
     def release(
@@ -228,7 +228,7 @@
         if placement.probe:
             pool.ejector.finish_probe(name)
         if report is not None:
-            self._learn(pool, placement, report, now)
+            self._record_result(pool, placement, report, now)
 
     def describe(self, *, now: float) -> list[dict[str, object]]:
         """Return what is known of each target."""
@@ -241,7 +241,7 @@
             target, score = self._choose_by_load(pool, query)
         if target is None or not query.request.affinity:
             return target
-        bound = max(score * AFFINITY_LOAD_BOUND, AFFINITY_FREE_UTILISATION)
+        bound = max(score * AFFINITY_MAX_LOAD_RATIO, AFFINITY_FREE_UTILISATION)
         return self._choose_by_prefix(pool, query, bound) or target
 
     def _choose_by_prefix(
@@ -265,38 +265,40 @@
     def _choose_by_load(
         self, pool: _Pool, query: _Query
     ) -> tuple[_Target | None, float]:
-        near, nears_score = self._choose_among(pool, pool.near, query)
-        if near is not None and (not pool.far or nears_score < SPILL_UTILISATION):
-            return near, nears_score
-        far, fars_score = self._choose_among(pool, pool.far, query)
-        if near is None or (far is not None and fars_score * SPILL_RATIO < nears_score):
-            return far, fars_score
-        return near, nears_score
-
-    def _choose_among(
+        local, local_score = self._choose_from(pool, pool.local, query)
+        if local is not None and (not pool.remote or local_score < SPILL_UTILISATION):
+            return local, local_score
+        remote, remote_score = self._choose_from(pool, pool.remote, query)
+        if local is None or (
+            remote is not None and remote_score * SPILL_RATIO < local_score
+        ):
+            return remote, remote_score
+        return local, local_score
+
+    def _choose_from(
         self, pool: _Pool, targets: list[_Target], query: _Query
     ) -> tuple[_Target | None, float]:
         count = len(targets)
-        if count > CHOICES:
+        if count > SAMPLED_TARGETS:
             random = self._random.random
-            drawn = [targets[int(random() * count)] for _ in range(CHOICES)]
-            best, score = self._take_best(pool, drawn, query)
+            drawn = [targets[int(random() * count)] for _ in range(SAMPLED_TARGETS)]
+            best, score = self._find_least_full(pool, drawn, query)
             if best is not None:
                 return best, score
         # A look at each finds the last free place, so that no request waits beside an
         # idle target.
-        return self._take_best(pool, targets, query)
+        return self._find_least_full(pool, targets, query)
 
-    def _take_best(
+    def _find_least_full(
         self, pool: _Pool, targets: list[_Target], query: _Query
     ) -> tuple[_Target | None, float]:
         best: _Target | None = None
-        bests_score = 0.0
+        best_score = 0.0
         for target in targets:
             score = self._get_score(pool, target, query)
-            if score is not None and (best is None or score < bests_score):
-                best, bests_score = target, score
-        return best, bests_score
+            if score is not None and (best is None or score < best_score):
+                best, best_score = target, score
+        return best, best_score
 
     def _get_score(self, pool: _Pool, target: _Target, query: _Query) -> float | None:
         """Return how full a target would be for its share, None when it can't take it.
@@ -304,9 +306,9 @@
         The least full is best.
         """
         name, now = target.info.name, query.now
-        if now < target.closed_until:
+        if now < target.unavailable_until:
             return None
-        if not _is_open(target) or name in query.tried or name in query.excluded:
+        if not _accepts_work(target) or name in query.tried or name in query.excluded:
             return None
         tokens, running = target.load.estimate(now)
         if running + 1 > target.concurrency:
@@ -322,16 +324,16 @@
             return -1.0 if pool.ejector.is_probe_due(name, now=now) else None
         weight = target.weight * share
         if not target.warm:
-            weight *= _get_start_share(target, now)
+            weight *= _get_slow_start_weight(target, now)
         if target.load.is_silent(now):
             # When all are silent, as behind a partition, all weigh less alike.
-            weight *= _SILENT_SHARE
+            weight *= _SILENT_WEIGHT
         # Engines run out of slots or of memory for tokens.
         fullness = (running + 1) / target.concurrency
         memory = (tokens + request_tokens) / target.token_limit
         return (fullness + TOKEN_SHARE * memory) / weight
 
-    def _count(
+    def _record_placement(
         self,
         pool: _Pool,
         target: _Target,
@@ -346,16 +348,16 @@
         )
         target.load.add(request.tokens, now=now)
 
-    def _learn(
+    def _record_result(
         self, pool: _Pool, placement: _Placement, report: AttemptReport, now: float
     ) -> None:
         name = placement.target.info.name
         request = placement.request
         answered = report.result is AttemptResult.ANSWERED
         if report.result is AttemptResult.NOT_STARTED:
-            _take_refusal(placement.target, report, now)
+            _apply_refusal(placement.target, report, now)
         elif answered:
-            placement.target.pause_s = UNREACHABLE_S
+            placement.target.backoff_s = UNREACHABLE_BACKOFF_S
         if answered and request.affinity:
             self.beliefs.observe_latency(
                 request.affinity,
@@ -387,7 +389,9 @@
         ranking = pool.rankings.get(prefix)
         if ranking is None:
             key = prefix.to_bytes(8, "big")
-            ranking = tuple(rendezvous.rank(key, pool.seeds, count=_AFFINITY_CHOICES))
+            ranking = tuple(
+                rendezvous.rank(key, pool.seeds, count=_AFFINITY_CANDIDATES)
+            )
             pool.rankings[prefix] = ranking
             if len(pool.rankings) > _MAX_RANKINGS:
                 pool.rankings.popitem(last=False)
@@ -401,13 +405,13 @@
             pool = self._pools[service] = _Pool(row, ejector)
         return pool
 
-    def _arrange(self, pool: _Pool) -> None:
+    def _split_by_zone(self, pool: _Pool) -> None:
         targets = pool.by_name.values()
-        pool.near = [one for one in targets if self._is_near(one)]
-        pool.far = [one for one in targets if not self._is_near(one)]
+        pool.local = [one for one in targets if self._is_local(one)]
+        pool.remote = [one for one in targets if not self._is_local(one)]
         pool.rankings.clear()
 
-    def _is_near(self, target: _Target) -> bool:
+    def _is_local(self, target: _Target) -> bool:
         return target.info.availability_zone == self._availability_zone
 
     def _apply_rows(self, target: _Target) -> None:
@@ -418,12 +422,12 @@
         target.concurrency = row.concurrency_limit or service.target_concurrency
         target.token_limit = service.target_tokens
 
-    def _recognise(self, info: TargetInfo) -> bool:
-        warm = self._known.get(info.name) == info.incarnation
-        self._known[info.name] = info.incarnation
-        self._known.move_to_end(info.name)
-        if len(self._known) > _MAX_KNOWN:
-            self._known.popitem(last=False)
+    def _record_incarnation(self, info: TargetInfo) -> bool:
+        warm = self._known_incarnations.get(info.name) == info.incarnation
+        self._known_incarnations[info.name] = info.incarnation
+        self._known_incarnations.move_to_end(info.name)
+        if len(self._known_incarnations) > _MAX_KNOWN_INCARNATIONS:
+            self._known_incarnations.popitem(last=False)
         return warm
 
     def _describe(self, target: _Target, now: float) -> dict[str, object]:
@@ -439,28 +443,28 @@
         }
 
 
-def _take_refusal(target: _Target, report: AttemptReport, now: float) -> None:
+def _apply_refusal(target: _Target, report: AttemptReport, now: float) -> None:
     if report.reason == AgentRefusal.LEAVING:
         # Its next report says so too; until then each request would bounce.
         target.leaving = True
     elif report.reason == AgentRefusal.TARGET_UNREACHABLE:
-        target.closed_until = max(target.closed_until, now + target.pause_s)
-        target.pause_s = min(target.pause_s * 2, LONGEST_UNREACHABLE_S)
+        target.unavailable_until = max(target.unavailable_until, now + target.backoff_s)
+        target.backoff_s = min(target.backoff_s * 2, MAX_UNREACHABLE_BACKOFF_S)
     elif report.reason == AgentRefusal.TARGET_FULL:
-        target.closed_until = max(target.closed_until, now + report.rest_s)
+        target.unavailable_until = max(target.unavailable_until, now + report.rest_s)
 
 
 def _find_service(table: Table, service: str) -> ServiceRow:
     return table.services.get(service) or ServiceRow(service)
 
 
-def _is_open(target: _Target) -> bool:
+def _accepts_work(target: _Target) -> bool:
     return target.in_service and not target.leaving and target.weight > 0
 
 
-def _get_start_share(target: _Target, now: float) -> float:
+def _get_slow_start_weight(target: _Target, now: float) -> float:
     age = now - target.connected_at
     if age >= SLOW_START_S:
         target.warm = True
         return 1.0
-    return max(_SLOW_START_SHARE, age / SLOW_START_S)
+    return max(_MIN_SLOW_START_WEIGHT, age / SLOW_START_S)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -10,7 +10,7 @@
 from hyssopvane._internal.policy.placement import (
     SLOW_START_S,
     SPILL_UTILISATION,
-    UNREACHABLE_S,
+    UNREACHABLE_BACKOFF_S,
     Placer,
 )
 from hyssopvane._internal.policy.target_load import FORGOTTEN_REPORT_S, TargetLoad
@@ -230,7 +230,7 @@
     placer.place(make_request(0), now=WARM)
     placer.release("r0", refused, now=WARM)
     assert placer.place(make_request(1), now=WARM) is None
-    assert placer.place(make_request(1), now=WARM + UNREACHABLE_S) is not None
+    assert placer.place(make_request(1), now=WARM + UNREACHABLE_BACKOFF_S) is not None
 
 
 @pytest.mark.parametrize("also", [None, "target-unreachable"])
