--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -8,7 +8,7 @@
 from hyssopvane._internal.models.refusals import AgentRefusal
 from hyssopvane._internal.policy import rendezvous
 from hyssopvane._internal.policy.ejection import Ejector
-from hyssopvane._internal.policy.prefix_beliefs import PrefixBeliefs
+from hyssopvane._internal.policy.prefix_cache_index import PrefixCacheIndex
 from hyssopvane._internal.policy.target_load import TargetLoad
 from hyssopvane._internal.state.table import ServiceRow, Table, TargetRow
 from hyssopvane._internal.state.work import (
@@ -90,7 +90,7 @@
 class _Placement:
     target: _Target
     request: WorkRequest
-    believed: bool
+    expected_hit: bool
     probe: bool
     placed_at: float
 
@@ -125,7 +125,7 @@
         self._targets: dict[str, _Target] = {}
         self._placements: dict[str, _Placement] = {}
         self._known_incarnations: OrderedDict[str, int] = OrderedDict()
-        self.beliefs = PrefixBeliefs()
+        self.prefix_cache = PrefixCacheIndex()
 
     def update_table(self, table: Table) -> None:
         """Put the weights and limits of a table in force."""
@@ -143,7 +143,7 @@
         self.disconnect(info.name)
         target = _Target(info, now, warm=self._record_incarnation(info))
         if not target.warm:
-            self.beliefs.forget_target(info.name)
+            self.prefix_cache.remove_target(info.name)
         self._apply_rows(target)
         self._targets[info.name] = target
         pool = self._get_pool(info.service)
@@ -175,9 +175,9 @@
         if name not in self._targets:
             return
         if report.gap:
-            self.beliefs.note_gap(name, now=now)
-        self.beliefs.evict(report.evicted, name)
-        self.beliefs.store(report.stored, name, now=now)
+            self.prefix_cache.record_gap(name, now=now)
+        self.prefix_cache.evict(report.evicted, name)
+        self.prefix_cache.store(report.stored, name, now=now)
 
     def has_target(self, service: str) -> bool:
         """Tell whether a service has a target that takes new work."""
@@ -204,7 +204,7 @@
         pool = self._pools.get(request.service)
         if pool is None:
             return None
-        holders = self.beliefs.find(request.affinity, now=now)
+        holders = self.prefix_cache.find(request.affinity, now=now)
         query = _Query(request, now, holders, tried, excluded)
         target = self._choose(pool, query)
         if target is None:
@@ -255,7 +255,7 @@
             target = pool.by_name.get(name)
             if target is None or pool.ejector.get_share(name) < 1.0:
                 continue
-            if self.beliefs.is_barred(affinity[-1], name, now=query.now):
+            if self.prefix_cache.is_barred(affinity[-1], name, now=query.now):
                 continue
             score = self._get_score(pool, target, query)
             if score is not None and score <= bound:
@@ -338,13 +338,13 @@
         pool: _Pool,
         target: _Target,
         request: WorkRequest,
-        believed: bool,
+        expected_hit: bool,
         now: float,
     ) -> None:
         name = target.info.name
         probe = pool.ejector.start(name)
         self._placements[request.request_id] = _Placement(
-            target, request, believed, probe, now
+            target, request, expected_hit, probe, now
         )
         target.load.add(request.tokens, now=now)
 
@@ -359,14 +359,14 @@
         elif answered:
             placement.target.backoff_s = UNREACHABLE_BACKOFF_S
         if answered and request.affinity:
-            self.beliefs.observe_latency(
+            self.prefix_cache.observe_latency(
                 request.affinity,
                 name,
-                believed=placement.believed,
+                expected_hit=placement.expected_hit,
                 s_per_token=report.latency_s / max(1, request.tokens),
                 now=now,
             )
-            self.beliefs.store(request.affinity, name, now=now)
+            self.prefix_cache.store(request.affinity, name, now=now)
         # What was refused before it ran says nothing of the target's speed, and a
         # caller that hangs up says nothing at all; an answer that did not come by the
         # deadline does, else a target that swallows requests would look well.
