--- a/src/hyssopvane/_internal/policy/queueing.py
+++ b/src/hyssopvane/_internal/policy/queueing.py
@@ -10,14 +10,14 @@
 # low priority wait for ever, while nothing tells its callers so. Each class that is
 # passed over earns a tenth of the tokens that pass it, so urgent work loses a tenth at
 # most, and whatever waits is served in the end.
-PASSED_OVER_SHARE = 0.1
+LOWER_PRIORITY_SHARE = 0.1
 
 # Made for long and short work of one customer. A record check of a few hundred tokens
 # behind a pile of long drafts would wait for all of them. Two lanes that get equal
 # tokens let it pass them, and still the long ones move: each is served after about
 # its own tokens of short work. 2,000 tokens lie between a check and a draft with its
 # sources.
-LONG_TOKENS = 2_000
+LONG_REQUEST_TOKENS = 2_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     served: float = 0.0
 
     @property
-    def next_end(self) -> float:
+    def next_finish(self) -> float:
         """Return what the lane will have got when its next request is served."""
         return self.served + next(iter(self.items.values())).tokens
 
@@ -66,14 +66,14 @@
 
     def get_lane(self, tokens: int) -> _Lane:
         """Return the lane of a request."""
-        return self.lanes[tokens >= LONG_TOKENS]
+        return self.lanes[tokens >= LONG_REQUEST_TOKENS]
 
     def choose_lane(self) -> _Lane:
         """Return the lane that is served next."""
         short, long = self.lanes
         if not (short.items and long.items):
             return short if short.items else long
-        return short if short.next_end <= long.next_end else long
+        return short if short.next_finish <= long.next_finish else long
 
     def count_ahead(self, tokens: int) -> int:
         """Return the customer's own tokens that a new request waits for."""
@@ -144,16 +144,16 @@
         flow.remove(item)
         self.tokens -= item.tokens
         if not flow.tokens:
-            self._retire(flow)
+            self._deactivate(flow)
 
     def peek(self) -> QueuedItem:
         """Return the request that is served next."""
-        flow = self._find_first()
+        flow = self._get_next_flow()
         return next(iter(flow.choose_lane().items.values()))
 
     def pop(self) -> QueuedItem:
         """Serve the next request."""
-        flow = self._find_first()
+        flow = self._get_next_flow()
         lane = flow.choose_lane()
         item = next(iter(lane.items.values()))
         self._virtual = max(self._virtual, flow.start)
@@ -164,10 +164,10 @@
         if flow.tokens:
             self._push(flow)
         else:
-            self._retire(flow)
+            self._deactivate(flow)
         return item
 
-    def count_own(self, customer: str, tokens: int) -> int:
+    def count_own_ahead(self, customer: str, tokens: int) -> int:
         """Return the customer's own tokens that go before a new request of it."""
         flow = self.flows.get(customer)
         return flow.count_ahead(tokens) if flow is not None else 0
@@ -176,14 +176,14 @@
         flow.entry = next(self._sequence)
         heapq.heappush(self._heap, (flow.start, flow.entry, flow))
 
-    def _retire(self, flow: Flow) -> None:
+    def _deactivate(self, flow: Flow) -> None:
         flow.entry = 0
         self.weight -= flow.weight
         if not self.tokens:
             self.weight = 0.0
             self._heap.clear()
 
-    def _find_first(self) -> Flow:
+    def _get_next_flow(self) -> Flow:
         # Entries of flows that emptied or moved since are dropped here, so that a
         # caller who leaves costs no search.
         while self._heap[0][1] != self._heap[0][2].entry:
@@ -235,7 +235,7 @@
         item = self.classes[chosen].pop()
         del self._items[item.request_id]
         self.tokens -= item.tokens
-        self._credit(chosen, item.tokens)
+        self._update_credit(chosen, item.tokens)
         return item
 
     def get_class(self, priority: int) -> PriorityClass | None:
@@ -257,7 +257,7 @@
             if number < priority:
                 ahead += one.tokens
             else:
-                ahead += one.count_own(customer, tokens)
+                ahead += one.count_own_ahead(customer, tokens)
         return ahead
 
     def iterate_flows(self) -> Iterator[tuple[int, PriorityClass, Flow]]:
@@ -295,7 +295,7 @@
             weight = own.weight
         return amount > limit * weight / total_weight
 
-    def find_loser(
+    def choose_victim(
         self, newcomer: QueuedItem, *, weight: float, limit: int, in_tokens: bool
     ) -> QueuedItem:
         """Return the request that a full queue gives up: the newcomer or a waiting one.
@@ -311,7 +311,7 @@
         if own is None:
             total_weight += weight
         worst = (0, 0.0)
-        loser: Flow | None = None
+        victim: Flow | None = None
         for priority, _, flow in self.iterate_flows():
             amount = flow.tokens if in_tokens else flow.size
             if flow is own:
@@ -319,10 +319,10 @@
             excess = amount / flow.weight - limit / total_weight
             if excess > 0 and (priority, excess) > worst:
                 worst = (priority, excess)
-                loser = flow
-        if loser is None or loser is own:
+                victim = flow
+        if victim is None or victim is own:
             return newcomer
-        return loser.find_newest()
+        return victim.find_newest()
 
     def _find_flow(self, item: QueuedItem) -> Flow | None:
         one = self.classes.get(item.priority)
@@ -341,11 +341,11 @@
                 return number
         return first
 
-    def _credit(self, served: int, tokens: int) -> None:
+    def _update_credit(self, served: int, tokens: int) -> None:
         passed = [number for number in self._order if self.classes[number].tokens]
         lower = [number for number in passed if number > served]
         for number in lower:
-            self.classes[number].credit += tokens * PASSED_OVER_SHARE / len(lower)
+            self.classes[number].credit += tokens * LOWER_PRIORITY_SHARE / len(lower)
         one = self.classes[served]
         # What an emptied class had earned is void: it is no longer passed over.
         one.credit = max(0.0, one.credit - tokens) if one.tokens else 0.0
--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.policy.attempts import AttemptPlanner
 from hyssopvane._internal.policy.measures import ServiceMeter
 from hyssopvane._internal.policy.queueing import (
-    PASSED_OVER_SHARE,
+    LOWER_PRIORITY_SHARE,
     FairQueue,
     QueuedItem,
 )
@@ -271,15 +271,15 @@
             queue.tokens + item.tokens > row.queue_token_limit
         ):
             in_tokens = len(queue) < row.queue_limit
-            loser = queue.find_loser(
+            victim = queue.choose_victim(
                 item,
                 weight=weight,
                 limit=row.queue_token_limit if in_tokens else row.queue_limit,
                 in_tokens=in_tokens,
             )
-            if loser is item:
+            if victim is item:
                 return self._refuse_full(service, now=now)
-            self._drop(service, loser, self._refuse_full(service, now=now))
+            self._drop(service, victim, self._refuse_full(service, now=now))
         queue.add(item, weight=weight)
         return Waiting()
 
@@ -305,7 +305,7 @@
             item.priority,
             item.customer,
             weight=self._get_weight(item.customer),
-            floor=PASSED_OVER_SHARE,
+            floor=LOWER_PRIORITY_SHARE,
             now=now,
         )
 
--- a/tests/unit/test_queueing.py
+++ b/tests/unit/test_queueing.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waiting", "newcomer", "loser"),
+    ("waiting", "newcomer", "victim"),
     [
         pytest.param(
             [("flood", 5, 100)] * 8 + [("modest", 5, 100)] * 2,
@@ -128,7 +128,7 @@
         ),
     ],
 )
-def test_full_queue_gives_up(waiting, newcomer, loser):
+def test_full_queue_gives_up(waiting, newcomer, victim):
     """One customer fills the queue; another comes at its usual pace.
 
     If the newcomer were refused, the flood's neighbours would be told to come back
@@ -138,8 +138,8 @@
     fill(queue, waiting)
     customer, priority = newcomer
     item = make_item("new", customer=customer, priority=priority, arrived_at=99.0)
-    found = queue.find_loser(item, weight=100.0, limit=10, in_tokens=False)
-    assert found.request_id == loser
+    found = queue.choose_victim(item, weight=100.0, limit=10, in_tokens=False)
+    assert found.request_id == victim
 
 
 _ITEMS = st.tuples(
