--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -26,11 +26,11 @@
     WorkRequest,
 )
 
-_RETRY_AFTER_S = 1.0
+_NO_TARGET_RETRY_AFTER_S = 1.0
 
 # Predictions are noisy. On arrival the wait counts a quarter more, so that few of the
 # admitted are refused later, when they have waited in vain.
-_ARRIVAL_MARGIN = 1.25
+_ARRIVAL_WAIT_MARGIN = 1.25
 # The run time is a rough guess from the size of the body, so it takes up at most half
 # of the time a caller allows: a request that starts promptly is never refused for it.
 _MAX_RUN_SHARE = 0.5
@@ -40,12 +40,12 @@
 # Made for one customer that fills the queue. The last tenth is kept for customers
 # within their share; else each of their requests would push out one that has waited,
 # and its caller would be refused later instead of at once.
-_OPEN_QUEUE_SHARE = 0.9
+_UNRESERVED_QUEUE_SHARE = 0.9
 # Callers refused in one burst would come back in one burst; spread their return.
-_RETURN_SPREAD = 0.5
+_RETRY_JITTER = 0.5
 
 # Attempts that ended so say nothing on how long work holds a place.
-_UNTIMED = frozenset({AttemptResult.NOT_STARTED, AttemptResult.LOST})
+_UNTIMED_RESULTS = frozenset({AttemptResult.NOT_STARTED, AttemptResult.LOST})
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         # Requests that are to run again, and crash suspects. They have waited their
         # turn already, so they go first; each may be barred from targets that others
         # may use, so one of them that finds no place must not hold up the queue.
-        self.again: dict[str, _Request] = {}
+        self.retry_queue: dict[str, _Request] = {}
         self.reviewed_at = 0.0
 
 
@@ -115,7 +115,7 @@
         entry = _Request(request, max(1, request.tokens), arrived_at=now)
         decision: Decision | None = None
         if self.planner.is_held(request, now=now):
-            decision = self._hold(entry, service, now=now)
+            decision = self._hold_suspect(entry, service, now=now)
         elif not service.queue:
             # Nobody is overtaken. With others waiting, only the queue says whose turn
             # it is: a newcomer that takes the place just freed would starve them.
@@ -139,7 +139,7 @@
         retry = self.planner.finish(request_id, report, now=now)
         if isinstance(retry, RetryAt):
             return self._retry(entry, now=now)
-        self._forget(entry)
+        self._remove(entry)
         return retry if isinstance(retry, Refusal) else None
 
     def withdraw(self, request_id: str) -> None:
@@ -149,18 +149,18 @@
             return
         service = self._get_service(entry.request.service)
         service.queue.remove(request_id)
-        service.again.pop(request_id, None)
+        service.retry_queue.pop(request_id, None)
         self._stop(entry, None, now=self._now)
         self._release(entry)
-        self._forget(entry)
+        self._remove(entry)
 
     def collect(self, *, now: float) -> list[tuple[str, Decision]]:
         """Return new decisions about waiting requests."""
         self._now = now
         for service in self._services.values():
-            self._place_again(service, now=now)
+            self._place_retries(service, now=now)
             self._place_queued(service, now=now)
-            self._review(service, now=now)
+            self._refuse_late_waiters(service, now=now)
         decided = self._decided
         self._decided = []
         return decided
@@ -178,7 +178,9 @@
             return Refusal(RefusalReason.DEADLINE_UNREACHABLE, Outcome.NOT_RUN)
         if not self.planner.placer.has_target(request.service):
             return Refusal(
-                RefusalReason.NO_TARGET, Outcome.NOT_RUN, self._spread(_RETRY_AFTER_S)
+                RefusalReason.NO_TARGET,
+                Outcome.NOT_RUN,
+                self._add_jitter(_NO_TARGET_RETRY_AFTER_S),
             )
         service = self._get_service(request.service)
         return self.planner.refuse(request, now=now) or self.admission.check(
@@ -208,25 +210,25 @@
     ) -> None:
         if entry.running:
             entry.running = False
-            untimed = report is None or report.result in _UNTIMED
+            untimed = report is None or report.result in _UNTIMED_RESULTS
             self._get_service(entry.request.service).meter.count_end(
                 entry.tokens, held_s=None if untimed else now - entry.sent_at
             )
 
-    def _forget(self, entry: _Request) -> None:
+    def _remove(self, entry: _Request) -> None:
         del self._requests[entry.request.request_id]
         self.admission.release(entry.request.customer, entry.tokens)
 
-    def _hold(
+    def _hold_suspect(
         self, entry: _Request, service: _Service, *, now: float
     ) -> Waiting | Refusal:
-        if len(service.again) >= service.row.queue_limit:
+        if len(service.retry_queue) >= service.row.queue_limit:
             return self._refuse_full(service, now=now)
-        return self._enqueue_again(entry)
+        return self._enqueue_retry(entry)
 
-    def _enqueue_again(self, entry: _Request) -> Waiting:
+    def _enqueue_retry(self, entry: _Request) -> Waiting:
         service = self._get_service(entry.request.service)
-        service.again[entry.request.request_id] = entry
+        service.retry_queue[entry.request.request_id] = entry
         return Waiting()
 
     def _enqueue(
@@ -246,13 +248,13 @@
             item.customer, priority=item.priority, tokens=item.tokens
         )
         drain = self._measure_drain(service, item, now=now) if ahead else None
-        wait_s = ahead * _ARRIVAL_MARGIN / drain if drain else 0.0
+        wait_s = ahead * _ARRIVAL_WAIT_MARGIN / drain if drain else 0.0
         late_s = self._predict_lateness(service, item, wait_s, now=now)
         if late_s > 0:
             return self._refuse_late(late_s)
-        return self._make_room(service, item, weight, now=now)
+        return self._enqueue_within_limits(service, item, weight, now=now)
 
-    def _make_room(
+    def _enqueue_within_limits(
         self, service: _Service, item: QueuedItem, weight: float, *, now: float
     ) -> Waiting | Refusal:
         queue, row = service.queue, service.row
@@ -262,7 +264,7 @@
             (False, len(queue) + 1, row.queue_limit),
             (True, queue.tokens + item.tokens, row.queue_token_limit),
         ):
-            open_limit = math.ceil(limit * _OPEN_QUEUE_SHARE)
+            open_limit = math.ceil(limit * _UNRESERVED_QUEUE_SHARE)
             if used > open_limit and queue.is_above_share(
                 item, weight=weight, limit=open_limit, in_tokens=in_tokens
             ):
@@ -311,25 +313,29 @@
 
     def _refuse_late(self, late_s: float) -> Refusal:
         return Refusal(
-            RefusalReason.DEADLINE_UNREACHABLE, Outcome.NOT_RUN, self._spread(late_s)
+            RefusalReason.DEADLINE_UNREACHABLE,
+            Outcome.NOT_RUN,
+            self._add_jitter(late_s),
         )
 
     def _refuse_full(self, service: _Service, *, now: float) -> Refusal:
         drain = service.meter.measure_drain()
         wait_s = service.queue.tokens / drain if drain else 0.0
-        return Refusal(RefusalReason.QUEUE_FULL, Outcome.NOT_RUN, self._spread(wait_s))
+        return Refusal(
+            RefusalReason.QUEUE_FULL, Outcome.NOT_RUN, self._add_jitter(wait_s)
+        )
 
-    def _spread(self, wait_s: float) -> float:
+    def _add_jitter(self, wait_s: float) -> float:
         """Return a time to come back, spread so that not all come at once."""
-        return clamp_retry_after(wait_s) * (1 + _RETURN_SPREAD * self._random.random())
+        return clamp_retry_after(wait_s) * (1 + _RETRY_JITTER * self._random.random())
 
     def _drop(self, service: _Service, item: QueuedItem, refusal: Refusal) -> None:
         service.queue.remove(item.request_id)
-        self._forget(self._requests[item.request_id])
+        self._remove(self._requests[item.request_id])
         self._decided.append((item.request_id, refusal))
 
-    def _place_again(self, service: _Service, *, now: float) -> None:
-        for request_id, entry in list(service.again.items()):
+    def _place_retries(self, service: _Service, *, now: float) -> None:
+        for request_id, entry in list(service.retry_queue.items()):
             decision: Decision | None = None
             if now >= entry.request.deadline:
                 outcome = self.planner.get_outcome(request_id)
@@ -337,10 +343,10 @@
             else:
                 decision = self._start(entry, now=now)
             if decision is not None:
-                del service.again[request_id]
+                del service.retry_queue[request_id]
                 if isinstance(decision, Refusal):
                     self._release(entry)
-                    self._forget(entry)
+                    self._remove(entry)
                 self._decided.append((request_id, decision))
 
     def _place_queued(self, service: _Service, *, now: float) -> None:
@@ -357,13 +363,13 @@
             service.queue.pop()
             if placed is None:
                 # It became a crash suspect while it waited.
-                service.again[item.request_id] = entry
+                service.retry_queue[item.request_id] = entry
                 continue
             if isinstance(placed, Refusal):
-                self._forget(entry)
+                self._remove(entry)
             self._decided.append((item.request_id, placed))
 
-    def _review(self, service: _Service, *, now: float) -> None:
+    def _refuse_late_waiters(self, service: _Service, *, now: float) -> None:
         """Refuse what is now known not to reach its turn in time.
 
         Made for a loss of capacity, as half of the targets gone at once. What was
@@ -396,8 +402,8 @@
     def _retry(self, entry: _Request, *, now: float) -> Decision:
         placed = self._start(entry, now=now)
         if isinstance(placed, Refusal):
-            self._forget(entry)
-        return placed or self._enqueue_again(entry)
+            self._remove(entry)
+        return placed or self._enqueue_retry(entry)
 
     def _place(self, entry: _Request, *, now: float) -> Placed | Refusal | None:
         return self.planner.place(entry.request, now=now)
