--- a/bench/direct.py
+++ b/bench/direct.py
@@ -7,7 +7,11 @@
 
 from hyssopvane._internal.policy.expert_moves import MoveBounds, choose_move
 from hyssopvane._internal.policy.queueing import QueuedItem
-from hyssopvane._internal.policy.service_gate import Place, ServiceGate, Waiting
+from hyssopvane._internal.policy.service_gate import (
+    Assignment,
+    QueuedRequest,
+    ServiceGate,
+)
 from hyssopvane._internal.state.loads import RankLoad
 from hyssopvane._internal.state.routing import Replica
 
@@ -62,9 +66,9 @@
     item = QueuedItem("r", "c", 1, 1_000, 8.0, 0.0)
 
     def place() -> None:
-        gate.add(Waiting(item, late_at=1.0, refuse_at=2.0), weight=1.0)
+        gate.add(QueuedRequest(item, late_at=1.0, refuse_at=2.0), weight=1.0)
         for decision in gate.settle(0.0):
-            if isinstance(decision, Place):
+            if isinstance(decision, Assignment):
                 gate.finish(decision.replica, failed=False, now=0.0)
 
     def observe() -> None:
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """Describe a request that waits for a place."""
 
     item: QueuedItem
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Assignment:
     """Tell where a request goes."""
 
     request_id: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class Rejection:
     """Tell that a request is refused, and when it is worth coming back."""
 
     request_id: str
@@ -122,7 +122,7 @@
         served in time go first, and the others take what is left.
         """
         self._weights: dict[str, float] = {}
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._replicas: dict[str, ReplicaLoad] = {}
         self._by_address: dict[str, list[ReplicaLoad]] = {}
         self._groups: dict[str, GroupRoom] = {}
@@ -184,7 +184,7 @@
             self._groups[newest.group].observe(newest, now=at, members=len(loads))
         return restarted
 
-    def add(self, waiting: Waiting, *, weight: float) -> None:
+    def add(self, waiting: QueuedRequest, *, weight: float) -> None:
         """Let a request wait."""
         self._waiting[waiting.item.request_id] = waiting
         self._weights[waiting.item.request_id] = weight
@@ -197,9 +197,9 @@
         self._queue.remove(request_id)
         self._late.remove(request_id)
 
-    def settle(self, now: float) -> list[Place | Turned]:
+    def settle(self, now: float) -> list[Assignment | Rejection]:
         """Place what there is room for, and refuse what has waited too long."""
-        decisions: list[Place | Turned] = []
+        decisions: list[Assignment | Rejection] = []
         self._move_late(now)
         for late, queue in ((False, self._queue), (True, self._late)):
             decisions += self._place(queue, now, late=late)
@@ -356,8 +356,8 @@
                 self._queue.remove(request_id)
                 self._late.add(waiting.item, weight=self._weights[request_id])
 
-    def _place(self, queue: FairQueue, now: float, *, late: bool) -> list[Place]:
-        placed: list[Place] = []
+    def _place(self, queue: FairQueue, now: float, *, late: bool) -> list[Assignment]:
+        placed: list[Assignment] = []
         if not len(queue):
             return placed
         rooms = [
@@ -385,7 +385,7 @@
 
     def _place_next(
         self, queue: FairQueue, groups: list[GroupRoom], now: float
-    ) -> tuple[Place, GroupRoom, int] | None:
+    ) -> tuple[Assignment, GroupRoom, int] | None:
         item = queue.peek()
         assert item is not None
         waiting = self._waiting[item.request_id]
@@ -395,11 +395,15 @@
                 self.remove(item.request_id)
                 one.start(now)
                 self.limits.take(one.replica, now)
-                return Place(item.request_id, one.replica), group, waiting.prompt_tokens
+                return (
+                    Assignment(item.request_id, one.replica),
+                    group,
+                    waiting.prompt_tokens,
+                )
         return None
 
-    def _turn_away(self, now: float) -> list[Turned]:
-        turned = []
+    def _turn_away(self, now: float) -> list[Rejection]:
+        rejected = []
         serve = [group.serves(now) for group in self._groups.values()]
         closed = bool(serve) and all(one is False for one in serve)
         if closed or True in serve:
@@ -419,10 +423,10 @@
             else:
                 continue
             self.remove(request_id)
-            turned.append(Turned(request_id, reason, after_s))
-        return turned
+            rejected.append(Rejection(request_id, reason, after_s))
+        return rejected
 
-    def _choose_return(self, waiting: Waiting, now: float) -> float:
+    def _choose_return(self, waiting: QueuedRequest, now: float) -> float:
         wait_s = self.outages.measure_wait_s(now)
         spread_s = self._random.uniform(0, self.outages.measure_jitter_s(now))
         return min(wait_s + spread_s, MAX_WAIT_SHARE * (waiting.item.deadline - now))
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -11,7 +11,11 @@
 from hyssopvane._internal.policy.crash_suspects import CrashSuspects
 from hyssopvane._internal.policy.queueing import QueuedItem
 from hyssopvane._internal.policy.repeat_budget import RepeatBudget
-from hyssopvane._internal.policy.service_gate import Place, Turned, Waiting
+from hyssopvane._internal.policy.service_gate import (
+    Assignment,
+    QueuedRequest,
+    Rejection,
+)
 from hyssopvane._internal.policy.stream_pauses import StreamPauses
 from hyssopvane._internal.protocol.event_stream import EventCutter, StreamEvent
 from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_rest
@@ -180,7 +184,7 @@
         request = self._request
         while True:
             decision = await self._wait_for_place()
-            if isinstance(decision, Turned):
+            if isinstance(decision, Rejection):
                 await self._give_up(self._describe_turn(decision))
                 return
             try:
@@ -211,11 +215,11 @@
                     return
                 self._tools.metrics.count_retry(str(failure).split(":")[0])
 
-    async def _wait_for_place(self) -> Place | Turned:
+    async def _wait_for_place(self) -> Assignment | Rejection:
         request = self._request
         now = trio.current_time()
         if self._tools.suspects.is_banned(request.fingerprint, now=now):
-            return Turned(request.request_id, DirectRefusal.CRASHING, BANNED_RETRY_S)
+            return Rejection(request.request_id, DirectRefusal.CRASHING, BANNED_RETRY_S)
         objective_s = request.route.objective_s
         late_at = request.arrived_at + objective_s * IN_TIME_SHARE
         refuse_at = request.arrived_at + objective_s * HOLD_SHARE
@@ -229,7 +233,7 @@
             deadline=request.deadline,
             arrived_at=now,
         )
-        waiting = Waiting(
+        waiting = QueuedRequest(
             item,
             late_at=late_at,
             refuse_at=min(refuse_at, request.deadline),
@@ -472,7 +476,7 @@
             return False
         return self._tools.budget.take(request.service, now=trio.current_time())
 
-    def _describe_turn(self, turned: Turned) -> DirectAnswer:
+    def _describe_turn(self, turned: Rejection) -> DirectAnswer:
         if self._request.may_have_run:
             return self._describe_failure()
         return DirectAnswer(DirectRefusal(turned.reason), turned.retry_after_s)
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -10,10 +10,10 @@
 from hyssopvane._internal.policy.limit_shares import EntryCensus
 from hyssopvane._internal.policy.replica_notices import ReplicaNotices
 from hyssopvane._internal.policy.service_gate import (
-    Place,
+    Assignment,
+    QueuedRequest,
+    Rejection,
     ServiceGate,
-    Turned,
-    Waiting,
 )
 from hyssopvane._internal.state.limits import LimitNews, ReplicaLimits
 from hyssopvane._internal.state.loads import (
@@ -35,7 +35,7 @@
 class _Waiter:
     def __init__(self) -> None:
         self.event = trio.Event()
-        self.decision: Place | Turned | None = None
+        self.decision: Assignment | Rejection | None = None
 
 
 class GateKeeper:
@@ -176,8 +176,8 @@
         return ReplicaLimits(tuple(news))
 
     async def wait_for_place(
-        self, service: str, waiting: Waiting, *, weight: float
-    ) -> Place | Turned:
+        self, service: str, waiting: QueuedRequest, *, weight: float
+    ) -> Assignment | Rejection:
         """Wait until a request is placed or refused."""
         gate = self.get_gate(service)
         request_id = waiting.item.request_id
@@ -188,7 +188,7 @@
             await waiter.event.wait()
         except trio.Cancelled:
             gate.remove(request_id)
-            if isinstance(waiter.decision, Place):
+            if isinstance(waiter.decision, Assignment):
                 # Placed and given up in the same moment: nobody else gives it back.
                 self.finish(service, waiter.decision.replica, failed=False)
             raise
