--- a/bench/direct.py
+++ b/bench/direct.py
@@ -67,7 +67,7 @@
 
     def place() -> None:
         gate.add(QueuedRequest(item, late_at=1.0, refuse_at=2.0), weight=1.0)
-        for decision in gate.settle(0.0):
+        for decision in gate.dispatch(0.0):
             if isinstance(decision, Assignment):
                 gate.finish(decision.replica, failed=False, now=0.0)
 
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -21,18 +21,18 @@
 from hyssopvane._internal.state.loads import RankLoad
 from hyssopvane._internal.state.routing import EngineModel, Incarnation, Replica
 
-RETRY_AFTER_S = 0.5
+OVERLOADED_RETRY_AFTER_S = 0.5
 """Time until a caller is asked back while a service is overloaded.
 
 The map of the experts has followed a change of demand by then, and some of the streams
 that were in the way have ended.
 """
 
-ELSEWHERE_AGAIN_S = 0.05
+OTHER_ENTRY_RETRY_AFTER_S = 0.05
 """Time until a caller is asked back whose replicas take requests of other entries only:
 a new connection reaches another entry."""
 
-_EJECT_ABOVE = 0.35
+_EJECT_FAILURE_SHARE = 0.35
 """Share of failures at which a replica is left out for a while.
 
 Plain services fail about one request in seven for reasons of the request; a replica
@@ -42,10 +42,10 @@
 _EJECT_S = 3.0
 """Time that a failing replica is left out before it is tried again."""
 
-_SPREAD = 0.25
+_RETRY_JITTER = 0.25
 """Part of the time to come back by which callers are told more or less."""
 
-_MAX_EJECTED = 0.5
+_MAX_EJECTED_SHARE = 0.5
 """Share of a service's replicas that may be left out: the others must bear the load."""
 
 
@@ -113,7 +113,7 @@
             notices=self.notices,
         )
         self._queue = FairQueue()
-        self._late = FairQueue()
+        self._late_queue = FairQueue()
         """Requests that can't meet their objective any more.
 
         Made for a load that passes what the group can take for about a second, until
@@ -126,7 +126,7 @@
         self._replicas: dict[str, ReplicaLoad] = {}
         self._by_address: dict[str, list[ReplicaLoad]] = {}
         self._groups: dict[str, GroupRoom] = {}
-        self._wrong: set[Incarnation] = set()
+        self._replaced: set[Incarnation] = set()
         """Replicas at whose address another one answered."""
         self._engine: EngineModel | None = None
         self._pause_s = 0.0
@@ -139,20 +139,20 @@
         self._engine = engine
         known = {replica.id: replica for replica in replicas}
         # A replica whose address was given to another one is still listed for a while.
-        self._wrong &= {replica.incarnation for replica in known.values()}
+        self._replaced &= {replica.incarnation for replica in known.values()}
         for replica_id in self._replicas.keys() - known.keys():
-            self._drop(replica_id)
+            self._remove_replica(replica_id)
         restarted = []
         for replica in known.values():
-            if replica.incarnation in self._wrong:
+            if replica.incarnation in self._replaced:
                 continue
             found = self._replicas.get(replica.id)
             if found is not None and found.replica.address == replica.address:
                 if found.register(replica):
                     restarted.append(replica.address)
                 continue
-            self._drop(replica.id)
-            self._put(replica)
+            self._remove_replica(replica.id)
+            self._add_replica(replica)
         present = (one.replica for one in self._replicas.values())
         self.notices.note_registered(present, now=now)
         return restarted
@@ -195,15 +195,15 @@
         self._waiting.pop(request_id, None)
         self._weights.pop(request_id, None)
         self._queue.remove(request_id)
-        self._late.remove(request_id)
+        self._late_queue.remove(request_id)
 
-    def settle(self, now: float) -> list[Assignment | Rejection]:
+    def dispatch(self, now: float) -> list[Assignment | Rejection]:
         """Place what there is room for, and refuse what has waited too long."""
         decisions: list[Assignment | Rejection] = []
-        self._move_late(now)
-        for late, queue in ((False, self._queue), (True, self._late)):
+        self._demote_late(now)
+        for late, queue in ((False, self._queue), (True, self._late_queue)):
             decisions += self._place(queue, now, late=late)
-        decisions += self._turn_away(now)
+        decisions += self._reject_waiting(now)
         return decisions
 
     def finish(self, replica: Replica, *, failed: bool, now: float) -> None:
@@ -213,7 +213,7 @@
             return
         one.finish(failed=failed)
         self._groups[one.group].finish(now)
-        if one.failures > _EJECT_ABOVE and self._may_eject(one, now):
+        if one.failures > _EJECT_FAILURE_SHARE and self._may_eject(one, now):
             one.ejected_until = now + _EJECT_S
             one.failures = 0.0
 
@@ -223,11 +223,11 @@
         if one is not None:
             self._groups[one.group].note_served()
 
-    def mark_wrong(self, replica: Replica) -> None:
+    def mark_replaced(self, replica: Replica) -> None:
         """Drop a replica whose address now belongs to another one."""
-        self._wrong.add(replica.incarnation)
+        self._replaced.add(replica.incarnation)
         if self._find(replica) is not None:
-            self._drop(replica.id)
+            self._remove_replica(replica.id)
             self.limits.forget(replica.address)
 
     def note_full(self, replica: Replica, *, now: float, until: float) -> None:
@@ -280,15 +280,15 @@
         heard_at = now - age_s
         return self.limits.observe(one.replica, per_s, heard_at=heard_at, now=now)
 
-    def note_news(self, news: LimitNews, *, now: float) -> bool:
+    def observe_peer_limit(self, news: LimitNews, *, now: float) -> bool:
         """Take what another entry tells of a limit; tell whether that is new."""
-        told = False
+        is_new = False
         for one in self._by_address.get(news.replica, ()):
             if may_be_one_start(one.replica.started_ms, news.started_ms):
-                told |= self.note_limit(
+                is_new |= self.note_limit(
                     one.replica, news.per_s, now=now, age_s=news.age_s
                 )
-        return told
+        return is_new
 
     def _find(self, replica: Replica) -> ReplicaLoad | None:
         """Return what is believed of this start of a replica, if it still runs."""
@@ -319,13 +319,13 @@
         """Return the requests that the service may have at once, over all entries."""
         return sum(group.get_limit(self._engine) for group in self._groups.values())
 
-    def _put(self, replica: Replica) -> None:
+    def _add_replica(self, replica: Replica) -> None:
         one = ReplicaLoad(replica)
         self._replicas[replica.id] = one
         self._by_address.setdefault(replica.address, []).append(one)
         self._join_group(one)
 
-    def _drop(self, replica_id: str) -> None:
+    def _remove_replica(self, replica_id: str) -> None:
         one = self._replicas.pop(replica_id, None)
         if one is None:
             return
@@ -350,11 +350,11 @@
         if not members:
             del self._groups[name]
 
-    def _move_late(self, now: float) -> None:
+    def _demote_late(self, now: float) -> None:
         for request_id, waiting in self._waiting.items():
             if now >= waiting.late_at and request_id in self._queue:
                 self._queue.remove(request_id)
-                self._late.add(waiting.item, weight=self._weights[request_id])
+                self._late_queue.add(waiting.item, weight=self._weights[request_id])
 
     def _place(self, queue: FairQueue, now: float, *, late: bool) -> list[Assignment]:
         placed: list[Assignment] = []
@@ -402,36 +402,45 @@
                 )
         return None
 
-    def _turn_away(self, now: float) -> list[Rejection]:
+    def _reject_waiting(self, now: float) -> list[Rejection]:
         rejected = []
         serve = [group.serves(now) for group in self._groups.values()]
         closed = bool(serve) and all(one is False for one in serve)
         if closed or True in serve:
             self.outages.observe(is_open=not closed, now=now)
-        excess = self._find_excess(now)
+        excess = self._find_unreachable_turns(now)
         rest_s = self.measure_rest_s(now)
         for waiting in list(self._waiting.values()):
             request_id = waiting.item.request_id
             if closed:
-                reason, after_s = "group-broken", self._choose_return(waiting, now)
+                reason, after_s = (
+                    "group-broken",
+                    self._choose_outage_retry_after(waiting, now),
+                )
             elif request_id in excess:
-                reason, after_s = "replicas-limited", self._spread(excess[request_id])
+                reason, after_s = (
+                    "replicas-limited",
+                    self._add_jitter(excess[request_id]),
+                )
             elif rest_s and now + rest_s > waiting.refuse_at:
-                reason, after_s = "replicas-resting", self._spread_after(rest_s)
+                reason, after_s = "replicas-resting", self._add_delay(rest_s)
             elif now >= waiting.refuse_at:
-                reason, after_s = "overloaded", self._spread(RETRY_AFTER_S)
+                reason, after_s = (
+                    "overloaded",
+                    self._add_jitter(OVERLOADED_RETRY_AFTER_S),
+                )
             else:
                 continue
             self.remove(request_id)
             rejected.append(Rejection(request_id, reason, after_s))
         return rejected
 
-    def _choose_return(self, waiting: QueuedRequest, now: float) -> float:
+    def _choose_outage_retry_after(self, waiting: QueuedRequest, now: float) -> float:
         wait_s = self.outages.measure_wait_s(now)
         spread_s = self._random.uniform(0, self.outages.measure_jitter_s(now))
         return min(wait_s + spread_s, MAX_WAIT_SHARE * (waiting.item.deadline - now))
 
-    def _find_excess(self, now: float) -> dict[str, float]:
+    def _find_unreachable_turns(self, now: float) -> dict[str, float]:
         """Return who waits in vain for limited replicas, and when to come back.
 
         Made for a service whose replicas all name a limit. They take what they take;
@@ -447,7 +456,7 @@
             return {}
         per_s = sum(limited)
         if not per_s:
-            return dict.fromkeys(self._waiting, ELSEWHERE_AGAIN_S)
+            return dict.fromkeys(self._waiting, OTHER_ENTRY_RETRY_AFTER_S)
         first_s = min(self.limits.measure_due_s(one.replica, now) for one in usable)
         excess: dict[str, float] = {}
         kept = 0
@@ -461,20 +470,20 @@
                 kept += 1
         return excess
 
-    def _spread(self, after_s: float) -> float:
+    def _add_jitter(self, after_s: float) -> float:
         # Many are refused in the same moment. Asked back for the same moment too, they
         # would bring all their prompts at once.
-        return after_s * self._random.uniform(1 - _SPREAD, 1 + _SPREAD)
+        return after_s * self._random.uniform(1 - _RETRY_JITTER, 1 + _RETRY_JITTER)
 
-    def _spread_after(self, rest_s: float) -> float:
+    def _add_delay(self, rest_s: float) -> float:
         # Whoever comes back before the end is refused again.
-        spread_s = max(RETRY_AFTER_S, _SPREAD * rest_s)
+        spread_s = max(OVERLOADED_RETRY_AFTER_S, _RETRY_JITTER * rest_s)
         return rest_s + self._random.uniform(0, spread_s)
 
     def _may_eject(self, failing: ReplicaLoad, now: float) -> bool:
         others = [one for one in self._replicas.values() if one is not failing]
         ejected = [now < one.ejected_until for one in others]
-        if sum(ejected) + 1 > _MAX_EJECTED * len(self._replicas):
+        if sum(ejected) + 1 > _MAX_EJECTED_SHARE * len(self._replicas):
             return False
         return any(
             not out and self.notices.takes_requests(one.replica, now)
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -377,7 +377,7 @@
         gate = self._tools.gates.get_gate(self._request.service)
         now = trio.current_time()
         if response.status == _MISDIRECTED:
-            gate.mark_wrong(replica)
+            gate.mark_replaced(replica)
         elif gate.may_send(replica, now):
             gate.note_full(replica, now=now, until=now + FULL_REST_S)
         raise _TryAgain(
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -160,7 +160,7 @@
             if service is None:
                 continue
             gate = self._gates[service]
-            if gate.note_news(news, now=now):
+            if gate.observe_peer_limit(news, now=now):
                 _log_limit(
                     news.replica, news.per_s, gate, source="entry", age_s=news.age_s
                 )
@@ -212,7 +212,7 @@
         if not gate.count_waiting():
             return
         was_closed = gate.outages.in_outage
-        decisions = gate.settle(trio.current_time())
+        decisions = gate.dispatch(trio.current_time())
         if gate.outages.in_outage != was_closed:
             _log_opening(gate, decided=len(decisions))
         for decision in decisions:
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -75,7 +75,7 @@
 def send(gate, *, now, count=6):
     """Add some requests and return the ids of the replicas that get them."""
     add(gate, count, now=now)
-    return {one.replica.id for one in list_assignments(gate.settle(now))}
+    return {one.replica.id for one in list_assignments(gate.dispatch(now))}
 
 
 def lapse(gate, now):
@@ -145,7 +145,7 @@
     gate.note_rest(make_replica(0), 4.0, now=0.0)
     gate.note_rest(make_replica(1), 3.0, now=0.0)
     add(gate, 20)
-    turned = list_rejections(gate.settle(0.0))
+    turned = list_rejections(gate.dispatch(0.0))
     assert {one.reason for one in turned} == {"replicas-resting"}
     times = [one.retry_after_s for one in turned]
     assert len(turned) == 20
@@ -158,8 +158,8 @@
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
     gate.add(make_waiting(1), weight=1.0)
-    assert gate.settle(0.0) == []
-    assert list_assignments(gate.settle(0.1))
+    assert gate.dispatch(0.0) == []
+    assert list_assignments(gate.dispatch(0.1))
 
 
 @pytest.mark.parametrize(
@@ -198,8 +198,8 @@
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
     add(gate, 50)
-    gate.settle(0.05)
-    assert 1 <= len(list_assignments(gate.settle(0.1))) <= 6
+    gate.dispatch(0.05)
+    assert 1 <= len(list_assignments(gate.dispatch(0.1))) <= 6
 
 
 @pytest.mark.parametrize("happen", [lapse, move, fail, hear, fill])
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -28,7 +28,7 @@
     alone = {"ranks": 1, "entries": 1}
     gate.observe_load(make_load(0, started_ms=BEFORE, **alone), now=0.0)
     add(gate, 6)
-    places = list_assignments(gate.settle(0.0))
+    places = list_assignments(gate.dispatch(0.0))
     assert len(places) == 6
     if told_by == "registration":
         restarted = gate.update([make_replica(0, started_ms=AFTER)], None, now=0.0)
@@ -49,7 +49,7 @@
     gate, _ = make_restarted_gate(told_by=told_by)
     for number in range(10, 16):
         gate.add(make_waiting(number, now=1.0), weight=1.0)
-    assert len(list_assignments(gate.settle(1.0))) == 6
+    assert len(list_assignments(gate.dispatch(1.0))) == 6
 
 
 @pytest.mark.parametrize("told_by", ["registration", "load"])
@@ -61,22 +61,22 @@
     gate, old = make_restarted_gate(told_by=told_by)
     for number in range(10, 16):
         gate.add(make_waiting(number, now=1.0), weight=1.0)
-    gate.settle(1.0)
+    gate.dispatch(1.0)
     for place in old:
         gate.finish(place.replica, failed=True, now=1.1)
     gate.add(make_waiting(99, now=1.1), weight=1.0)
-    assert not list_assignments(gate.settle(1.1))
+    assert not list_assignments(gate.dispatch(1.1))
 
 
 def test_refusals_and_wrong_addresses_of_an_earlier_start_are_forgotten():
     gate = make_gate(0)
     old, new = make_replica(0, started_ms=BEFORE), make_replica(0, started_ms=AFTER)
     gate.update([old], None, now=0.0)
-    gate.mark_wrong(old)
+    gate.mark_replaced(old)
     gate.update([new], None, now=0.0)
     gate.note_full(old, now=0.0, until=100.0)
     add(gate, 1)
-    assert list_assignments(gate.settle(0.0))
+    assert list_assignments(gate.dispatch(0.0))
 
 
 def test_older_registration_does_not_undo_what_loads_tell():
@@ -86,18 +86,18 @@
     """
     gate, _ = make_restarted_gate(told_by="load")
     add(gate, 2, now=1.0)
-    gate.settle(1.0)
+    gate.dispatch(1.0)
     assert gate.update([make_replica(0, started_ms=BEFORE)], None, now=0.0) == []
     for number in range(10, 16):
         gate.add(make_waiting(number, now=1.0), weight=1.0)
-    assert len(list_assignments(gate.settle(1.0))) == 4
+    assert len(list_assignments(gate.dispatch(1.0))) == 4
 
 
 def test_request_is_sent_to_the_next_start_of_a_replica_that_lost_it():
     gate = make_gate(0)
     gate.update([make_replica(0, started_ms=AFTER)], None, now=0.0)
     gate.add(make_waiting(1, avoid=(("i-0", BEFORE),)), weight=1.0)
-    assert list_assignments(gate.settle(0.0))
+    assert list_assignments(gate.dispatch(0.0))
 
 
 def test_request_that_crashes_one_replica_again_and_again_is_banned():
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -98,9 +98,9 @@
     for number in range(4):
         gate.observe_load(make_load(number, active=3), now=0.0)
     add(gate, 30)
-    placed = list_assignments(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert 1 <= len(placed) <= 3
-    assert not list_rejections(gate.settle(0.1))
+    assert not list_rejections(gate.dispatch(0.1))
 
 
 def test_what_found_no_room_is_refused_early_with_a_time_to_come_back():
@@ -108,8 +108,8 @@
     for number in range(4):
         gate.observe_load(make_load(number, active=6), now=0.0)
     add(gate, 5)
-    assert gate.settle(0.1) == []
-    rejected = list_rejections(gate.settle(HOLD_S))
+    assert gate.dispatch(0.1) == []
+    rejected = list_rejections(gate.dispatch(HOLD_S))
     assert len(rejected) == 5
     assert {one.reason for one in rejected} == {"overloaded"}
     assert all(one.retry_after_s > 0 for one in rejected)
@@ -124,7 +124,7 @@
     for number in range(4):
         gate.observe_load(make_load(number, open=False), now=0.0)
     add(gate, 3)
-    rejected = list_rejections(gate.settle(0.001))
+    rejected = list_rejections(gate.dispatch(0.001))
     assert [one.reason for one in rejected] == ["group-broken"] * 3
 
 
@@ -142,7 +142,7 @@
     gate = make_gate()
     gate.observe_load(make_load(0), now=-10.0)
     add(gate, 30)
-    placed = list_assignments(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert len(placed) <= ENGINE.slots * 4 / 4
 
 
@@ -151,7 +151,7 @@
     add(gate, 4)
     placed = []
     for _ in range(4):
-        placed += list_assignments(gate.settle(0.0))
+        placed += list_assignments(gate.dispatch(0.0))
     assert len({one.replica.id for one in placed}) >= 3
 
 
@@ -160,7 +160,7 @@
     gate = make_gate(2, engine=None)
     for number in range(20):
         gate.add(make_waiting(number, avoid=((avoided, 0),)), weight=1.0)
-        for place in list_assignments(gate.settle(0.0)):
+        for place in list_assignments(gate.dispatch(0.0)):
             assert place.replica.id != avoided
             gate.finish(place.replica, failed=False, now=0.0)
 
@@ -172,7 +172,7 @@
     add(gate, 12)
     placed = []
     for _ in range(12):
-        placed += list_assignments(gate.settle(0.0))
+        placed += list_assignments(gate.dispatch(0.0))
     assert placed
     assert not [one for one in placed if one.replica.id == "i-0"]
 
@@ -181,7 +181,7 @@
     gate = make_gate(1, engine=None)
     for number, priority in enumerate((3, 3, 0)):
         gate.add(make_waiting(number, priority=priority), weight=1.0)
-    assert list_assignments(gate.settle(0.0))[0].request_id == "r-2"
+    assert list_assignments(gate.dispatch(0.0))[0].request_id == "r-2"
 
 
 def test_those_who_can_be_served_in_time_go_before_those_who_are_late():
@@ -192,7 +192,7 @@
     gate = make_gate(1, engine=None)
     gate.add(make_waiting(1, now=0.0), weight=1.0)
     gate.add(make_waiting(2, now=0.1), weight=1.0)
-    placed = list_assignments(gate.settle(0.1))
+    placed = list_assignments(gate.dispatch(0.1))
     assert [one.request_id for one in placed] == ["r-2", "r-1"]
 
 
@@ -244,7 +244,7 @@
     for number in range(4):
         gate.observe_load(make_load(number, active=5 + number % 2), now=1.0)
     gate.add(make_waiting(1, now=0.9), weight=1.0)
-    assert not list_assignments(gate.settle(1.0))
+    assert not list_assignments(gate.dispatch(1.0))
     gate.add(make_waiting(2, now=1.0), weight=1.0)
     placed = []
     for step in range(2, 40):
@@ -252,7 +252,7 @@
         for number in range(4):
             load = make_load(number, active=5 + number % 2, step=step)
             gate.observe_load(load, now=1.0)
-        placed += list_assignments(gate.settle(1.0))
+        placed += list_assignments(gate.dispatch(1.0))
     assert [one.request_id for one in placed] == ["r-2"]
 
 
@@ -289,7 +289,7 @@
     """
     gate = make_groups(3, active=(6, 1, 5))
     add(gate, 4)
-    placed = list_assignments(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert placed
     assert {int(one.replica.id[2:]) // 4 for one in placed} == {1}
 
@@ -304,10 +304,10 @@
         load = make_load(number, group="group-0", open=False)
         gate.observe_load(load, now=0.0)
     add(gate, 6)
-    placed = list_assignments(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert placed
     assert {int(one.replica.id[2:]) // 4 for one in placed} == {1}
-    assert not list_rejections(gate.settle(0.01))
+    assert not list_rejections(gate.dispatch(0.01))
 
 
 def test_free_places_are_not_taken_again_before_the_next_pass():
@@ -318,7 +318,7 @@
     """
     gate = make_groups(1, active=4)
     add(gate, 30)
-    looks = [list_assignments(gate.settle(0.001 * look)) for look in range(20)]
+    looks = [list_assignments(gate.dispatch(0.001 * look)) for look in range(20)]
     assert sum(len(one) for one in looks) <= 8 / 4 + 1
 
 
@@ -332,7 +332,7 @@
     for step in range(2, 202):
         make_groups(1, active=5, step=step, gate=gate)
         gate.add(make_waiting(step, now=0.0), weight=1.0)
-        for place in list_assignments(gate.settle(0.0)):
+        for place in list_assignments(gate.dispatch(0.0)):
             gate.finish(place.replica, failed=False, now=0.0)
             taken += 1
     # Four places of 24 are free, and four entries share them.
@@ -346,10 +346,10 @@
     of the store, requests would use up their attempts.
     """
     gate = make_gate(2, engine=None)
-    gate.mark_wrong(make_replica(0))
+    gate.mark_replaced(make_replica(0))
     gate.update([make_replica(number) for number in range(2)], None, now=0.0)
     add(gate, 3)
-    assert {one.replica.id for one in list_assignments(gate.settle(0.0))} == {"i-1"}
+    assert {one.replica.id for one in list_assignments(gate.dispatch(0.0))} == {"i-1"}
 
 
 def make_prompts(gate, count, *, tokens, now=0.0):
@@ -369,7 +369,7 @@
         for number in range(12):
             load = make_load(number, ranks=12, epoch=2, step=step, pass_s=0.0)
             gate.observe_load(load, now=step * 0.1)
-        yield sum(tokens for _ in list_assignments(gate.settle(step * 0.1)))
+        yield sum(tokens for _ in list_assignments(gate.dispatch(step * 0.1)))
 
 
 def test_prompts_that_come_back_after_a_crash_are_read_over_several_passes():
@@ -396,7 +396,7 @@
             load = make_load(number, ranks=12, epoch=2, step=step, pass_s=0.0)
             gate.observe_load(load, now=step * 0.1)
     for gate in gates:
-        for place in list_assignments(gate.settle(step * 0.1)):
+        for place in list_assignments(gate.dispatch(step * 0.1)):
             read[int(place.replica.id.removeprefix("i-"))] += tokens
     return read
 
@@ -426,7 +426,7 @@
     gate.observe_load(make_load(0, ranks=2, active=1, queued=2), now=0.0)
     gate.observe_load(make_load(1, ranks=2, active=3), now=0.0)
     add(gate, 1)
-    assert [one.replica.id for one in list_assignments(gate.settle(0.0))] == ["i-1"]
+    assert [one.replica.id for one in list_assignments(gate.dispatch(0.0))] == ["i-1"]
 
 
 def test_entry_with_most_callers_may_send_most_prompts():
@@ -474,7 +474,7 @@
     placed = 0
     for step in range(41, 60):
         now = 13.2 + (step - 41) * 0.06
-        placed += len(list_assignments(gate.settle(now)))
+        placed += len(list_assignments(gate.dispatch(now)))
         if placed:
             tell_group(gate, step=step, now=now, active=1, pass_s=0.06)
         else:
@@ -511,7 +511,7 @@
     for number in range(200):
         now = number * 0.01
         gate.add(make_waiting(number, now=now), weight=1.0)
-        for decision in gate.settle(now):
+        for decision in gate.dispatch(now):
             if isinstance(decision, Rejection):
                 rejected.append(decision)
                 continue
@@ -527,12 +527,12 @@
 def test_group_that_serves_again_is_seen_by_the_next_try():
     gate = make_gate(12)
     add(gate, 1)
-    place = list_assignments(gate.settle(0.0))[0]
+    place = list_assignments(gate.dispatch(0.0))[0]
     gate.note_full(place.replica, now=0.0, until=0.1)
     gate.add(make_waiting(50, now=0.1), weight=1.0)
-    assert list_rejections(gate.settle(0.1))
+    assert list_rejections(gate.dispatch(0.1))
     gate.add(make_waiting(51, now=0.3), weight=1.0)
-    assert list_assignments(gate.settle(0.3))
+    assert list_assignments(gate.dispatch(0.3))
 
 
 def test_full_rank_of_a_group_that_is_told_of_closes_nobody_else():
@@ -540,7 +540,7 @@
     full = make_replica(0)
     gate.note_full(full, now=0.05, until=0.15)
     add(gate, 1, now=0.05)
-    places = list_assignments(gate.settle(0.05))
+    places = list_assignments(gate.dispatch(0.05))
     assert places
     assert places[0].replica.id != full.id
 
@@ -555,7 +555,7 @@
     (replica,) = gate.update([make_replica(1)], None, now=0.0) or [make_replica(1)]
     gate.note_limit(replica, 160.0, now=0.0)
     add(gate, 50, now=0.1)
-    rejected = list_rejections(gate.settle(0.1))
+    rejected = list_rejections(gate.dispatch(0.1))
     assert {one.reason for one in rejected} == {"replicas-limited"}
     assert 45 <= len(rejected) < 50
     assert all(one.retry_after_s > 0 for one in rejected)
@@ -565,7 +565,7 @@
     gate = make_gate(2, engine=None)
     gate.note_limit(make_replica(1), 0.0, now=0.0)
     add(gate, 4, now=0.0)
-    places = list_assignments(gate.settle(0.0))
+    places = list_assignments(gate.dispatch(0.0))
     assert [one.replica.id for one in places].count("i-1") <= 1
 
 
@@ -576,7 +576,7 @@
     gate.update([], None, now=0.1)
     gate.update([make_replica(0)], None, now=0.2)
     add(gate, 6, now=0.2)
-    assert not list_assignments(gate.settle(0.2))
+    assert not list_assignments(gate.dispatch(0.2))
 
 
 def test_limit_of_an_earlier_start_does_not_bind_the_next_one():
@@ -585,9 +585,9 @@
     gate.note_limit(make_replica(0, started_ms=1), 0.0, now=0.0)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
     add(gate, 3, now=0.1)
-    placed = list_assignments(gate.settle(0.1)) + list_assignments(gate.settle(0.1))
+    placed = list_assignments(gate.dispatch(0.1)) + list_assignments(gate.dispatch(0.1))
     assert len(placed) >= 1
-    assert not list_rejections(gate.settle(0.1))
+    assert not list_rejections(gate.dispatch(0.1))
 
 
 def test_one_caller_at_a_time_shows_whether_a_group_that_refused_serves_again():
@@ -598,18 +598,18 @@
     """
     gate = make_gate(12)
     add(gate, 1)
-    (first,) = list_assignments(gate.settle(0.0))
+    (first,) = list_assignments(gate.dispatch(0.0))
     gate.note_full(first.replica, now=0.0, until=0.1)
     gate.finish(first.replica, failed=False, now=0.0)
     add(gate, 8, now=0.3)
-    decisions = gate.settle(0.3)
+    decisions = gate.dispatch(0.3)
     assert len(list_assignments(decisions)) == 1
     assert len(list_rejections(decisions)) == 7
     add(gate, 8, now=0.31)
-    assert not list_assignments(gate.settle(0.31))
+    assert not list_assignments(gate.dispatch(0.31))
     gate.note_served(first.replica)
     add(gate, 8, now=0.32)
-    assert len(list_assignments(gate.settle(0.32))) > 1
+    assert len(list_assignments(gate.dispatch(0.32))) > 1
 
 
 @pytest.mark.parametrize(("replicas", "entries"), [(12, 4), (72, 12), (192, 32)])
@@ -625,6 +625,6 @@
         gate = make_gate(replicas, seed=number)
         add(gate, 3 * replicas // entries * ENGINE.slots)
         for _ in range(20):
-            placed += len(list_assignments(gate.settle(0.0)))
+            placed += len(list_assignments(gate.dispatch(0.0)))
         limit = gate.limit
     assert 0.5 * limit <= placed <= 1.2 * limit
--- a/tests/unit/test_water_filling.py
+++ b/tests/unit/test_water_filling.py
@@ -81,7 +81,7 @@
         for number in range(arrivals):
             gate = random.choice(gates)
             gate.add(make_waiting(step * 1_000 + number, now=now), weight=1.0)
-            for place in list_assignments(gate.settle(now)):
+            for place in list_assignments(gate.dispatch(now)):
                 rank = int(place.replica.id.removeprefix("i-"))
                 met_full += active[rank] >= SLOTS
                 active[rank] += 1
@@ -120,7 +120,7 @@
     room = gate._groups["group"]
     for number in range(60):
         gate.add(make_waiting(number, now=10.0), weight=1.0)
-        for place in list_assignments(gate.settle(10.0)):
+        for place in list_assignments(gate.dispatch(10.0)):
             gate.finish(place.replica, failed=False, now=12.0)
     # Two of them end after two seconds each, so 126 that run make 63 a second.
     assert room.measure_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
@@ -160,7 +160,7 @@
         for start in (0, 4, 8):
             gate.observe_loads(loads[start : start + 4])
         gate.add(make_waiting(seed), weight=1.0)
-        for place in list_assignments(gate.settle(0.0)):
+        for place in list_assignments(gate.dispatch(0.0)):
             taken[int(place.replica.id.removeprefix("i-")) // 4] += 1
     assert sum(taken) >= 15
     assert max(taken) <= 0.75 * sum(taken)
