--- a/src/hyssopvane/_internal/policy/home_replicas.py
+++ b/src/hyssopvane/_internal/policy/home_replicas.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._own = ""
         self._seeds: dict[str, int] = {}
-        self._known: dict[str, bool] = {}
+        self._is_home: dict[str, bool] = {}
 
     def update(self, own: str, others: Iterable[str]) -> None:
         """Learn the entries of the zone by their addresses."""
@@ -26,16 +26,16 @@
             return
         self._own = own
         self._seeds = {name: rendezvous.hash_name(name) for name in names}
-        self._known.clear()
+        self._is_home.clear()
 
     def is_home(self, replica: str) -> bool:
         """Tell whether this entry goes to a replica first, by the replica's address."""
-        known = self._known.get(replica)
+        known = self._is_home.get(replica)
         if known is None:
             first = rendezvous.rank(replica.encode(), self._seeds, count=1)
-            known = self._known[replica] = first == [self._own]
+            known = self._is_home[replica] = first == [self._own]
         return known
 
-    def forget(self, replica: str) -> None:
+    def remove(self, replica: str) -> None:
         """Drop what is kept of a replica that is gone."""
-        self._known.pop(replica, None)
+        self._is_home.pop(replica, None)
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -333,7 +333,7 @@
         same_address.remove(one)
         if not same_address:
             del self._by_address[one.replica.address]
-        self._homes.forget(one.replica.address)
+        self._homes.remove(one.replica.address)
         self._leave_group(replica_id, one.group)
 
     def _join_group(self, one: ReplicaLoad) -> None:
--- a/src/hyssopvane/_internal/policy/target_rest.py
+++ b/src/hyssopvane/_internal/policy/target_backoff.py
@@ -5,7 +5,7 @@
 from hyssopvane._internal.policy.replica_notices import LONGEST_REST_S
 
 
-class TargetRest:
+class TargetBackoff:
     """Hold until when a target wants no requests.
 
     The agent is the only one that sends to the target, so what it keeps to binds all
@@ -20,10 +20,10 @@
 
         A shorter time takes nothing back from a longer one.
         """
-        is_new = not self.measure_left_s(now)
+        is_new = not self.measure_remaining_s(now)
         self._until = max(self._until, now + min(rest_s, LONGEST_REST_S))
-        return is_new and self.measure_left_s(now) > 0
+        return is_new and self.measure_remaining_s(now) > 0
 
-    def measure_left_s(self, now: float) -> float:
+    def measure_remaining_s(self, now: float) -> float:
         """Return the time for which the target still wants no requests."""
         return max(0.0, self._until - now)
--- a/src/hyssopvane/_internal/policy/target_load.py
+++ b/src/hyssopvane/_internal/policy/target_load.py
@@ -17,7 +17,7 @@
 FRESH_REPORT_S = 6.0
 # An older one fades. Kept for ever, a target that was busy when its reports stopped
 # would get no work for minutes, and one that was idle would get too much.
-FORGOTTEN_REPORT_S = 30.0
+REPORT_EXPIRY_S = 30.0
 
 # A target whose reports stay away for this many of their intervals may be behind a
 # connection that went silent. Long before it is closed, which cuts the answers on it,
@@ -26,7 +26,7 @@
 _FIRST_INTERVAL_S = 0.5
 # Counted for each request of others where the report tells requests but no tokens, as
 # that of a plain service does.
-USUAL_TOKENS = 500
+DEFAULT_REQUEST_TOKENS = 500
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     _others_running: float = 0.0
     _reported_at: float | None = None
     _interval_s: float = _FIRST_INTERVAL_S
-    _changes: deque[tuple[float, int, int]] = field(default_factory=deque)
+    _recent_changes: deque[tuple[float, int, int]] = field(default_factory=deque)
 
     def add(self, tokens: int, *, now: float) -> None:
         """Count a request that this entry sends."""
@@ -51,14 +51,18 @@
 
     def observe(self, report: LoadReport, *, now: float) -> None:
         """Take the others' share from a report that arrives now."""
-        self._forget_changes(now)
-        seen_tokens = self.own_tokens - sum(change[1] for change in self._changes)
-        seen_running = self.own_running - sum(change[2] for change in self._changes)
-        others_running = max(0, report.running - seen_running)
+        self._drop_old_changes(now)
+        reported_own_tokens = self.own_tokens - sum(
+            change[1] for change in self._recent_changes
+        )
+        reported_own_running = self.own_running - sum(
+            change[2] for change in self._recent_changes
+        )
+        others_running = max(0, report.running - reported_own_running)
         if report.tokens_in_flight:
-            others_tokens = max(0, report.tokens_in_flight - seen_tokens)
+            others_tokens = max(0, report.tokens_in_flight - reported_own_tokens)
         else:
-            others_tokens = others_running * USUAL_TOKENS
+            others_tokens = others_running * DEFAULT_REQUEST_TOKENS
         share = 1.0
         if self._reported_at is not None:
             self._interval_s = max(_FIRST_INTERVAL_S, now - self._reported_at)
@@ -75,27 +79,27 @@
 
     def estimate(self, now: float) -> tuple[float, float]:
         """Return the tokens and the requests in flight at the target."""
-        trust = self._trust(now)
+        weight = self._get_report_weight(now)
         return (
-            self.own_tokens + self._others_tokens * trust,
-            self.own_running + self._others_running * trust,
+            self.own_tokens + self._others_tokens * weight,
+            self.own_running + self._others_running * weight,
         )
 
     def _change(self, tokens: int, running: int, now: float) -> None:
         self.own_tokens += tokens
         self.own_running += running
-        self._changes.append((now, tokens, running))
-        self._forget_changes(now)
+        self._recent_changes.append((now, tokens, running))
+        self._drop_old_changes(now)
 
-    def _forget_changes(self, now: float) -> None:
-        while self._changes and self._changes[0][0] <= now - REPORT_LAG_S:
-            self._changes.popleft()
+    def _drop_old_changes(self, now: float) -> None:
+        while self._recent_changes and self._recent_changes[0][0] <= now - REPORT_LAG_S:
+            self._recent_changes.popleft()
 
-    def _trust(self, now: float) -> float:
+    def _get_report_weight(self, now: float) -> float:
         if self._reported_at is None:
             return 0.0
         age = now - self._reported_at
         if age <= FRESH_REPORT_S:
             return 1.0
-        fading = FORGOTTEN_REPORT_S - FRESH_REPORT_S
+        fading = REPORT_EXPIRY_S - FRESH_REPORT_S
         return max(0.0, 1.0 - (age - FRESH_REPORT_S) / fading)
--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -18,7 +18,7 @@
 from hyssopvane._internal.exceptions import HyssopvaneError
 from hyssopvane._internal.models.refusals import AgentRefusal
 from hyssopvane._internal.models.settings import AgentSettings
-from hyssopvane._internal.policy.target_rest import TargetRest
+from hyssopvane._internal.policy.target_backoff import TargetBackoff
 from hyssopvane._internal.protocol.messages import (
     PROTOCOL_VERSION,
     Heartbeat,
@@ -65,7 +65,7 @@
         self._running: dict[bytes, Attempt] = {}
         self._idle = trio.Event()
         self._register = AttemptRegister(self.incarnation)
-        self._rest = TargetRest()
+        self._rest = TargetBackoff()
         self._keyed = KeyedRuns(
             register=self._register,
             target=self._target,
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -7,7 +7,7 @@
 
 from hyssopvane._internal.exceptions import PeerLost
 from hyssopvane._internal.models.refusals import AgentRefusal
-from hyssopvane._internal.policy.target_rest import TargetRest
+from hyssopvane._internal.policy.target_backoff import TargetBackoff
 from hyssopvane._internal.protocol import headers
 from hyssopvane._internal.protocol.messages import (
     Broken,
@@ -39,7 +39,7 @@
         target: TargetClient,
         memory: DecisionMemory,
         register: AttemptRegister,
-        rest: TargetRest,
+        rest: TargetBackoff,
     ) -> None:
         self._stream = stream
         self._opening = opening
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -8,7 +8,7 @@
 
 from hyssopvane._internal.exceptions import PeerLost
 from hyssopvane._internal.models.refusals import AgentRefusal
-from hyssopvane._internal.policy.target_rest import TargetRest
+from hyssopvane._internal.policy.target_backoff import TargetBackoff
 from hyssopvane._internal.protocol import headers
 from hyssopvane._internal.protocol.idempotency import parse_key
 from hyssopvane._internal.protocol.messages import (
@@ -53,12 +53,12 @@
         register: AttemptRegister,
         target: TargetClient,
         memory: DecisionMemory,
-        rest: TargetRest | None = None,
+        rest: TargetBackoff | None = None,
     ) -> None:
         self._register = register
         self._target = target
         self._memory = memory
-        self._rest = TargetRest() if rest is None else rest
+        self._rest = TargetBackoff() if rest is None else rest
         self._budget = AnswerBudget()
         self._runs: dict[bytes, _Run] = {}
         self._nursery: trio.Nursery | None = None
--- a/src/hyssopvane/_internal/roles/resting_target.py
+++ b/src/hyssopvane/_internal/roles/resting_target.py
@@ -7,7 +7,7 @@
 
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.models.refusals import AgentRefusal
-from hyssopvane._internal.policy.target_rest import TargetRest
+from hyssopvane._internal.policy.target_backoff import TargetBackoff
 from hyssopvane._internal.protocol.headers import join_headers, read_rest
 from hyssopvane._internal.protocol.messages import Refused
 from hyssopvane._internal.utils.logs import log_event
@@ -15,7 +15,7 @@
 _MILLISECONDS = 1_000
 
 
-def observe_rest(rest: TargetRest, response: httpcore.Response) -> None:
+def observe_rest(rest: TargetBackoff, response: httpcore.Response) -> None:
     """Take what an answer of the target says of when to come back."""
     try:
         rest_s = read_rest(response.status, join_headers(response.headers))
@@ -26,18 +26,18 @@
         log_event("info", "target-resting", rest_s=rest_s)
 
 
-def find_refusal(rest: TargetRest, *, leaving: bool) -> AgentRefusal | None:
+def find_refusal(rest: TargetBackoff, *, leaving: bool) -> AgentRefusal | None:
     """Return why an agent takes no new work now, None where it does."""
     if leaving:
         return AgentRefusal.LEAVING
-    if rest.measure_left_s(trio.current_time()):
+    if rest.measure_remaining_s(trio.current_time()):
         return AgentRefusal.TARGET_FULL
     return None
 
 
-def make_refused(refusal: AgentRefusal, rest: TargetRest) -> Refused:
+def make_refused(refusal: AgentRefusal, rest: TargetBackoff) -> Refused:
     """Return the message of a refusal, with the time that a resting target asks for."""
     if refusal is not AgentRefusal.TARGET_FULL:
         return Refused(refusal.value)
-    left_s = rest.measure_left_s(trio.current_time())
+    left_s = rest.measure_remaining_s(trio.current_time())
     return Refused(refusal.value, math.ceil(left_s * _MILLISECONDS))
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -13,7 +13,7 @@
     UNREACHABLE_BACKOFF_S,
     Placer,
 )
-from hyssopvane._internal.policy.target_load import FORGOTTEN_REPORT_S, TargetLoad
+from hyssopvane._internal.policy.target_load import REPORT_EXPIRY_S, TargetLoad
 from hyssopvane._internal.state.table import ServiceRow, Table, TargetRow
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -178,7 +178,7 @@
     placer = make_placer(["busy", "t1"])
     placer.observe_load("busy", LoadReport(30, 90_000), now=WARM)
     assert place_many(placer, 10, now=WARM)["busy"] == 0
-    later = WARM + FORGOTTEN_REPORT_S
+    later = WARM + REPORT_EXPIRY_S
     assert place_many(placer, 40, now=later)["busy"] > 15
 
 
