--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -80,7 +80,7 @@
         self._stores: list[FakeKeyValueStore] = []
         self._stale_state: KeyValueState | None = None
 
-    def keep_stale(self) -> None:
+    def snapshot_for_stale_reads(self) -> None:
         """Keep the state of now for the stale reads of entries started later."""
         self._stale_state = self.state.copy_items()
 
@@ -95,7 +95,7 @@
         self._stores.append(store)
         return store
 
-    def come_back(self, copy: KeyValueState) -> None:
+    def restore_from(self, copy: KeyValueState) -> None:
         """Let the service come back from a copy, with an identity of its own."""
         self.state = copy.copy_items()
         self.state.begin_cluster()
@@ -116,7 +116,7 @@
         )
         self.members[member.name] = member
         self._nursery.start_soon(self._run, member)
-        self.list_vms()
+        self.publish_vm_list()
         return member
 
     def kill(self, member: Member) -> None:
@@ -124,7 +124,7 @@
         member.scope.cancel()
         self.members.pop(member.name, None)
 
-    def list_vms(self) -> None:
+    def publish_vm_list(self) -> None:
         """Let every entry learn the list of VMs."""
         zones = {one.name: one.zone for one in self.members.values()}
         for member in self.members.values():
--- a/tests/unit/test_spread.py
+++ b/tests/unit/test_spread.py
@@ -90,7 +90,7 @@
             await trio.sleep(4)
             self.fleet.kill(old)
             assert not old.in_force or new.in_force, "the new one serves no table"
-            self.fleet.list_vms()
+            self.fleet.publish_vm_list()
 
     async def kill_watchers(self, _):
         for member in list(self.fleet.members.values()):
@@ -111,17 +111,17 @@
         elif kind == "start":
             self.fleet.start(ZONES[number % 2], stale=number % 3 == 0)
         elif kind in {"cut", "stale", "notices_lost"}:
-            self.fleet.keep_stale()
+            self.fleet.snapshot_for_stale_reads()
             setattr(member, kind, not getattr(member, kind))
         elif kind == "list":
-            self.fleet.list_vms()
+            self.fleet.publish_vm_list()
         await trio.sleep(number)
 
     async def heal(self):
         self.fleet.down = False
         for member in self.fleet.members.values():
             member.cut = member.stale = member.notices_lost = False
-        self.fleet.list_vms()
+        self.fleet.publish_vm_list()
         with trio.move_on_after(HEAL_S):
             while self.fleet.get_lagging():
                 await trio.sleep(0.5)
@@ -243,7 +243,7 @@
     async def scenario(fleet, scene):
         for _ in range(3):
             fleet.start()
-        fleet.keep_stale()
+        fleet.snapshot_for_stale_reads()
         await scene.edit()
         await trio.sleep(5)
         new = fleet.start(stale=True)
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -276,7 +276,7 @@
                 elif draw < 0.2:
                     # What an editor was told a moment ago is known by some entry.
                     await trio.sleep(SETTLE_S)
-                    fleet.come_back(copy)
+                    fleet.restore_from(copy)
                 elif draw < 0.25:
                     member = random.choice(list(fleet.members.values()))
                     member.cut = not member.cut
