--- a/src/hyssopvane/_internal/policy/admission.py
+++ b/src/hyssopvane/_internal/policy/admission.py
@@ -1,4 +1,4 @@
-"""Hold customers to their limits as requests arrive."""
+"""Enforce customers' limits when requests arrive."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,25 +6,26 @@
 from hyssopvane._internal.models.refusals import Outcome, Refusal, RefusalReason
 from hyssopvane._internal.state.table import CustomerRow
 
-# A caller told to come back sooner than this would find nothing changed.
+# Lower bound of Retry-After: nothing changes in less time.
 MIN_RETRY_AFTER_S = 1.0
-# A caller sent away for longer would stay away though the load is long over.
+# Upper bound of Retry-After: a caller that waits longer stays away after the overload
+# is over.
 MAX_RETRY_AFTER_S = 60.0
-# A bucket holds one second of its rate unless the table gives a burst: a terminal that
-# sends its second's worth at once is no abuse.
+# Without a burst in the table, a bucket holds one second of its rate: a terminal that
+# sends one second's requests at once is not abusive.
 _DEFAULT_BURST_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Give a part of a customer's limits to this entry for a time."""
+    """Grant this entry an additional part of a customer's limits until it expires."""
 
     granted: float
     expires_at: float
 
 
 class TokenBucket:
-    """Let requests pass at a rate, with bursts."""
+    """Limit the rate of requests and allow bursts."""
 
     __slots__ = ("_at", "_level")
 
@@ -33,7 +34,7 @@
         self._at = now
 
     def measure_wait(self, *, rate: float, burst: float, now: float) -> float:
-        """Return the seconds until one request may pass; 0 when it may now."""
+        """Return the seconds until the next request conforms; 0 if it does now."""
         passed_s = max(0.0, now - self._at)
         self._level = min(burst, self._level + passed_s * rate)
         self._at = now
@@ -42,27 +43,28 @@
         return (1 - self._level) / rate if rate else MAX_RETRY_AFTER_S
 
     def take(self) -> None:
-        """Let one request pass."""
+        """Consume the token of one admitted request."""
         self._level -= 1
 
 
 @dataclass(slots=True)
 class CustomerUsage:
-    """Count what a customer has open at this entry, and what it asked for."""
+    """Track a customer's requests at this entry: those in flight and its recent
+    demand."""
 
     requests: int = 0
     tokens: int = 0
     bucket: TokenBucket | None = None
     arrived: int = 0
-    """Requests that came since the last look, whether admitted or not."""
+    """Requests that arrived in the current interval, admitted or not."""
     refused: int = 0
-    """Of these, refused by a limit."""
+    """Requests of the interval that a limit refused."""
     refused_tokens: int = 0
     peak_requests: int = 0
     peak_tokens: int = 0
 
     def reset_interval(self) -> None:
-        """Forget what was asked for before."""
+        """Start a new interval of demand."""
         self.arrived = 0
         self.refused = 0
         self.refused_tokens = 0
@@ -73,11 +75,12 @@
 class Admission:
     """Check each new request against its customer's share of the limits.
 
-    Made for one customer that sends far more than it has bought, by a loop gone wild or
-    a deadline rush. Without a limit on arrival its requests fill queues and targets,
-    and the neighbours wait. Rate bounds how often it comes, concurrency and tokens
-    bound what it holds: few huge requests do the harm of many small ones. A refusal
-    costs microseconds and comes at once, so the load is gone when it is told.
+    This protects the other customers from one that sends far more than it has bought,
+    for example by a runaway loop or in a deadline rush. Without a limit on arrival its
+    requests fill queues and targets, and the other customers wait. The rate limit
+    bounds how often requests arrive; the concurrency and token limits bound what they
+    hold, since a few huge requests do as much harm as many small ones. A refusal costs
+    microseconds and is immediate, so refused requests add no load.
     """
 
     def __init__(self) -> None:
@@ -87,35 +90,36 @@
         self._uses: dict[str, CustomerUsage] = {}
 
     def update_rows(self, rows: Mapping[str, CustomerRow]) -> None:
-        """Apply the customers of the table in force."""
+        """Apply the customers of the current table."""
         self._rows = rows
         for name in [one for one in self._uses if one not in rows]:
-            # Requests in progress of a row that was removed still count down.
+            # Requests in flight of a removed customer still have to be released.
             if not self._uses[name].requests:
                 del self._uses[name]
 
     def set_safe_share(self, fraction: float) -> None:
-        """Apply the part of all limits that this entry may always use."""
+        """Set the fraction of every limit that this entry may always use."""
         self._safe_share = fraction
 
     def set_share(self, customer: str, share: Share) -> None:
-        """Apply the part of a customer's limits that this entry may use besides."""
+        """Set the share of a customer's limits that this entry may use in addition."""
         self._shares[customer] = share
 
     def get_row(self, customer: str) -> CustomerRow:
-        """Return a customer's row; one without limits when the table has none."""
+        """Return a customer's row, or a row without limits if the table has none."""
         return self._rows.get(customer) or CustomerRow(customer)
 
     def get_uses(self) -> Mapping[str, CustomerUsage]:
-        """Return what each customer has open and has asked for."""
+        """Return each customer's requests in flight and recent demand."""
         return self._uses
 
     def check(
         self, customer: str, tokens: int, *, hold_s: float, now: float
     ) -> Refusal | None:
-        """Refuse a request above a limit; `take` must follow when it is let in.
+        """Return a refusal if a request exceeds a limit.
 
-        `hold_s` is the time that a request of average size stays, for Retry-After.
+        Call `take` for each request that is admitted. `hold_s` is the time for which an
+        average request is in flight, for Retry-After.
         """
         use = self._get_usage(customer)
         use.arrived += 1
@@ -129,7 +133,7 @@
         return refusal
 
     def take(self, customer: str, tokens: int) -> None:
-        """Count a request that was let in."""
+        """Count an admitted request."""
         use = self._get_usage(customer)
         use.requests += 1
         use.tokens += tokens
@@ -139,7 +143,7 @@
             use.bucket.take()
 
     def release(self, customer: str, tokens: int) -> None:
-        """Count a request that is over."""
+        """Stop counting a request that has ended."""
         use = self._get_usage(customer)
         use.requests -= 1
         use.tokens -= tokens
@@ -160,9 +164,9 @@
         now: float,
     ) -> Refusal | None:
         fraction = self._get_fraction(row.name, now=now)
-        # One request at a time is let in whatever the share: a limit lower than the
+        # One request at a time is admitted whatever the share: a limit lower than the
         # number of entries can't be split into whole requests, and a request larger
-        # than a share of tokens would else never run.
+        # than a share of tokens would never run.
         if row.concurrency_limit and use.requests:
             limit = int(row.concurrency_limit * fraction)
             if use.requests >= limit:
@@ -181,7 +185,7 @@
         if share is None:
             return self._safe_share
         if now >= share.expires_at:
-            # Its giver counts it as returned from here on.
+            # From this time on the entry that granted the share counts it as returned.
             del self._shares[customer]
             return self._safe_share
         return min(1.0, self._safe_share + share.granted)
@@ -205,7 +209,7 @@
 
 
 def clamp_retry_after(wait_s: float) -> float:
-    """Return a time to come back that is neither useless nor endless."""
+    """Return a Retry-After within its bounds, in seconds."""
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
 
--- a/src/hyssopvane/_internal/policy/demand_window.py
+++ b/src/hyssopvane/_internal/policy/demand_window.py
@@ -1,4 +1,4 @@
-"""Follow which experts a group's requests choose."""
+"""Measure which experts a group's requests choose."""
 
 from collections import deque
 from collections.abc import Iterable, Sequence
@@ -6,33 +6,35 @@
 from hyssopvane._internal.state.group import Counts
 
 WINDOW_S = 0.4
-"""Time over which choices are counted.
+"""Time over which choices are counted, in seconds.
 
-A handful of passes: more show experts that are no longer in demand, and demand moves
-on within seconds. A pass alone has thousands of choices, so there is little noise.
+It spans a handful of passes. A longer window counts experts that are no longer in
+demand, since demand moves within seconds. A single pass has thousands of choices, so
+there is little noise.
 """
 
 RECENT_WINDOW_S = 0.15
-"""Time over which the newest demand is looked at by itself: each rank tells its counts
-at least once in it."""
+"""Time over which the newest demand is measured, in seconds; each rank reports its
+counts at least once in it."""
 
 SHIFT_THRESHOLD = 0.25
-"""Part of the choices by which the newest demand differs from the window's, above which
-demand has moved on and only the newest counts.
-
-Made for demand that moves to other experts every few seconds, at any moment. A change
-that is worked out just after that, from a window that is old for the larger part, eases
-the wrong experts and holds up the right change by its whole time. Two thirds of the
-choices move at a time; what a thousand choices differ by chance is far below this.
+"""Fraction of differing choices above which demand has shifted.
+
+It compares the newest demand with that of the whole window; after a shift only the
+newest counts are used. Demand moves to other experts every few seconds, at any moment.
+A change of the map computed just after a shift, from a window that is mostly older,
+relieves the wrong experts and delays the right change by the time that it takes. A
+shift moves two thirds of the choices; the random difference between samples of a
+thousand choices is far below the threshold.
 """
 
 
 class DemandWindow:
-    """Sum the counts of all ranks, and tell what came lately.
+    """Sum the counts of all ranks and detect recent shifts.
 
-    The sum is kept up to date with each message. A window of a large group holds dozens
-    of messages with 1,536 counts each, and adding them all up at each look would cost
-    the leader more than taking them.
+    The sum is updated with each message. A large group's window holds dozens of
+    messages with 1,536 counts each, and adding them up for each measurement would cost
+    the leader more than receiving them.
     """
 
     def __init__(self) -> None:
@@ -40,12 +42,12 @@
         self._totals: list[int] = []
 
     def clear(self) -> None:
-        """Forget everything: the ranks have started anew."""
+        """Drop all samples, when the ranks have restarted."""
         self._samples.clear()
         self._totals.clear()
 
     def observe(self, counts: Counts, *, now: float) -> None:
-        """Take what the requests of one rank chose since its last word."""
+        """Add the choices of one rank's requests since its last report."""
         if len(self._totals) != len(counts):
             self._totals = [0] * len(counts)
             self._samples.clear()
@@ -54,7 +56,7 @@
         self._expire_samples(now)
 
     def measure(self, *, sets: int, now: float) -> list[list[float]]:
-        """Return the choices that tell the present demand, by set and expert."""
+        """Return the current demand as choices by set and expert."""
         self._expire_samples(now)
         if not self._samples:
             return []
@@ -84,7 +86,7 @@
 
 
 def _measure_distance(some: Sequence[int], others: Sequence[int]) -> float:
-    """Return the part of the choices by which two demands differ, 0 to 1."""
+    """Return the fraction of choices by which two demands differ, 0 to 1."""
     total, other_total = sum(some), sum(others)
     if not total or not other_total:
         return 0.0
--- a/src/hyssopvane/_internal/policy/estimates.py
+++ b/src/hyssopvane/_internal/policy/estimates.py
@@ -2,22 +2,23 @@
 
 import xxhash
 
-# English text runs at about four bytes a token; the engines' reports correct the rest.
+# English text has about four bytes per token; reports from the engines correct the
+# rest.
 _BYTES_PER_TOKEN = 4
-# The answer of a draft, when nothing else is known of it.
+# Length of a draft's answer, when nothing else is known about it.
 _DEFAULT_ANSWER_TOKENS = 256
 _PREFIX_BLOCK_BYTES = 1024
-# Long enough to tell system prompts apart, short enough to hash in microseconds.
+# Long enough to distinguish system prompts, short enough to hash in microseconds.
 _MAX_PREFIX_BLOCKS = 8
 
 
 def estimate_tokens(body: bytes) -> int:
-    """Estimate prompt and answer tokens of a request."""
+    """Estimate the number of prompt and answer tokens of a request."""
     return len(body) // _BYTES_PER_TOKEN + _DEFAULT_ANSWER_TOKENS
 
 
 def hash_prefixes(body: bytes) -> tuple[int, ...]:
-    """Hash ever longer prefixes of a body, in blocks."""
+    """Hash the prefixes of a body that end at block boundaries, the shortest first."""
     digest = xxhash.xxh3_64()
     hashes: list[int] = []
     for start in range(0, len(body) - _PREFIX_BLOCK_BYTES + 1, _PREFIX_BLOCK_BYTES):
