--- a/src/hyssopvane/_internal/policy/home_replicas.py
+++ b/src/hyssopvane/_internal/policy/home_replicas.py
@@ -1,4 +1,4 @@
-"""Divide the replicas of a zone among its entries."""
+"""Assign each replica of a zone to one entry, its home."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 class HomeReplicas:
-    """Name the replicas that an entry goes to first.
+    """Determine the replicas that an entry prefers: those that have it as their home.
 
-    Made for many entries that place requests by loads of some tenths of a second ago:
-    two of them send to the same free slot, and the second request waits for a second
-    behind the first. Of replicas that one entry alone goes to first it knows the load
-    at any moment, and it keeps its connections there.
+    Many entries place requests by loads that are some tenths of a second old. Two of
+    them can send to the same free slot, and the second request waits for a second
+    behind the first. If only one entry prefers a replica, it knows the load there at
+    any moment and keeps its connections open.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self._is_home: dict[str, bool] = {}
 
     def update(self, own: str, others: Iterable[str]) -> None:
-        """Learn the entries of the zone by their addresses."""
+        """Set the entries of the zone by their addresses."""
         names = {own, *others}
         if own == self._own and names == self._seeds.keys():
             return
@@ -29,7 +29,7 @@
         self._is_home.clear()
 
     def is_home(self, replica: str) -> bool:
-        """Tell whether this entry goes to a replica first, by the replica's address."""
+        """Return whether this entry is the home of a replica, given by its address."""
         known = self._is_home.get(replica)
         if known is None:
             first = rendezvous.rank(replica.encode(), self._seeds, count=1)
@@ -37,5 +37,5 @@
         return known
 
     def remove(self, replica: str) -> None:
-        """Drop what is kept of a replica that is gone."""
+        """Drop the cached result of a replica that is gone."""
         self._is_home.pop(replica, None)
--- a/src/hyssopvane/_internal/policy/outage_tracker.py
+++ b/src/hyssopvane/_internal/policy/outage_tracker.py
@@ -1,33 +1,33 @@
-"""Expect when a service whose groups are all closed serves requests again."""
+"""Estimate when a service whose groups are all closed serves requests again."""
 
 MIN_WAIT_S = 2.0
-"""Least time until a caller is asked back.
+"""Minimum Retry-After during an outage, in seconds.
 
-A rank has to start and its group to form. One that comes back too early is refused
-again and has no try left; one that comes late has lost little.
+A rank has to start and its group to form. A caller that returns too early is refused
+again and has no retry left; one that returns late loses little.
 """
 
 MAX_WAIT_SHARE = 1 / 3
-"""Part of its time left that a caller may be asked to stay away: one that comes back
-later has too little time to be served, whatever the answer is."""
+"""Maximum Retry-After as a fraction of a caller's remaining time: one that returns
+later has too little time to be served."""
 
 
 class OutageTracker:
-    """Follow the outages of one service at one entry.
+    """Track the outages of one service at one entry.
 
-    Made for the seconds after everything has lost power: entries are back before the
-    groups have formed, and a crowd is refused at once. It must not come back before
-    they serve, nor in one moment, nor take the places of those who come for the first
-    time while no map follows the demand yet.
+    After a power loss, entries are back before the groups have formed, and many callers
+    are refused at once. They should not return before the groups serve requests, nor
+    all at the same moment, nor displace new callers while the expert map has not yet
+    adapted to the demand.
     """
 
     def __init__(self) -> None:
         self._started_at: float | None = None
         self._last_length_s = 0.0
-        """Length of the last outage that was seen to end."""
+        """Length of the last outage whose end was observed, in seconds."""
 
     def observe(self, *, is_open: bool, now: float) -> None:
-        """Take whether any group serves requests now."""
+        """Record whether any group serves requests now."""
         if not is_open:
             if self._started_at is None:
                 self._started_at = now
@@ -38,19 +38,19 @@
 
     @property
     def in_outage(self) -> bool:
-        """Tell whether no group has served lately, as far as known."""
+        """Return whether an outage is in progress, as far as this entry knows."""
         return self._started_at is not None
 
     def measure_wait_s(self, now: float) -> float:
-        """Return the time until a caller who is refused now should come back."""
+        """Return the seconds after which a caller refused now should retry."""
         elapsed_s = 0.0 if self._started_at is None else now - self._started_at
-        # One that lasts for longer than the last one did may last as long again.
+        # An outage that is longer than the last one may last as long again.
         return max(MIN_WAIT_S, self._last_length_s - elapsed_s, elapsed_s)
 
     def measure_jitter_s(self, now: float) -> float:
-        """Return the time over which those who are refused now should come back.
+        """Return the range of the random delay added to a retry, in seconds.
 
-        As long as the outage has lasted: then no more of them come at a time than
-        others who come for the first time.
+        It is as long as the outage so far, so that callers return at no higher rate
+        than new callers arrive.
         """
         return 0.0 if self._started_at is None else now - self._started_at
--- a/src/hyssopvane/_internal/policy/water_filling.py
+++ b/src/hyssopvane/_internal/policy/water_filling.py
@@ -1,10 +1,10 @@
-"""Choose among replicas by loads that many entries saw a moment ago.
+"""Choose among replicas by stale loads that many entries share.
 
-Made for many entries that all read the same loads, each some tenths of a second old.
-Were each to send to the least loaded replica, all requests of that time would go to the
-same three or four: with 63 ranks and 13 entries one request in ten waited for a second
-behind others, while half of the slots were free. So each replica gets a share of what
-is expected to arrive meanwhile, such that all come to the same level.
+Many entries read the same loads, each some tenths of a second old. If each sent to the
+least loaded replica, all requests of that time would go to the same three or four: with
+63 ranks and 13 entries one request in ten waited for a second behind others, while half
+of the slots were free. So each replica gets a share of the expected arrivals such that
+all reach the same level (water filling).
 """
 
 from collections.abc import Sequence
@@ -12,16 +12,16 @@
 from random import Random
 
 REQUEST_COST = 2.0
-"""What a request that has just arrived adds to a replica's cost: it runs, and its
-prompt is still to be read."""
+"""Cost that a new request adds to a replica: one for running, and one for its unread
+prompt."""
 
 
 def find_water_level(
     costs: Sequence[float], added: float, widths: Sequence[float] = ()
 ) -> float:
-    """Return the level that costs come to when so much is poured over the lowest.
+    """Return the level that costs reach when an amount is added to the lowest ones.
 
-    `widths` tell how much each takes for a rise by one; empty: one each.
+    `widths` are the amounts that raise each cost by one; if empty, each is one.
     """
     ordered = sorted(zip(costs, widths or [1.0] * len(costs), strict=True))
     filled = width = 0.0
@@ -38,10 +38,10 @@
 def choose_by_deficit(
     costs: Sequence[float], arrivals: float, *, free: Sequence[int], random: Random
 ) -> int:
-    """Return the place of a replica, drawn by what it lacks to the common level.
+    """Return the index of a replica, drawn by its deficit to the common level.
 
-    `arrivals` are the requests that all entries are expected to send until the next
-    loads come, this one included; `free` are the replicas' free slots.
+    `arrivals` is the number of requests that all entries are expected to send before
+    the next loads arrive, including this one; `free` are the replicas' free slots.
     """
     level = find_water_level(costs, max(1.0, arrivals) * REQUEST_COST)
     weights = [
