--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -21,41 +21,44 @@
 )
 
 _FULL_WEIGHT = 100
-# Own availability zone first, up to this share of a target's limits. Below it a batch
-# has room, and a hop to another zone costs each token a millisecond for nothing.
+# Targets of the own availability zone are preferred up to this fraction of their
+# limits. Below it a batch has room, and a hop to another zone would cost each token a
+# millisecond for no benefit.
 SPILL_UTILISATION = 0.4
-# Above it work goes to another zone when the best target there is emptier by this
-# factor; without it two zones that are equally full would swap their work.
+# Above it, work goes to another zone if the best target there is less full by this
+# factor; without it two equally full zones would exchange their work.
 SPILL_RATIO = 1.2
-# Targets that are drawn at random for a choice. Two leave a third of a second more in
-# the tail of the wait than four; all of them send every entry to the same one.
+# Number of targets sampled at random for a choice. With two, the tail of the wait is a
+# third of a second longer than with four; with all of them, every entry sends to the
+# same target.
 SAMPLED_TARGETS = 4
-# Weight of tokens beside requests in flight, each as a share of its limit. Slots run
-# out before memory does while prompts are of usual length: with tokens weighed as much
-# as requests, a mix of long and short work waited longer.
+# Weight of tokens relative to requests in flight, each as a fraction of its limit. With
+# prompts of usual length, slots run out before memory does; with equal weights, a mix
+# of long and short work waited longer.
 TOKEN_SHARE = 0.1
-# A target that holds a prefix is preferred while it would be fuller than the choice by
-# load by at most this factor. A hit saves the reading of the prompt; at 1.25 the wait
-# behind popular prefixes already costs more in the tail than hits save.
+# A target that holds a prefix is preferred if its score exceeds that of the choice by
+# load by at most this factor. A hit saves reading the prompt; at 1.25, waiting behind
+# popular prefixes already costs more in the tail than hits save.
 AFFINITY_MAX_LOAD_RATIO = 1.15
-# Below this share of its limits a target has room whatever the others have: with two
-# requests on twelve targets a comparison says nothing.
+# Below this fraction of its limits a target is preferred whatever the load of the
+# others: with two requests on twelve targets a comparison is meaningless.
 AFFINITY_FREE_UTILISATION = 0.25
-# Targets in the rendezvous order that are tried for a prefix before load alone decides.
+# Targets in rendezvous order that are tried for a prefix before load alone decides.
 _AFFINITY_CANDIDATES = 3
 _MAX_RANKINGS = 4_096
-# A new target has an empty cache and compiles its first batches; full work at once
-# would make its first callers wait while warm targets idle.
+# Ramp-up time of a new target. Its cache is empty and it compiles its first batches; at
+# full weight its first callers would wait while warm targets are idle.
 SLOW_START_S = 20.0
 _MIN_SLOW_START_WEIGHT = 0.1
-# Time for which a target that its agent can't reach gets no work, doubled each time. It
-# fails at once and so always looks least loaded: without a pause it would draw every
-# request and use up the budget of retries.
+# Initial back-off of a target that its agent can't reach; it doubles with each failure.
+# Such a target fails at once and so always looks least loaded: without the back-off it
+# would attract all requests and exhaust the retry budget.
 UNREACHABLE_BACKOFF_S = 0.5
 MAX_UNREACHABLE_BACKOFF_S = 8.0
-# Share of a target whose reports stay away.
+# Weight factor of a target whose reports have stopped.
 _SILENT_WEIGHT = 0.1
-# Incarnations seen lately, to tell a new process from a new connection to a warm one.
+# Maximum number of remembered incarnations. They distinguish a new process from a new
+# connection to a warm one.
 _MAX_KNOWN_INCARNATIONS = 1_024
 
 
@@ -76,12 +79,12 @@
 
 @dataclass(slots=True)
 class _Query:
-    """Hold what is asked of one choice."""
+    """Parameters of one choice."""
 
     request: WorkRequest
     now: float
     holders: tuple[str, ...]
-    """Targets believed to hold the request's prefix."""
+    """Targets expected to have the request's prefix in their cache."""
     tried: Container[str]
     excluded: Container[str]
 
@@ -97,7 +100,7 @@
 
 @dataclass(slots=True)
 class _Pool:
-    """Hold the targets of one service."""
+    """The targets of one service."""
 
     row: ServiceRow
     ejector: Ejector
@@ -109,12 +112,12 @@
 
 
 class Placer:
-    """Hold what one entry knows of its targets, and choose among them.
+    """Track one entry's targets and choose among them.
 
-    Made for an entry of the target size: some 42 targets, 90 requests a second. A
-    choice draws a few targets at random and takes the one that is least full for its
-    weight; to take the least full of all would send the requests of all entries
-    between two reports to the same target.
+    An entry is designed for some 42 targets and 90 requests a second. A choice samples
+    a few targets at random and takes the one that is least full for its weight.
+    Choosing the least full of all would send the requests of all entries between two
+    reports to the same target.
     """
 
     def __init__(self, *, random: Random, availability_zone: str = "") -> None:
@@ -128,7 +131,7 @@
         self.prefix_cache = PrefixCacheIndex()
 
     def update_table(self, table: Table) -> None:
-        """Put the weights and limits of a table in force."""
+        """Apply the weights and limits of a table."""
         self._table = table
         for service, pool in self._pools.items():
             pool.row = _find_service(table, service)
@@ -139,7 +142,7 @@
             self._split_by_zone(pool)
 
     def connect(self, info: TargetInfo, *, now: float) -> None:
-        """Start to place work on a target."""
+        """Add a connected target, which may get work from now on."""
         self.disconnect(info.name)
         target = _Target(info, now, warm=self._record_incarnation(info))
         if not target.warm:
@@ -153,7 +156,7 @@
         self._split_by_zone(pool)
 
     def disconnect(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Remove a target, which gets no more work."""
         target = self._targets.pop(name, None)
         if target is None:
             return
@@ -164,14 +167,14 @@
         self._split_by_zone(pool)
 
     def observe_load(self, name: str, report: LoadReport, *, now: float) -> None:
-        """Take note of what a target's agent reports."""
+        """Record a load report from a target's agent."""
         target = self._targets.get(name)
         if target is not None:
             target.leaving = report.leaving
             target.load.observe(report, now=now)
 
     def observe_cache(self, name: str, report: CacheReport, *, now: float) -> None:
-        """Take note of changes of a target's prefix cache."""
+        """Record reported changes of a target's prefix cache."""
         if name not in self._targets:
             return
         if report.gap:
@@ -180,12 +183,12 @@
         self.prefix_cache.store(report.stored, name, now=now)
 
     def has_target(self, service: str) -> bool:
-        """Tell whether a service has a target that takes new work."""
+        """Return whether a service has a target that accepts new work."""
         pool = self._pools.get(service)
         return pool is not None and any(map(_accepts_work, pool.by_name.values()))
 
     def list_targets(self, service: str) -> frozenset[str]:
-        """Return the targets of a service that are connected."""
+        """Return the names of a service's connected targets."""
         pool = self._pools.get(service)
         return frozenset(pool.by_name) if pool is not None else frozenset()
 
@@ -197,9 +200,10 @@
         tried: Container[str] = (),
         excluded: Container[str] = (),
     ) -> TargetInfo | None:
-        """Choose a target and count the request there; return None when all are full.
+        """Choose a target and count the request there; return None if all are full.
 
-        Targets that were tried come last; excluded ones are never taken.
+        Targets in `tried` are used only if no other target has room; those in
+        `excluded` never.
         """
         pool = self._pools.get(request.service)
         if pool is None:
@@ -215,7 +219,7 @@
     def release(
         self, request_id: str, report: AttemptReport | None, *, now: float
     ) -> None:
-        """Take note that a request left its target; without a report it was dropped."""
+        """Record that a request left its target; without a report it was dropped."""
         placement = self._placements.pop(request_id, None)
         if placement is None:
             return
@@ -231,7 +235,7 @@
             self._record_result(pool, placement, report, now)
 
     def describe(self, *, now: float) -> list[dict[str, object]]:
-        """Return what is known of each target."""
+        """Return the state of each target."""
         return [self._describe(target, now) for target in self._targets.values()]
 
     def _choose(self, pool: _Pool, query: _Query) -> _Target | None:
@@ -247,8 +251,8 @@
     def _choose_by_prefix(
         self, pool: _Pool, query: _Query, bound: float
     ) -> _Target | None:
-        # The choice goes over all zones: a hit saves the reading of a prompt, tens of
-        # milliseconds, a hop costs one, and every entry ends at the same target.
+        # All zones are considered: a hit saves reading a prompt, tens of milliseconds,
+        # a hop costs one, and so all entries choose the same target.
         affinity = query.request.affinity
         ranking = self._rank(pool, affinity[0])
         for name in (*query.holders, *ranking):
@@ -285,8 +289,8 @@
             best, score = self._find_least_full(pool, drawn, query)
             if best is not None:
                 return best, score
-        # A look at each finds the last free place, so that no request waits beside an
-        # idle target.
+        # A scan of all targets finds the last free slot, so that no request waits while
+        # a target is idle.
         return self._find_least_full(pool, targets, query)
 
     def _find_least_full(
@@ -301,9 +305,9 @@
         return best, best_score
 
     def _get_score(self, pool: _Pool, target: _Target, query: _Query) -> float | None:
-        """Return how full a target would be for its share, None when it can't take it.
+        """Return how full a target would be for its weight; None if it can't take it.
 
-        The least full is best.
+        Lower is better.
         """
         name, now = target.info.name, query.now
         if now < target.unavailable_until:
@@ -314,21 +318,23 @@
         if running + 1 > target.concurrency:
             return None
         request_tokens = query.request.tokens
-        # A request above the limit runs alone: refused for ever it could never run.
+        # A request larger than the token limit runs alone; otherwise it could never
+        # run.
         if tokens + request_tokens > target.token_limit and running >= 1:
             return None
         share = pool.ejector.get_share(name)
         if share == 0.0:
-            # Under light load a target on trial would never win by its score, and
-            # never return.
+            # Under light load a target on probation would never win by its score and
+            # never recover.
             return -1.0 if pool.ejector.is_probe_due(name, now=now) else None
         weight = target.weight * share
         if not target.warm:
             weight *= _get_slow_start_weight(target, now)
         if target.load.is_silent(now):
-            # When all are silent, as behind a partition, all weigh less alike.
+            # If all targets are silent, as in a network partition, all weights are
+            # reduced alike.
             weight *= _SILENT_WEIGHT
-        # Engines run out of slots or of memory for tokens.
+        # Engines run out of either slots or memory for tokens.
         fullness = (running + 1) / target.concurrency
         memory = (tokens + request_tokens) / target.token_limit
         return (fullness + TOKEN_SHARE * memory) / weight
@@ -367,9 +373,9 @@
                 now=now,
             )
             self.prefix_cache.store(request.affinity, name, now=now)
-        # What was refused before it ran says nothing of the target's speed, and a
-        # caller that hangs up says nothing at all; an answer that did not come by the
-        # deadline does, else a target that swallows requests would look well.
+        # A request refused before it ran says nothing about the target's speed, nor
+        # does one whose caller disconnected. A deadline that passed without an answer
+        # does; otherwise a target that drops requests would look healthy.
         if report.result is AttemptResult.CANCELLED and report.reason == "deadline":
             waited_s = now - placement.placed_at
             pool.ejector.observe_wait(
@@ -445,7 +451,7 @@
 
 def _apply_refusal(target: _Target, report: AttemptReport, now: float) -> None:
     if report.reason == AgentRefusal.LEAVING:
-        # Its next report says so too; until then each request would bounce.
+        # The next load report says so too; until then every request would be refused.
         target.leaving = True
     elif report.reason == AgentRefusal.TARGET_UNREACHABLE:
         target.unavailable_until = max(target.unavailable_until, now + target.backoff_s)
--- a/src/hyssopvane/_internal/policy/prefix_cache_index.py
+++ b/src/hyssopvane/_internal/policy/prefix_cache_index.py
@@ -1,27 +1,28 @@
-"""Believe which targets hold which prompt prefixes in their caches."""
+"""Approximate index of the targets that have a prompt prefix in their cache."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Engines keep prefixes in limited memory, and the event that tells of an eviction may
-# never come. A belief that nothing renews ends by itself after this time.
+# Engines keep prefixes in limited memory, and the event of an eviction may never
+# arrive. An entry that isn't renewed expires after this time, in seconds.
 ENTRY_TTL_S = 60.0
-# After a gap in the events the target's beliefs can't all be right; those that are
-# still used are renewed within this time, the others end.
+# After a gap in a target's events some of its entries are wrong. Entries in use are
+# renewed within this time, in seconds; the others expire.
 TTL_AFTER_GAP_S = 5.0
-# A prompt believed cached that twice took as long as an uncached one shows a target
-# whose cache is too small to keep it: to send it there only costs balance.
+# If a prompt that was expected to be cached takes as long as an uncached one twice in a
+# row, the target's cache is too small to keep it, and preferring the target only costs
+# balance.
 MAX_MISSES = 2
-# Time for which a target whose cache did not keep a prefix is not preferred for it.
+# Time for which a target that didn't keep a prefix is not preferred for it, in seconds.
 BARRED_S = 60.0
-# An entry of the target size sees 90 requests a second of up to 8 prefixes: this keeps
-# the last minute of those that differ, in about 8 MB.
+# An entry process of the designed size sees 90 requests a second with up to 8 prefixes
+# each. This holds the distinct prefixes of the last minute in about 8 MB.
 MAX_PREFIXES = 16_384
-# More copies of a prefix than this are not worth remembering: any of them will do.
+# Maximum number of targets kept per prefix; any of them is good enough.
 MAX_HOLDERS = 4
-# A prompt is taken for uncached when its first token took this share of what prompts
-# that are not believed cached take, for equal tokens.
+# A prompt counts as uncached if its time to first token per token is at least this
+# fraction of that of prompts that aren't expected to be cached.
 MISS_LATENCY_RATIO = 0.75
 _LATENCY_SMOOTHING = 0.1
 
@@ -34,7 +35,10 @@
 
 
 class PrefixCacheIndex:
-    """Hold beliefs that come late and with gaps, expire, and heal by experience."""
+    """Track cached prefixes by events that arrive late and with gaps.
+
+    Entries expire, and measured latencies correct wrong ones.
+    """
 
     def __init__(self, *, max_prefixes: int = MAX_PREFIXES) -> None:
         self._max_prefixes = max_prefixes
@@ -46,7 +50,7 @@
         return len(self._prefixes)
 
     def find(self, prefixes: tuple[int, ...], *, now: float) -> tuple[str, ...]:
-        """Return the targets believed to hold the longest of these prefixes."""
+        """Return the targets expected to hold the longest of these prefixes."""
         for prefix in reversed(prefixes):
             entries = self._prefixes.get(prefix)
             if entries is None:
@@ -61,12 +65,12 @@
         return ()
 
     def is_barred(self, prefix: int, target: str, *, now: float) -> bool:
-        """Tell whether a target has shown that it does not keep a prefix."""
+        """Return whether a target recently failed to keep a prefix."""
         entry = self._prefixes.get(prefix, {}).get(target)
         return entry is not None and entry.barred and entry.expires_at > now
 
     def store(self, prefixes: Iterable[int], target: str, *, now: float) -> None:
-        """Believe that a target holds prefixes from now on."""
+        """Record that a target holds prefixes from now on."""
         for prefix in prefixes:
             holders = self._prefixes.setdefault(prefix, {})
             self._prefixes.move_to_end(prefix)
@@ -81,16 +85,17 @@
             self._prefixes.popitem(last=False)
 
     def evict(self, prefixes: Iterable[int], target: str) -> None:
-        """Believe that a target no longer holds prefixes."""
+        """Record that a target no longer holds prefixes."""
         for prefix in prefixes:
             self._prefixes.get(prefix, {}).pop(target, None)
 
     def record_gap(self, target: str, *, now: float) -> None:
-        """Take note that events of a target were lost."""
+        """Record that events of a target were lost."""
         self._gaps[target] = now
 
     def remove_target(self, target: str) -> None:
-        """Drop all beliefs about a target: its cache was lost with its process."""
+        """Remove all entries of a target whose process, and with it its cache, is
+        lost."""
         self._gaps.pop(target, None)
         for holders in self._prefixes.values():
             holders.pop(target, None)
@@ -104,7 +109,10 @@
         s_per_token: float,
         now: float,
     ) -> None:
-        """Learn from the time to the first token whether a belief was right."""
+        """Correct the index by the time to first token of an answer.
+
+        `s_per_token` is this time in seconds divided by the request's tokens.
+        """
         if not expected_hit:
             self._update_uncached_latency(s_per_token)
             return
--- a/src/hyssopvane/_internal/policy/queueing.py
+++ b/src/hyssopvane/_internal/policy/queueing.py
@@ -1,4 +1,4 @@
-"""Order the requests that wait for a place: by priority, then fair by customer."""
+"""Order waiting requests by priority, then fairly by customer."""
 
 import heapq
 from collections import OrderedDict
@@ -6,23 +6,23 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-# Made for saturation by urgent work. Strict priority alone would let a customer of
-# low priority wait for ever, while nothing tells its callers so. Each class that is
-# passed over earns a tenth of the tokens that pass it, so urgent work loses a tenth at
-# most, and whatever waits is served in the end.
+# Share of the served tokens that lower priorities earn while they are passed over.
+# Under strict priority, urgent work that saturates the targets would make low
+# priorities wait forever without notice to their callers. With a tenth, urgent work
+# loses a tenth at most, and every waiting request is eventually served.
 LOWER_PRIORITY_SHARE = 0.1
 
-# Made for long and short work of one customer. A record check of a few hundred tokens
-# behind a pile of long drafts would wait for all of them. Two lanes that get equal
-# tokens let it pass them, and still the long ones move: each is served after about
-# its own tokens of short work. 2,000 tokens lie between a check and a draft with its
-# sources.
+# Requests with at least this many tokens go to the lane of long requests. In a single
+# lane a record check of a few hundred tokens would wait for all long drafts of the same
+# customer before it. Two lanes that get equal tokens let it pass, and long requests
+# still progress: each is served after about its own tokens of short work. 2,000 tokens
+# lie between a check and a draft with its sources.
 LONG_REQUEST_TOKENS = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedItem:
-    """Describe one waiting request."""
+    """A waiting request."""
 
     request_id: str
     customer: str
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class _Lane:
-    """Hold short or long requests of one flow, in order of arrival."""
+    """Short or long requests of one flow, in order of arrival."""
 
     items: OrderedDict[str, QueuedItem] = field(default_factory=OrderedDict)
     tokens: int = 0
@@ -42,12 +42,12 @@
 
     @property
     def next_finish(self) -> float:
-        """Return what the lane will have got when its next request is served."""
+        """Return the tokens served by this lane once its next request is served."""
         return self.served + next(iter(self.items.values())).tokens
 
 
 class Flow:
-    """Hold what one customer has waiting in one priority class."""
+    """The waiting requests of one customer in one priority class."""
 
     __slots__ = ("customer", "entry", "lanes", "start", "tokens", "weight")
 
@@ -65,7 +65,7 @@
         return len(self.lanes[0].items) + len(self.lanes[1].items)
 
     def get_lane(self, tokens: int) -> _Lane:
-        """Return the lane of a request."""
+        """Return the lane for a request of this many tokens."""
         return self.lanes[tokens >= LONG_REQUEST_TOKENS]
 
     def choose_lane(self) -> _Lane:
@@ -76,7 +76,7 @@
         return short if short.next_finish <= long.next_finish else long
 
     def count_ahead(self, tokens: int) -> int:
-        """Return the customer's own tokens that a new request waits for."""
+        """Return the tokens of this flow that are served before a new request."""
         lane = self.get_lane(tokens)
         return lane.tokens + min(lane.tokens, self.tokens - lane.tokens)
 
@@ -84,7 +84,7 @@
         """Append a request to its lane."""
         lane = self.get_lane(item.tokens)
         if not lane.items:
-            # A lane that was empty must not have saved up a claim on the other one.
+            # A lane that was empty must not have accumulated a claim on the other one.
             other = self.lanes[lane is self.lanes[0]]
             if other.items:
                 lane.served = max(lane.served, other.served)
@@ -93,14 +93,14 @@
         self.tokens += item.tokens
 
     def remove(self, item: QueuedItem) -> None:
-        """Take a request out of its lane."""
+        """Remove a request from its lane."""
         lane = self.get_lane(item.tokens)
         del lane.items[item.request_id]
         lane.tokens -= item.tokens
         self.tokens -= item.tokens
 
     def find_newest(self) -> QueuedItem:
-        """Return the request that came last."""
+        """Return the request that arrived last."""
         lasts = (
             next(reversed(lane.items.values())) for lane in self.lanes if lane.items
         )
@@ -110,16 +110,17 @@
 class PriorityClass:
     """Order the flows of one priority by start-time fair queueing.
 
-    Each flow carries a virtual start time; the least is served, and then advances by
-    tokens / weight. A flow that was idle starts at the present virtual time: it can't
-    save up service, nor is it punished for what it got while nobody else waited.
+    Each flow has a virtual start time. The flow with the least is served, and its start
+    time then advances by tokens / weight. A flow that was idle starts at the current
+    virtual time: it can't accumulate service, nor is it penalized for what it got while
+    no other flow waited.
     """
 
     def __init__(self) -> None:
         self.flows: dict[str, Flow] = {}
         self.tokens = 0
         self.weight = 0.0
-        """Of the flows with something waiting."""
+        """Sum over the flows with waiting requests."""
         self.credit = 0.0
         self._virtual = 0.0
         self._heap: list[tuple[float, int, Flow]] = []
@@ -139,7 +140,7 @@
         self.tokens += item.tokens
 
     def remove(self, item: QueuedItem) -> None:
-        """Take a request out without serving it."""
+        """Remove a request without serving it."""
         flow = self.flows[item.customer]
         flow.remove(item)
         self.tokens -= item.tokens
@@ -168,7 +169,7 @@
         return item
 
     def count_own_ahead(self, customer: str, tokens: int) -> int:
-        """Return the customer's own tokens that go before a new request of it."""
+        """Return the customer's own tokens that are served before a new request."""
         flow = self.flows.get(customer)
         return flow.count_ahead(tokens) if flow is not None else 0
 
@@ -184,15 +185,15 @@
             self._heap.clear()
 
     def _get_next_flow(self) -> Flow:
-        # Entries of flows that emptied or moved since are dropped here, so that a
-        # caller who leaves costs no search.
+        # Stale heap entries of flows that emptied or advanced are dropped here, so that
+        # removing a request needs no search of the heap.
         while self._heap[0][1] != self._heap[0][2].entry:
             heapq.heappop(self._heap)
         return self._heap[0][2]
 
 
 class FairQueue:
-    """Hold what waits for one service at one entry."""
+    """Queue of the requests for one service at one entry."""
 
     def __init__(self) -> None:
         self.classes: dict[int, PriorityClass] = {}
@@ -207,7 +208,11 @@
         return request_id in self._items
 
     def add(self, item: QueuedItem, *, weight: float) -> None:
-        """Append a request; its customer's weight is what holds while it waits."""
+        """Append a request.
+
+        The weight applies as long as the customer has waiting requests in its priority
+        class.
+        """
         if item.priority not in self.classes:
             self.classes[item.priority] = PriorityClass()
             self._order = sorted(self.classes)
@@ -216,7 +221,8 @@
         self.tokens += item.tokens
 
     def remove(self, request_id: str) -> QueuedItem | None:
-        """Take out a request whose caller has gone or that is refused."""
+        """Remove a request that is cancelled or refused; return None if it isn't
+        queued."""
         item = self._items.pop(request_id, None)
         if item is not None:
             self.tokens -= item.tokens
@@ -239,15 +245,15 @@
         return item
 
     def get_class(self, priority: int) -> PriorityClass | None:
-        """Return a class that was ever used."""
+        """Return a priority class, or None if it was never used."""
         return self.classes.get(priority)
 
     def count_ahead(self, customer: str, *, priority: int, tokens: int) -> int:
-        """Return the queued tokens that go before a new request.
+        """Return the queued tokens that are served before a new request.
 
-        Of its own class, only its customer's count: what others have waiting shows in
-        the rate that the customer can count on. A wait predicted from the whole queue
-        would refuse the neighbours of a customer that floods it.
+        In its own class, only its customer's tokens count; those of others are
+        accounted for in the rate that the customer can expect. A wait predicted from
+        the whole queue would refuse the other customers when one floods it.
         """
         ahead = 0
         for number in self._order:
@@ -261,7 +267,7 @@
         return ahead
 
     def iterate_flows(self) -> Iterator[tuple[int, PriorityClass, Flow]]:
-        """Yield each flow with something waiting, the most urgent class first."""
+        """Yield each flow with waiting requests, the most urgent class first."""
         for number in self._order:
             one = self.classes[number]
             for flow in list(one.flows.values()):
@@ -269,9 +275,10 @@
                     yield number, one, flow
 
     def predict_waits(self) -> Iterator[tuple[QueuedItem, int]]:
-        """Yield each waiting request with the tokens before it.
+        """Yield each waiting request with the queued tokens before it.
 
-        What the caller removes while it iterates no longer counts as before others.
+        Requests that the caller removes during the iteration don't count for later
+        ones.
         """
         above = 0
         for number in self._order:
@@ -284,7 +291,7 @@
     def is_above_share(
         self, newcomer: QueuedItem, *, weight: float, limit: float, in_tokens: bool
     ) -> bool:
-        """Tell whether a customer would hold more than its share of the queue."""
+        """Return whether a customer would exceed its share of the queue."""
         total_weight = sum(one.weight for one in self.classes.values())
         own = self._find_flow(newcomer)
         amount = newcomer.tokens if in_tokens else 1
@@ -298,13 +305,13 @@
     def choose_victim(
         self, newcomer: QueuedItem, *, weight: float, limit: int, in_tokens: bool
     ) -> QueuedItem:
-        """Return the request that a full queue gives up: the newcomer or a waiting one.
+        """Return the request to drop from a full queue: the newcomer or a waiting one.
 
-        Made for a queue filled by one customer. Refusing whoever comes next would hit
-        the innocent, who come at their usual pace, more often than the one that fills
-        it. So a customer above its share of the queue loses its newest request; of
-        several, the one of the lowest priority, then the one furthest above. Its
-        newest is chosen because it has waited least and can come back soonest.
+        When one customer fills the queue, refusing the newcomer would mostly hit the
+        other customers, who arrive at their usual rate. So a customer above its share
+        of the queue loses its newest request; of several such customers, the one of the
+        lowest priority, then the one furthest above its share. The newest request has
+        waited least and can be retried soonest.
         """
         total_weight = sum(one.weight for one in self.classes.values())
         own = self._find_flow(newcomer)
@@ -347,7 +354,7 @@
         for number in lower:
             self.classes[number].credit += tokens * LOWER_PRIORITY_SHARE / len(lower)
         one = self.classes[served]
-        # What an emptied class had earned is void: it is no longer passed over.
+        # An emptied class loses its credit: it is no longer passed over.
         one.credit = max(0.0, one.credit - tokens) if one.tokens else 0.0
 
 
