--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -28,23 +28,27 @@
 
 _NO_TARGET_RETRY_AFTER_S = 1.0
 
-# Predictions are noisy. On arrival the wait counts a quarter more, so that few of the
-# admitted are refused later, when they have waited in vain.
+# Factor on the predicted wait at arrival. Predictions are noisy; a quarter more keeps
+# the number of admitted requests low that are refused later, after waiting in vain.
 _ARRIVAL_WAIT_MARGIN = 1.25
-# The run time is a rough guess from the size of the body, so it takes up at most half
-# of the time a caller allows: a request that starts promptly is never refused for it.
+# Maximum predicted run time as a fraction of the time that a caller allows. The
+# prediction is a rough guess from the size of the body; with at most half of the time,
+# a request that starts promptly is never refused for it.
 _MAX_RUN_SHARE = 0.5
-# Looking through the queue costs about a microsecond a request. Four times a second, a
-# full queue of a thousand costs well under a hundredth of a core.
+# Interval between scans of the queue, in seconds. A scan costs about a microsecond per
+# request: four times a second, a full queue of a thousand costs well under a hundredth
+# of a core.
 _REVIEW_INTERVAL_S = 0.25
-# Made for one customer that fills the queue. The last tenth is kept for customers
-# within their share; else each of their requests would push out one that has waited,
-# and its caller would be refused later instead of at once.
+# Share of the queue that is open to all customers. The last tenth is reserved for
+# customers within their share when one customer fills the queue. Otherwise each of
+# their requests would displace one that has waited, whose caller would be refused late
+# instead of at once.
 _UNRESERVED_QUEUE_SHARE = 0.9
-# Callers refused in one burst would come back in one burst; spread their return.
+# Jitter of Retry-After as a fraction: callers refused in one burst would otherwise
+# return in one burst.
 _RETRY_JITTER = 0.5
 
-# Attempts that ended so say nothing on how long work holds a place.
+# Results of attempts that say nothing about how long a request holds its slot.
 _UNTIMED_RESULTS = frozenset({AttemptResult.NOT_STARTED, AttemptResult.LOST})
 
 
@@ -58,21 +62,24 @@
 
 
 class _Service:
-    """Hold what waits and runs of one service at this entry."""
+    """Queue and measurements of one service at this entry."""
 
     def __init__(self, name: str) -> None:
         self.row = ServiceRow(name)
         self.queue = FairQueue()
         self.meter = ServiceMeter()
-        # Requests that are to run again, and crash suspects. They have waited their
-        # turn already, so they go first; each may be barred from targets that others
-        # may use, so one of them that finds no place must not hold up the queue.
+        # Requests to be retried, and crash suspects. They have already waited their
+        # turn, so they go first. Each may be excluded from targets that others may use,
+        # so one that finds no target must not block the queue.
         self.retry_queue: dict[str, _Request] = {}
         self.reviewed_at = 0.0
 
 
 class Scheduler:
-    """Hold the queue and the targets of one entry; the caller brings the clock."""
+    """Queue the requests of one entry and assign them to targets.
+
+    The caller passes the current time.
+    """
 
     def __init__(self, *, random: Random, availability_zone: str = "") -> None:
         self._random = random
@@ -86,7 +93,7 @@
         self.admission = Admission()
 
     def update_table(self, table: Table, *, now: float) -> None:
-        """Apply the weights and limits of the table in force."""
+        """Apply the weights and limits of the current table."""
         self._now = now
         self.planner.update_table(table)
         self.admission.update_rows(table.customers)
@@ -94,15 +101,15 @@
             self._get_service(name).row = table.services.get(name, ServiceRow(name))
 
     def connect_target(self, info: TargetInfo) -> None:
-        """Start to place work on a target."""
+        """Add a connected target, which may get work from now on."""
         self.planner.connect(info, now=self._now)
 
     def disconnect_target(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Remove a target, which gets no more work."""
         self.planner.disconnect(name)
 
     def observe_load(self, name: str, report: LoadReport) -> None:
-        """Take note of what a target's agent reports."""
+        """Record a load report from a target's agent."""
         self.planner.observe_load(name, report, now=self._now)
 
     def submit(self, request: WorkRequest, *, now: float) -> Decision:
@@ -117,8 +124,9 @@
         if self.planner.is_held(request, now=now):
             decision = self._hold_suspect(entry, service, now=now)
         elif not service.queue:
-            # Nobody is overtaken. With others waiting, only the queue says whose turn
-            # it is: a newcomer that takes the place just freed would starve them.
+            # The queue is empty, so the request overtakes no other. Otherwise only the
+            # queue decides which request is next: a newcomer that took a slot just
+            # freed would starve the queue.
             decision = self._start(entry, now=now)
         if decision is None:
             decision = self._enqueue(entry, service, now=now)
@@ -131,7 +139,8 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> Decision | None:
-        """Take note of an attempt's end; return the next decision, None when done."""
+        """Record the end of an attempt; return the next decision, None if there is
+        none."""
         entry = self._requests.get(request_id)
         if entry is None:
             return None
@@ -143,7 +152,7 @@
         return retry if isinstance(retry, Refusal) else None
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         entry = self._requests.get(request_id)
         if entry is None:
             return
@@ -170,7 +179,7 @@
         return len(self._requests)
 
     def describe_targets(self) -> list[dict[str, object]]:
-        """Return what is known of each target."""
+        """Return the state of each target."""
         return self.planner.placer.describe(now=self._now)
 
     def _refuse_on_arrival(self, request: WorkRequest, *, now: float) -> Refusal | None:
@@ -290,9 +299,9 @@
     ) -> float:
         """Return the seconds by which a waiting request would miss its deadline.
 
-        Made for load beyond capacity. A request that can't be answered in time would
-        take a place from one that can, and its caller would learn of it only at the
-        deadline. While nothing is measured yet, only the queue's limits hold.
+        Under load beyond capacity, a request that can't be answered in time would take
+        a slot from one that can, and its caller would get the refusal only at the
+        deadline. Until there are measurements, only the limits of the queue apply.
         """
         run_s = min(
             service.meter.predict_run_s(item.tokens),
@@ -326,7 +335,7 @@
         )
 
     def _add_jitter(self, wait_s: float) -> float:
-        """Return a time to come back, spread so that not all come at once."""
+        """Return a Retry-After with jitter, so that not all callers return at once."""
         return clamp_retry_after(wait_s) * (1 + _RETRY_JITTER * self._random.random())
 
     def _drop(self, service: _Service, item: QueuedItem, refusal: Refusal) -> None:
@@ -353,7 +362,7 @@
         while (item := service.queue.peek()) is not None:
             late_s = self._predict_lateness(service, item, 0.0, now=now)
             if late_s > 0:
-                # It would hold a place and still miss its deadline.
+                # It would hold a slot and still miss its deadline.
                 self._drop(service, item, self._refuse_late(late_s))
                 continue
             entry = self._requests[item.request_id]
@@ -370,10 +379,10 @@
             self._decided.append((item.request_id, placed))
 
     def _refuse_late_waiters(self, service: _Service, *, now: float) -> None:
-        """Refuse what is now known not to reach its turn in time.
+        """Refuse waiting requests that will no longer start in time.
 
-        Made for a loss of capacity, as half of the targets gone at once. What was
-        admitted before would else wait until its deadline to be refused, and keep
+        This covers a loss of capacity, such as half of the targets at once. Requests
+        admitted before would otherwise be refused only at their deadlines, and prevent
         others from a wait that they can afford.
         """
         if now - service.reviewed_at < _REVIEW_INTERVAL_S:
--- a/src/hyssopvane/_internal/policy/target_backoff.py
+++ b/src/hyssopvane/_internal/policy/target_backoff.py
@@ -1,4 +1,4 @@
-"""Keep the time for which the target beside an agent wants no requests."""
+"""Track how long the target of an agent wants no requests."""
 
 from math import inf
 
@@ -6,24 +6,24 @@
 
 
 class TargetBackoff:
-    """Hold until when a target wants no requests.
+    """Track until when a target has asked for no requests.
 
-    The agent is the only one that sends to the target, so what it keeps to binds all
-    entries. A target that starts anew beside the same agent is not told apart.
+    Only this agent sends to the target, so its back-off applies to all entries. A
+    restart of the target behind the same agent is not detected.
     """
 
     def __init__(self) -> None:
         self._until = -inf
 
     def note(self, rest_s: float, *, now: float) -> bool:
-        """Take what an answer asks for; tell whether nothing was asked for before.
+        """Record the back-off that an answer asks for; return whether one begins.
 
-        A shorter time takes nothing back from a longer one.
+        A shorter back-off doesn't shorten a longer one.
         """
         is_new = not self.measure_remaining_s(now)
         self._until = max(self._until, now + min(rest_s, LONGEST_REST_S))
         return is_new and self.measure_remaining_s(now) > 0
 
     def measure_remaining_s(self, now: float) -> float:
-        """Return the time for which the target still wants no requests."""
+        """Return the remaining time of the back-off in seconds, 0 if there is none."""
         return max(0.0, self._until - now)
--- a/src/hyssopvane/_internal/policy/target_load.py
+++ b/src/hyssopvane/_internal/policy/target_load.py
@@ -1,4 +1,4 @@
-"""Estimate a target's load from late reports and the entry's own work."""
+"""Estimate a target's load from delayed reports and the entry's own requests."""
 
 import math
 from collections import deque
@@ -6,32 +6,34 @@
 
 from hyssopvane._internal.state.work import LoadReport
 
-# An engine's figures are a few hundred milliseconds old when they reach the entry.
-# Without the correction an entry counts what it sent in that time twice or not at
-# all, and 87,000 requests a second swing between the targets together.
+# Age of an engine's figures when they reach the entry, in seconds: a few hundred
+# milliseconds. Without this correction an entry counts what it sent in that time twice
+# or not at all, and 87,000 requests a second oscillate between the targets in step.
 REPORT_LAG_S = 0.5
-# The others' share is taken as a mean over this time. Taken as it is, the target that
-# looks idle in one report is the choice of every entry until the next.
+# Time constant of the mean load from other entries, in seconds. Without smoothing, the
+# target that looks idle in one report is the choice of every entry until the next.
 SMOOTHING_S = 10.0
-# Up to this age a report is believed whole: twelve heartbeats of 0.5 s, or one of 4 s.
+# Up to this age a report has full weight, in seconds: twelve heartbeats of 0.5 s, or
+# one of 4 s.
 FRESH_REPORT_S = 6.0
-# An older one fades. Kept for ever, a target that was busy when its reports stopped
-# would get no work for minutes, and one that was idle would get too much.
+# Age at which a report has lost all weight, in seconds. If a report kept its weight, a
+# target that was busy when its reports stopped would get no work for minutes, and one
+# that was idle would get too much.
 REPORT_EXPIRY_S = 30.0
 
-# A target whose reports stay away for this many of their intervals may be behind a
-# connection that went silent. Long before it is closed, which cuts the answers on it,
-# new work goes elsewhere where it can.
+# A target is silent if its reports are missing for this many report intervals: its
+# connection may have failed without notice. New work goes to other targets if possible,
+# long before the connection is closed, which cuts its answers.
 SILENT_INTERVALS = 4.0
 _FIRST_INTERVAL_S = 0.5
-# Counted for each request of others where the report tells requests but no tokens, as
-# that of a plain service does.
+# Tokens assumed for each request of other entries if a report contains requests but no
+# tokens, as that of a plain service does.
 DEFAULT_REQUEST_TOKENS = 500
 
 
 @dataclass(slots=True)
 class TargetLoad:
-    """Hold the load of one target: the entry's own, and the others' by report."""
+    """Load of one target: the entry's own requests, and those of others by report."""
 
     own_tokens: int = 0
     own_running: int = 0
@@ -50,7 +52,7 @@
         self._change(-tokens, -1, now)
 
     def observe(self, report: LoadReport, *, now: float) -> None:
-        """Take the others' share from a report that arrives now."""
+        """Update the load from other entries by a report received now."""
         self._drop_old_changes(now)
         reported_own_tokens = self.own_tokens - sum(
             change[1] for change in self._recent_changes
@@ -72,13 +74,13 @@
         self._reported_at = now
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether reports have stayed away for longer than usual."""
+        """Return whether reports have been missing for too long."""
         if self._reported_at is None:
             return False
         return now - self._reported_at > SILENT_INTERVALS * self._interval_s
 
     def estimate(self, now: float) -> tuple[float, float]:
-        """Return the tokens and the requests in flight at the target."""
+        """Return the estimated tokens and requests in flight at the target."""
         weight = self._get_report_weight(now)
         return (
             self.own_tokens + self._others_tokens * weight,
