--- a/src/hyssopvane/_internal/policy/rendezvous.py
+++ b/src/hyssopvane/_internal/policy/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rank names for a key so that a join or leave moves few keys."""
+"""Rendezvous hashing: rank names for a key so that a join or leave moves few keys."""
 
 import heapq
 from collections.abc import Mapping
@@ -7,17 +7,17 @@
 
 
 def hash_name(name: str) -> int:
-    """Return the seed that stands for a name."""
+    """Return the seed that represents a name in scores."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 def score(key: bytes, seed: int) -> int:
-    """Return the rank of a seed for a key; the highest comes first."""
+    """Return the score of a seed for a key; the highest comes first."""
     return xxhash.xxh3_64_intdigest(key, seed=seed)
 
 
 def rank(key: bytes, seeds: Mapping[str, int], *, count: int) -> list[str]:
-    """Return the names whose seeds rank highest for a key, the highest first."""
+    """Return the names with the highest scores for a key, the highest first."""
     scored = heapq.nlargest(
         count, ((score(key, seed), name) for name, seed in seeds.items())
     )
--- a/src/hyssopvane/_internal/policy/replica_choice.py
+++ b/src/hyssopvane/_internal/policy/replica_choice.py
@@ -17,24 +17,24 @@
 from hyssopvane._internal.state.routing import EngineModel, Incarnation
 
 LOCAL_ZONE_SLACK = 0.5 * REQUEST_COST
-"""Cost by which replicas of the own zone may lie above all others: half a request."""
+"""Cost by which replicas of the own zone may exceed all others: half a request."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """Hold a replica with a free slot."""
+    """A replica with a free slot."""
 
     load: ReplicaLoad
     cost: float
-    """Requests that it has, and again those whose prompts it has yet to read."""
+    """Requests at the replica; those with an unread prompt count twice."""
     free: int
 
 
 class ReplicaChooser:
-    """Place requests by loads of some tenths of a second ago.
+    """Place requests by loads that are some tenths of a second old.
 
-    Many entries see the same loads, so what is best is drawn and not sorted: the best
-    replica of a moment ago is everybody's.
+    Many entries see the same loads, so the choice is drawn at random by weight: with a
+    sorted order all entries would send to the replica that was best a moment ago.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
     def order_groups(
         self, groups: list[GroupRoom], engine: EngineModel | None, now: float
     ) -> list[GroupRoom]:
-        """Return a group that is drawn, and then the others, the emptiest first.
+        """Return a group drawn at random, followed by the others, the emptiest first.
 
-        Made for several groups and many entries that see the same loads. With the
-        emptiest first, all that comes until the next loads goes to one group and meets
-        full ranks there, while the other groups are half empty.
+        Many entries see the same loads of several groups. If each chose the emptiest
+        group, all requests until the next loads would go to it and meet full ranks,
+        while the other groups are half empty.
         """
         fullness = {id(one): one.measure_fullness(engine, now) for one in groups}
         ordered = sorted(groups, key=lambda one: fullness[id(one)])
@@ -79,20 +79,22 @@
     def choose(
         self, group: GroupRoom, avoid: frozenset[Incarnation], now: float
     ) -> ReplicaLoad | None:
-        """Return the replica of a group that gets a request, None where none may.
+        """Return the replica of a group that gets a request, None if none may.
 
-        Those in `avoid` come last.
+        Replicas in `avoid` are used only if no other is usable.
         """
         usable = self.list_usable(group.members.values(), now)
         if len(self._limits):
             usable = [one for one in usable if self._limits.may_send(one.replica, now)]
-        # A rank's own requests cost its own time only, and all ranks wait for the
-        # slowest: one request at a rank with a twelfth of its pace counts like twelve.
+        # A rank's own requests cost only its own time, but all ranks wait for the
+        # slowest: one request at a rank that runs at a twelfth of its pace costs as
+        # much as twelve.
         usable = [one for one in usable if not one.is_slow(now)] or usable
         fresh = [one for one in usable if one.replica.incarnation not in avoid]
         counts = [(one.count(now, group.entries), one) for one in fresh or usable]
-        # A rank reads one prompt after the other. Of two ranks with as many requests,
-        # the one whose requests are writing already gives the next first event sooner.
+        # A rank reads prompts one after the other. Of two ranks with the same number of
+        # requests, the one whose requests are already generating output sends the next
+        # first event sooner.
         room = [
             _Candidate(one, count + one.count_unread(), one.replica.slots - count)
             for count, one in counts
@@ -105,7 +107,7 @@
     def list_usable(
         self, members: Iterable[ReplicaLoad], now: float
     ) -> list[ReplicaLoad]:
-        """Return the replicas that take requests, as far as known."""
+        """Return the replicas that accept requests, as far as known."""
         usable = [
             one
             for one in members
@@ -120,8 +122,8 @@
         local = [
             one for one in room if one.load.replica.availability_zone == self._zone
         ]
-        # Those of the own zone get about their part of what arrives. Bytes between
-        # zones are paid for; a full rank beside a free one costs more.
+        # Replicas of the own zone get about their part of the arrivals. Traffic between
+        # zones is charged, but a full rank next to a free one costs more.
         local_arrivals = arrivals * len(local) / len(room)
         highest = _find_water_level(room, arrivals) + LOCAL_ZONE_SLACK
         home = [one for one in local if self._homes.is_home(one.load.replica.address)]
--- a/src/hyssopvane/_internal/policy/stream_pauses.py
+++ b/src/hyssopvane/_internal/policy/stream_pauses.py
@@ -1,22 +1,22 @@
-"""Find the longest pause of a stream, and when it was."""
+"""Measure the longest pause of a stream and when it ended."""
 
 
 class StreamPauses:
-    """Follow the times of a stream's events.
+    """Track the times of a stream's events.
 
-    A stream is late when one pause between its events is too long, whatever the others
-    were. The time of the whole answer doesn't tell it.
+    A stream is late if a single pause between its events is too long, whatever the
+    other pauses are; the duration of the whole answer doesn't show it.
     """
 
     def __init__(self) -> None:
         self._last_at: float | None = None
         self.longest_s = 0.0
-        """Longest time between two events so far."""
+        """Longest time between two consecutive events so far, in seconds."""
         self.longest_at = 0.0
         """Time at which the longest pause ended."""
 
     def observe(self, now: float) -> None:
-        """Take the time of an event."""
+        """Record an event."""
         if self._last_at is not None and now - self._last_at > self.longest_s:
             self.longest_s, self.longest_at = now - self._last_at, now
         self._last_at = now
