--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -1,4 +1,4 @@
-"""Decide which request goes to which replica, which one waits and which is refused."""
+"""Decide which requests are sent to which replica, which wait and which are refused."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -22,51 +22,52 @@
 from hyssopvane._internal.state.routing import EngineModel, Incarnation, Replica
 
 OVERLOADED_RETRY_AFTER_S = 0.5
-"""Time until a caller is asked back while a service is overloaded.
+"""Retry-After while a service is overloaded, in seconds.
 
-The map of the experts has followed a change of demand by then, and some of the streams
-that were in the way have ended.
+By then the expert map has adapted to a change of demand, and some of the streams that
+caused the overload have ended.
 """
 
 OTHER_ENTRY_RETRY_AFTER_S = 0.05
-"""Time until a caller is asked back whose replicas take requests of other entries only:
-a new connection reaches another entry."""
+"""Retry-After if the replicas take requests of other entries only, in seconds: a new
+connection reaches another entry."""
 
 _EJECT_FAILURE_SHARE = 0.35
-"""Share of failures at which a replica is left out for a while.
+"""Failure rate above which a replica is ejected.
 
 Plain services fail about one request in seven for reasons of the request; a replica
-that fails more than a third of them is at fault itself.
+that fails more than a third of its requests is at fault itself.
 """
 
 _EJECT_S = 3.0
-"""Time that a failing replica is left out before it is tried again."""
+"""Time for which a failing replica is ejected before it is tried again, in seconds."""
 
 _RETRY_JITTER = 0.25
-"""Part of the time to come back by which callers are told more or less."""
+"""Jitter of Retry-After as a fraction, in both directions."""
 
 _MAX_EJECTED_SHARE = 0.5
-"""Share of a service's replicas that may be left out: the others must bear the load."""
+"""Maximum share of a service's replicas that may be ejected: the others must carry the
+load."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """Describe a request that waits for a place."""
+    """A request that waits for a slot."""
 
     item: QueuedItem
     late_at: float
     """Time from which on its answer would miss the objective."""
     refuse_at: float
-    """Time at which it is refused rather than held any longer."""
+    """Time at which it is refused instead of waiting longer."""
     prompt_tokens: int = 0
-    """Tokens that a replica reads before the first one of its answer."""
+    """Tokens that a replica reads before the first token of its answer."""
     avoid: frozenset[Incarnation] = frozenset()
-    """Starts of replicas that it was sent to already."""
+    """Incarnations of replicas that it was already sent to."""
 
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """Tell where a request goes."""
+    """A decision to send a request to a replica."""
 
     request_id: str
     replica: Replica
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Tell that a request is refused, and when it is worth coming back."""
+    """A decision to refuse a request, with the delay before a retry."""
 
     request_id: str
     reason: str
@@ -82,12 +83,12 @@
 
 
 class ServiceGate:
-    """Hold the requests of one service at one entry until there is room.
+    """Queue the requests of one service at one entry until there is room.
 
-    Made for more work than the engines can take: one request too many slows all of a
-    group at once, and every stream pauses for longer than its reader waits. So room is
-    counted over a whole group, from what its ranks tell, and each of several entries
-    takes its part of what is free.
+    Work beyond the engines' capacity has to wait here: one request too many slows a
+    whole group at once, and every stream pauses for longer than its reader accepts. So
+    room is computed over a whole group, from the loads that its ranks report, and each
+    of several entries takes its part of what is free.
     """
 
     def __init__(
@@ -116,10 +117,10 @@
         self._late_queue = FairQueue()
         """Requests that can't meet their objective any more.
 
-        Made for a load that passes what the group can take for about a second, until
-        its map follows the demand. Whoever came first would be served late, and hold
-        up all who came after until these are late as well. So those who can still be
-        served in time go first, and the others take what is left.
+        A load can exceed what a group can take for about a second, until its map has
+        adapted to the demand. In order of arrival, the first requests would be served
+        late and delay all later ones until these are late as well. So requests that can
+        still be served in time go first, and the others get the remaining capacity.
         """
         self._weights: dict[str, float] = {}
         self._waiting: dict[str, QueuedRequest] = {}
@@ -127,7 +128,7 @@
         self._by_address: dict[str, list[ReplicaLoad]] = {}
         self._groups: dict[str, GroupRoom] = {}
         self._replaced: set[Incarnation] = set()
-        """Replicas at whose address another one answered."""
+        """Incarnations of replicas whose address another replica has taken over."""
         self._engine: EngineModel | None = None
         self._pause_s = 0.0
         self.outages = OutageTracker()
@@ -135,10 +136,11 @@
     def update(
         self, replicas: Iterable[Replica], engine: EngineModel | None, *, now: float
     ) -> list[str]:
-        """Learn the replicas that may get work; return addresses of new starts."""
+        """Update the replicas that may get work; return the addresses of restarted
+        ones."""
         self._engine = engine
         known = {replica.id: replica for replica in replicas}
-        # A replica whose address was given to another one is still listed for a while.
+        # A replica whose address another one has taken over stays listed for a while.
         self._replaced &= {replica.incarnation for replica in known.values()}
         for replica_id in self._replicas.keys() - known.keys():
             self._remove_replica(replica_id)
@@ -158,17 +160,18 @@
         return restarted
 
     def set_pause(self, pause_s: float) -> None:
-        """Learn the longest pause between events that callers should get."""
+        """Set the longest acceptable pause between a stream's events, in seconds."""
         self._pause_s = pause_s
         for group in self._groups.values():
             group.passes.pause_s = pause_s
 
     def observe_load(self, load: RankLoad, *, now: float) -> bool:
-        """Take one replica's load; tell whether it has started anew."""
+        """Record the load of one replica; return whether it has restarted."""
         return bool(self.observe_loads([(load, now)]))
 
     def observe_loads(self, loads: Sequence[tuple[RankLoad, float]]) -> list[str]:
-        """Take loads of one group, and when each was told; return new starts."""
+        """Record loads of one group with their times; return addresses of restarted
+        replicas."""
         restarted = []
         for load, at in loads:
             for one in self._by_address.get(load.address, ()):
@@ -185,20 +188,21 @@
         return restarted
 
     def add(self, waiting: QueuedRequest, *, weight: float) -> None:
-        """Let a request wait."""
+        """Add a request to the queue."""
         self._waiting[waiting.item.request_id] = waiting
         self._weights[waiting.item.request_id] = weight
         self._queue.add(waiting.item, weight=weight)
 
     def remove(self, request_id: str) -> None:
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         self._waiting.pop(request_id, None)
         self._weights.pop(request_id, None)
         self._queue.remove(request_id)
         self._late_queue.remove(request_id)
 
     def dispatch(self, now: float) -> list[Assignment | Rejection]:
-        """Place what there is room for, and refuse what has waited too long."""
+        """Assign requests while there is room, and refuse those that have waited too
+        long."""
         decisions: list[Assignment | Rejection] = []
         self._demote_late(now)
         for late, queue in ((False, self._queue), (True, self._late_queue)):
@@ -207,7 +211,7 @@
         return decisions
 
     def finish(self, replica: Replica, *, failed: bool, now: float) -> None:
-        """Take note that a request has left a replica."""
+        """Record that a request has left a replica."""
         one = self._find(replica)
         if one is None:
             return
@@ -218,45 +222,48 @@
             one.failures = 0.0
 
     def note_served(self, replica: Replica) -> None:
-        """Take note that a replica has begun to answer a request."""
+        """Record that a replica has begun to answer a request."""
         one = self._find(replica)
         if one is not None:
             self._groups[one.group].note_served()
 
     def mark_replaced(self, replica: Replica) -> None:
-        """Drop a replica whose address now belongs to another one."""
+        """Remove a replica whose address now belongs to another one."""
         self._replaced.add(replica.incarnation)
         if self._find(replica) is not None:
             self._remove_replica(replica.id)
             self.limits.forget(replica.address)
 
     def note_full(self, replica: Replica, *, now: float, until: float) -> None:
-        """Send nothing to a replica that has just turned work away as it is full."""
+        """Send nothing to a replica until a time, since it refused a request as it is
+        full."""
         one = self._find(replica)
         if one is None:
             return
         one.full_until = max(one.full_until, until)
         if self._engine is not None:
-            # A rank refuses when its group does.
+            # A rank refuses requests when its group does.
             self._groups[one.group].note_refusal(now)
 
     def note_rest(self, replica: Replica, rest_s: float, *, now: float) -> bool:
-        """Take the time without requests that a replica asks for; tell whether new."""
+        """Record a replica's request for a pause; return whether a pause begins."""
         return self.notices.note_rest(self._get_present(replica), rest_s, now=now)
 
     def note_leaving(self, replica: Replica, *, now: float) -> bool:
-        """Take note that a replica has said that it leaves; tell whether new."""
+        """Record that a replica announced that it leaves; return whether this is
+        new."""
         return self.notices.note_leaving(self._get_present(replica), now=now)
 
     def may_send(self, replica: Replica, now: float) -> bool:
-        """Tell whether a request that was placed at a replica may still be sent."""
+        """Return whether a request that was assigned to a replica may still be sent."""
         one = self._replicas.get(replica.id)
         if one is None or one.replica.draining:
             return False
         return self.notices.takes_requests(replica, now)
 
     def measure_rest_s(self, now: float) -> float:
-        """Return the time until a replica takes requests, 0 unless all are away."""
+        """Return the seconds until a replica accepts requests, 0 unless all are
+        unavailable."""
         if not len(self.notices):
             return 0.0
         soonest_s = inf
@@ -273,7 +280,8 @@
     def note_limit(
         self, replica: Replica, per_s: float | None, *, now: float, age_s: float = 0.0
     ) -> bool:
-        """Take the limit that a replica names; tell whether that is new."""
+        """Record the request rate limit that a replica reports; return whether it is
+        new."""
         one = self._find(replica)
         if one is None:
             return False
@@ -281,7 +289,8 @@
         return self.limits.observe(one.replica, per_s, heard_at=heard_at, now=now)
 
     def observe_peer_limit(self, news: LimitNews, *, now: float) -> bool:
-        """Take what another entry tells of a limit; tell whether that is new."""
+        """Record a replica's limit reported by another entry; return whether it is
+        new."""
         is_new = False
         for one in self._by_address.get(news.replica, ()):
             if may_be_one_start(one.replica.started_ms, news.started_ms):
@@ -291,14 +300,14 @@
         return is_new
 
     def _find(self, replica: Replica) -> ReplicaLoad | None:
-        """Return what is believed of this start of a replica, if it still runs."""
+        """Return the state of a replica if this incarnation of it still runs."""
         one = self._replicas.get(replica.id)
         if one is None or replica.started_ms not in (0, one.replica.started_ms):
             return None
         return one
 
     def count_waiting(self) -> int:
-        """Return the number of requests that wait."""
+        """Return the number of waiting requests."""
         return len(self._waiting)
 
     def describe(self, now: float) -> Mapping[str, object]:
@@ -316,7 +325,7 @@
 
     @property
     def limit(self) -> float:
-        """Return the requests that the service may have at once, over all entries."""
+        """Maximum number of requests in flight at the service, over all entries."""
         return sum(group.get_limit(self._engine) for group in self._groups.values())
 
     def _add_replica(self, replica: Replica) -> None:
@@ -441,11 +450,11 @@
         return min(wait_s + spread_s, MAX_WAIT_SHARE * (waiting.item.deadline - now))
 
     def _find_unreachable_turns(self, now: float) -> dict[str, float]:
-        """Return who waits in vain for limited replicas, and when to come back.
+        """Return waiting requests that can't be served in time, with their Retry-After.
 
-        Made for a service whose replicas all name a limit. They take what they take;
-        who stands so far back that its turn comes after its time is told so at once,
-        and comes back when those before it are through.
+        This applies when all replicas of a service report a rate limit. Their rate
+        can't be exceeded, so a request whose turn comes after its time is refused at
+        once, to be retried when those before it have been served.
         """
         if not len(self.limits) or not self._waiting:
             return {}
@@ -471,12 +480,13 @@
         return excess
 
     def _add_jitter(self, after_s: float) -> float:
-        # Many are refused in the same moment. Asked back for the same moment too, they
-        # would bring all their prompts at once.
+        # Many callers are refused at the same moment. With the same Retry-After they
+        # would send all their prompts at once.
         return after_s * self._random.uniform(1 - _RETRY_JITTER, 1 + _RETRY_JITTER)
 
     def _add_delay(self, rest_s: float) -> float:
-        # Whoever comes back before the end is refused again.
+        # A caller that returns before the end of the pause is refused again, so jitter
+        # only adds.
         spread_s = max(OVERLOADED_RETRY_AFTER_S, _RETRY_JITTER * rest_s)
         return rest_s + self._random.uniform(0, spread_s)
 
@@ -491,9 +501,10 @@
         )
 
     def _get_present(self, replica: Replica) -> Replica:
-        """Return the present start of a replica that has answered.
+        """Return the current incarnation of a replica that has answered.
 
-        An answer that comes after the news of another start is of that start.
+        An answer that arrives after a restart was reported is attributed to the new
+        incarnation.
         """
         one = self._replicas.get(replica.id)
         return replica if one is None else one.replica
