--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -56,13 +56,13 @@
         ({"token_limit": 200}, 2.0),
     ],
 )
-def test_refusal_tells_when_to_come_back(cells, retry_after_s):
+def test_refusal_has_a_retry_after(cells, retry_after_s):
     admission = make_admission(**cells)
     refusals = [arrive(admission) for _ in range(3)]
     assert refusals[-1].retry_after_s == pytest.approx(retry_after_s)
 
 
-def test_place_comes_free_at_the_end():
+def test_slot_is_freed_when_a_request_ends():
     admission = make_admission(concurrency_limit=1)
     assert arrive(admission) is None
     assert arrive(admission) is not None
@@ -70,7 +70,7 @@
     assert arrive(admission) is None
 
 
-def test_limit_of_an_edited_table_holds_at_once():
+def test_edited_limit_applies_at_once():
     admission = make_admission(concurrency_limit=1)
     assert arrive(admission) is None
     admission.update_rows({"a": CustomerRow("a", concurrency_limit=3)})
@@ -83,7 +83,7 @@
     st.integers(1, 20),
     st.integers(1, 30),
 )
-def test_rate_holds_over_any_time(pauses, rate, burst):
+def test_rate_limit_holds_over_any_period(pauses, rate, burst):
     admission = make_admission(rate_limit=float(rate), rate_burst=burst)
     now = 0.0
     admitted = 0
--- a/tests/unit/test_outage_tracker.py
+++ b/tests/unit/test_outage_tracker.py
@@ -29,9 +29,7 @@
         (((1.0, 9.0), (11.0, 14.0)), 0.25, 2.75),
     ],
 )
-def test_callers_are_asked_back_by_the_length_of_the_last_outage(
-    outages, elapsed_s, expected_s
-):
+def test_retry_after_follows_the_last_outage(outages, elapsed_s, expected_s):
     """A rank crashes for seconds, as one did before.
 
     Callers that are asked back too early are refused again and have no try left.
@@ -41,7 +39,7 @@
     assert times.measure_wait_s(20.0 + elapsed_s) == pytest.approx(expected_s)
 
 
-def test_return_is_spread_over_as_long_as_the_outage_lasts():
+def test_jitter_is_as_long_as_the_outage():
     """Those who were refused in two seconds must not come back in half of one."""
     times = simulate_outages()
     times.observe(is_open=False, now=10.0)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -119,7 +119,7 @@
     assert set(place_many(placer, 20)) == {"t0", "t1"}
 
 
-def test_same_prefix_meets_same_target_until_it_is_loaded():
+def test_same_prefix_goes_to_same_target_until_it_is_loaded():
     placer = make_placer([f"t{number}" for number in range(8)])
     few = place_many(placer, 6, affinity=(11, 12))
     assert len(few) == 1
@@ -169,7 +169,7 @@
     assert load.estimate(10.0) == (350, 4)
 
 
-def test_report_fades_when_no_other_comes():
+def test_old_report_loses_weight():
     """A partition hides a target's reports for minutes.
 
     An entry that kept the last one would give a target that was busy then no work at
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("reason", ["target-unreachable", "leaving"])
-def test_target_that_refuses_at_once_does_not_draw_the_work(reason):
+def test_target_that_refuses_at_once_does_not_attract_work(reason):
     """An engine dies while its agent lives on, and the agent refuses at once.
 
     A target that never keeps a request always looks least loaded. Most requests would
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize("also", [None, "target-unreachable"])
-def test_target_gets_nothing_within_the_time_that_it_asked_for(also):
+def test_target_gets_nothing_during_its_back_off(also):
     """Guards against a pause that binds one repeat only, or a shorter one after it."""
     placer = make_placer(["t0"])
     rested = AttemptReport(AttemptResult.NOT_STARTED, "target-full", rest_s=9.0)
@@ -247,7 +247,7 @@
     assert placer.place(make_request(2), now=WARM + 9.0) is not None
 
 
-def test_half_of_the_targets_gone_at_once():
+def test_half_of_the_targets_lost_at_once():
     """A rack fails, and half of the targets go in one moment.
 
     Callers notice nothing more than fuller batches: no request is placed on a target
--- a/tests/unit/test_prefix_cache_index.py
+++ b/tests/unit/test_prefix_cache_index.py
@@ -22,7 +22,7 @@
     assert index.find((9,), now=1.0) == ()
 
 
-def test_belief_ends_without_an_event():
+def test_entry_expires_without_an_event():
     """An engine evicts a prefix and the event that says so is never published.
 
     Requests that went on to that engine for the prefix would pay for it in balance
@@ -34,7 +34,7 @@
     assert index.find((1,), now=ENTRY_TTL_S) == ()
 
 
-def test_gap_shortens_beliefs():
+def test_gap_shortens_the_lifetime_of_entries():
     index = PrefixCacheIndex()
     index.store([1], "t0", now=0.0)
     index.record_gap("t0", now=10.0)
@@ -92,7 +92,7 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(_EVENTS)
-def test_beliefs_heal_and_stay_bounded(events):
+def test_index_corrects_itself_and_stays_bounded(events):
     """Cache events come late, in any order, and some never.
 
     Whatever came before, a belief that experience does not renew is gone after a
--- a/tests/unit/test_queueing.py
+++ b/tests/unit/test_queueing.py
@@ -68,7 +68,7 @@
     assert first.count("a") == 30
 
 
-def test_long_work_moves_beside_short():
+def test_long_work_progresses_beside_short():
     """A customer keeps sending short checks while one of its long drafts waits.
 
     If short work always went first, the draft would never start and its caller would
@@ -80,7 +80,7 @@
     assert served.index(3000) <= 40
 
 
-def test_low_priority_is_served_in_the_end():
+def test_low_priority_is_eventually_served():
     """Urgent work comes without end, more than the targets can take.
 
     Under strict priority a caller of low priority would wait until its deadline
@@ -128,7 +128,7 @@
         ),
     ],
 )
-def test_full_queue_gives_up(waiting, newcomer, victim):
+def test_full_queue_drops_the_right_request(waiting, newcomer, victim):
     """One customer fills the queue; another comes at its usual pace.
 
     If the newcomer were refused, the flood's neighbours would be told to come back
@@ -160,7 +160,7 @@
         max_size=80,
     )
 )
-def test_queue_neither_loses_nor_doubles(steps):
+def test_queue_neither_loses_nor_duplicates_requests(steps):
     queue = FairQueue()
     waiting = {}
     for number, (step, value) in enumerate(steps):
--- a/tests/unit/test_water_filling.py
+++ b/tests/unit/test_water_filling.py
@@ -29,10 +29,10 @@
     st.lists(st.integers(0, 20), min_size=1, max_size=40),
     st.floats(0.01, 200),
 )
-def test_level_holds_just_what_is_poured(costs, added):
+def test_level_adds_up_to_the_added_amount(costs, added):
     level = find_water_level(costs, added)
-    poured = sum(max(0.0, level - cost) for cost in costs)
-    assert poured == pytest.approx(added)
+    filled = sum(max(0.0, level - cost) for cost in costs)
+    assert filled == pytest.approx(added)
 
 
 @given(
@@ -46,7 +46,7 @@
     assert costs[number] < find_water_level(costs, max(1.0, arrivals) * REQUEST_COST)
 
 
-def test_alone_an_entry_sends_to_the_least_loaded():
+def test_single_entry_sends_to_the_least_loaded():
     costs = [4, 4, 0, 4]
     chosen = {
         choose_by_deficit(costs, 1.0, free=[2, 2, 6, 2], random=Random(seed))
@@ -55,7 +55,7 @@
     assert chosen == {2}
 
 
-def play_shared_loads(*, entries, ranks, steps, arrivals, homes=False):
+def simulate_shared_loads(*, entries, ranks, steps, arrivals, homes=False):
     """Let entries place requests by shared loads; count what meets a full rank."""
     gates = [make_gate(ranks, engine=ENGINE, seed=seed) for seed in range(entries)]
     names = [f"10.2.0.{number}:7000" for number in range(entries)]
@@ -65,7 +65,7 @@
             gate._homes.update(name, names)
     random = Random(7)
     ends = []
-    met_full = 0
+    full_hits = 0
     for step in range(1, steps + 1):
         now = step * 0.12
         ends = [(rank, at) for rank, at in ends if at > now]
@@ -83,10 +83,10 @@
             gate.add(make_waiting(step * 1_000 + number, now=now), weight=1.0)
             for place in list_assignments(gate.dispatch(now)):
                 rank = int(place.replica.id.removeprefix("i-"))
-                met_full += active[rank] >= SLOTS
+                full_hits += active[rank] >= SLOTS
                 active[rank] += 1
                 ends.append((rank, now + random.uniform(0.6, 1.6)))
-    return met_full
+    return full_hits
 
 
 def test_entries_with_the_same_loads_do_not_fill_the_same_ranks():
@@ -95,10 +95,10 @@
     All of them sent what came until the next loads to these few. Their slots were full
     and callers waited there for a second, while half of all slots were free.
     """
-    assert play_shared_loads(entries=13, ranks=63, steps=40, arrivals=14) <= 2
+    assert simulate_shared_loads(entries=13, ranks=63, steps=40, arrivals=14) <= 2
 
 
-def test_entries_that_divide_the_ranks_hardly_meet_at_one():
+def test_home_replicas_reduce_collisions_at_full_ranks():
     """Most slots are taken, and entries see loads of a moment ago.
 
     Two that send to the same free slot let one of their callers wait for a second.
@@ -106,13 +106,13 @@
     met = {True: 0, False: 0}
     for homes in met:
         for arrivals in (6, 7, 8):
-            met[homes] += play_shared_loads(
+            met[homes] += simulate_shared_loads(
                 entries=7, ranks=13, steps=200, arrivals=arrivals, homes=homes
             )
     assert met[True] <= 0.7 * met[False]
 
 
-def test_arrivals_follow_from_what_runs_and_how_long_it_lasts():
+def test_arrival_rate_follows_from_running_requests_and_their_duration():
     """An entry of many sends a request or two a second, and sees a hundred running."""
     gate = make_gate(63, engine=ENGINE)
     told = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
@@ -126,7 +126,7 @@
     assert room.measure_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
 
 
-def test_homes_of_a_zone_are_divided_and_move_little():
+def test_homes_cover_a_zone_and_few_move_when_an_entry_leaves():
     names = [f"10.0.0.{number}:7000" for number in range(7)]
     replicas = [f"10.1.0.{number}:80" for number in range(39)]
 
