--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -1,4 +1,5 @@
-"""Hold several entries' tables in one process, with links and a service that fail."""
+"""Run several entries' tables in one process, with injected faults of links and
+service."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -26,7 +27,7 @@
 
 @dataclass
 class Member:
-    """Hold one entry and what is wrong with its surroundings."""
+    """An entry and its injected faults."""
 
     name: str
     zone: str
@@ -41,7 +42,7 @@
 
 
 class FakeLinks(Neighbours):
-    """Carry questions and notices between the members of a fleet."""
+    """Deliver questions and notices between the members of a fleet."""
 
     def __init__(self, fleet: "Fleet", own: Member) -> None:
         self._fleet = fleet
@@ -68,7 +69,7 @@
 
 
 class Fleet:
-    """Start, end and disturb entries that share one key-value service."""
+    """A fleet of entries that share one key-value service, with injected faults."""
 
     def __init__(self, nursery: trio.Nursery, *, seed: int = 0) -> None:
         self.state = KeyValueState(trio.current_time)
@@ -81,7 +82,7 @@
         self._stale_state: KeyValueState | None = None
 
     def snapshot_for_stale_reads(self) -> None:
-        """Keep the state of now for the stale reads of entries started later."""
+        """Snapshot the current state for the stale reads of entries started later."""
         self._stale_state = self.state.copy_items()
 
     def make_store(self, member: Member | None = None) -> FakeKeyValueStore:
@@ -96,14 +97,14 @@
         return store
 
     def restore_from(self, copy: KeyValueState) -> None:
-        """Let the service come back from a copy, with an identity of its own."""
+        """Restore the service from a copy, with a new identity."""
         self.state = copy.copy_items()
         self.state.begin_cluster()
         for store in self._stores:
             store.state = self.state
 
     def start(self, zone: str = ZONES[0], *, stale: bool = False) -> Member:
-        """Start a new entry and put it into the list of VMs."""
+        """Start a new entry and add it to the list of VMs."""
         self._started += 1
         member = Member(f"entry-{self._started}", zone, stale=stale)
         member.spread = TableSpread(
@@ -120,24 +121,24 @@
         return member
 
     def kill(self, member: Member) -> None:
-        """End an entry; the list of VMs goes on to show it until it is listed anew."""
+        """Stop an entry; it remains in the list of VMs until the next update."""
         member.scope.cancel()
         self.members.pop(member.name, None)
 
     def publish_vm_list(self) -> None:
-        """Let every entry learn the list of VMs."""
+        """Send the list of VMs to every entry."""
         zones = {one.name: one.zone for one in self.members.values()}
         for member in self.members.values():
             if member.spread is not None:
                 member.spread.update_entries(zones)
 
     def get_committed(self) -> Mapping[str, int]:
-        """Return the revision of each page in the service."""
+        """Return the committed revision of each page in the service."""
         items = self.state.get_range(PAGE_PREFIX.encode(), b"u")
         return {item.key.decode(): item.mod_revision for item in items}
 
     def get_lagging(self) -> list[str]:
-        """Return the entries that lack a page of the service."""
+        """Return the entries whose pages differ from those of the service."""
         committed = self.get_committed()
         return [one.name for one in self.members.values() if one.in_force != committed]
 
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Test the limits of customers."""
+"""Test the enforcement of customers' limits."""
 
 import pytest
 from hypothesis import given, settings
--- a/tests/unit/test_outage_tracker.py
+++ b/tests/unit/test_outage_tracker.py
@@ -1,4 +1,4 @@
-"""Test when callers of a service that is out are asked back."""
+"""Test the Retry-After of a service during an outage."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def simulate_outages(*closed):
-    """Let outages pass, each a pair of times, from an open service on."""
+    """Return a tracker that observed outages, each a pair of times."""
     times = OutageTracker()
     times.observe(is_open=True, now=0.0)
     for start, end in closed:
@@ -30,9 +30,9 @@
     ],
 )
 def test_retry_after_follows_the_last_outage(outages, elapsed_s, expected_s):
-    """A rank crashes for seconds, as one did before.
+    """A rank crashes and is down for seconds, as one was before.
 
-    Callers that are asked back too early are refused again and have no try left.
+    Callers that return too early are refused again and have no retry left.
     """
     times = simulate_outages(*outages)
     times.observe(is_open=False, now=20.0)
@@ -40,7 +40,7 @@
 
 
 def test_jitter_is_as_long_as_the_outage():
-    """Those who were refused in two seconds must not come back in half of one."""
+    """Callers refused during two seconds must not return within half a second."""
     times = simulate_outages()
     times.observe(is_open=False, now=10.0)
     assert times.measure_jitter_s(12.0) == pytest.approx(2.0)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -159,8 +159,8 @@
 def test_late_report_is_not_counted_twice():
     """A report shows the load as it was half a second ago.
 
-    An entry that adds its own requests to a report which has them already takes its
-    busiest target for twice as busy as it is.
+    If an entry adds its own requests to a report that already contains them, it takes
+    its busiest target to be twice as busy as it is.
     """
     load = TargetLoad()
     load.add(100, now=0.0)
@@ -170,10 +170,10 @@
 
 
 def test_old_report_loses_weight():
-    """A partition hides a target's reports for minutes.
+    """A partition keeps a target's reports away for minutes.
 
-    An entry that kept the last one would give a target that was busy then no work at
-    all, and callers would wait in front of idle targets.
+    If an entry kept the last report, a target that was busy then would get no work at
+    all, and callers would wait while targets are idle.
     """
     placer = make_placer(["busy", "t1"])
     placer.observe_load("busy", LoadReport(30, 90_000), now=WARM)
@@ -183,10 +183,10 @@
 
 
 def test_silent_target_gets_little_new_work():
-    """A device on the way forgets a connection: nothing fails, nothing arrives.
+    """A network device drops a connection's state: nothing fails, nothing arrives.
 
-    Until the silence is long enough to close it, each request that is placed there
-    keeps its caller waiting for nothing.
+    Until the silence is long enough to close the connection, each request that is
+    placed there keeps its caller waiting in vain.
     """
     names = [f"t{number}" for number in range(4)]
     placer = make_placer(names)
@@ -208,10 +208,10 @@
 
 @pytest.mark.parametrize("reason", ["target-unreachable", "leaving"])
 def test_target_that_refuses_at_once_does_not_attract_work(reason):
-    """An engine dies while its agent lives on, and the agent refuses at once.
+    """An engine dies while its agent keeps running, and the agent refuses at once.
 
-    A target that never keeps a request always looks least loaded. Most requests would
-    go there first, and the retries of a busy service would be spent on it.
+    A target that never holds a request always looks least loaded. Most requests would
+    go there first, and use up the retries of a busy service.
     """
     placer = make_placer(["t0", "t1", "t2"])
     refused = AttemptReport(AttemptResult.NOT_STARTED, reason)
@@ -235,7 +235,8 @@
 
 @pytest.mark.parametrize("also", [None, "target-unreachable"])
 def test_target_gets_nothing_during_its_back_off(also):
-    """Guards against a pause that binds one repeat only, or a shorter one after it."""
+    """Guards against a back-off that applies to one retry only, or is cut by a shorter
+    one."""
     placer = make_placer(["t0"])
     rested = AttemptReport(AttemptResult.NOT_STARTED, "target-full", rest_s=9.0)
     placer.place(make_request(0), now=WARM)
@@ -248,10 +249,10 @@
 
 
 def test_half_of_the_targets_lost_at_once():
-    """A rack fails, and half of the targets go in one moment.
+    """A rack fails, and half of the targets are lost at once.
 
-    Callers notice nothing more than fuller batches: no request is placed on a target
-    that is gone, and the rest shares the work evenly.
+    Callers notice only fuller batches: no request is placed on a lost target, and the
+    remaining targets share the work evenly.
     """
     placer = make_placer([f"t{number}" for number in range(12)])
     place_many(placer, 60)
--- a/tests/unit/test_prefix_cache_index.py
+++ b/tests/unit/test_prefix_cache_index.py
@@ -1,4 +1,4 @@
-"""Test beliefs about the targets' prefix caches."""
+"""Test the index of the targets' prefix caches."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -23,10 +23,10 @@
 
 
 def test_entry_expires_without_an_event():
-    """An engine evicts a prefix and the event that says so is never published.
+    """An engine evicts a prefix and the eviction event is never published.
 
-    Requests that went on to that engine for the prefix would pay for it in balance
-    and gain nothing.
+    Requests that still prefer that engine for the prefix would cost balance and gain
+    nothing.
     """
     index = PrefixCacheIndex()
     index.store([1], "t0", now=0.0)
@@ -48,7 +48,7 @@
     """A target's cache is too small for the prompts that are sent to it.
 
     Each of them finds its prefix evicted, so the preference costs balance and saves
-    nothing; callers see first tokens as late as without a cache.
+    nothing; callers get first tokens as late as without a cache.
     """
     index = PrefixCacheIndex()
     for _ in range(20):
@@ -93,10 +93,10 @@
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(_EVENTS)
 def test_index_corrects_itself_and_stays_bounded(events):
-    """Cache events come late, in any order, and some never.
+    """Cache events arrive late, in any order, and some never.
 
-    Whatever came before, a belief that experience does not renew is gone after a
-    minute, so no wrong one holds for long.
+    Whatever the events, an entry that no latency confirms expires within a minute, so
+    no wrong entry lasts.
     """
     index = PrefixCacheIndex(max_prefixes=10)
     now = 0.0
--- a/tests/unit/test_queueing.py
+++ b/tests/unit/test_queueing.py
@@ -81,10 +81,10 @@
 
 
 def test_low_priority_is_eventually_served():
-    """Urgent work comes without end, more than the targets can take.
+    """Urgent work arrives without end, more than the targets can serve.
 
-    Under strict priority a caller of low priority would wait until its deadline
-    without any progress. It gets a tenth of the tokens, shared by all lower classes.
+    Under strict priority a caller of low priority would wait until its deadline without
+    any progress. All lower classes together get a tenth of the tokens.
     """
     queue = FairQueue()
     fill(queue, [("low", 9, 100), ("middle", 7, 100)] * 10)
@@ -129,10 +129,10 @@
     ],
 )
 def test_full_queue_drops_the_right_request(waiting, newcomer, victim):
-    """One customer fills the queue; another comes at its usual pace.
+    """One customer fills the queue; another one sends at its usual rate.
 
-    If the newcomer were refused, the flood's neighbours would be told to come back
-    although they ask for less than their share.
+    If the newcomer were refused, the other customers would be told to retry although
+    they use less than their share.
     """
     queue = FairQueue()
     fill(queue, waiting)
--- a/tests/unit/test_water_filling.py
+++ b/tests/unit/test_water_filling.py
@@ -1,4 +1,4 @@
-"""Test the choice among replicas by loads that many entries saw a moment ago."""
+"""Test the choice among replicas by stale loads that many entries share."""
 
 from random import Random
 
@@ -56,7 +56,7 @@
 
 
 def simulate_shared_loads(*, entries, ranks, steps, arrivals, homes=False):
-    """Let entries place requests by shared loads; count what meets a full rank."""
+    """Simulate entries with shared loads; count requests that reach a full rank."""
     gates = [make_gate(ranks, engine=ENGINE, seed=seed) for seed in range(entries)]
     names = [f"10.2.0.{number}:7000" for number in range(entries)]
     for gate, name in zip(gates, names, strict=True):
@@ -90,18 +90,20 @@
 
 
 def test_entries_with_the_same_loads_do_not_fill_the_same_ranks():
-    """Thirteen entries see eight times a second which ranks have least to do.
+    """Thirteen entries receive the same loads eight times a second.
 
-    All of them sent what came until the next loads to these few. Their slots were full
-    and callers waited there for a second, while half of all slots were free.
+    All of them sent the requests until the next loads to the few least loaded ranks.
+    The slots there were full and callers waited for a second, while half of all slots
+    were free.
     """
     assert simulate_shared_loads(entries=13, ranks=63, steps=40, arrivals=14) <= 2
 
 
 def test_home_replicas_reduce_collisions_at_full_ranks():
-    """Most slots are taken, and entries see loads of a moment ago.
+    """Most slots are taken, and entries see stale loads.
 
-    Two that send to the same free slot let one of their callers wait for a second.
+    When two entries send to the same free slot, one of their callers waits for a
+    second.
     """
     met = {True: 0, False: 0}
     for homes in met:
@@ -113,7 +115,8 @@
 
 
 def test_arrival_rate_follows_from_running_requests_and_their_duration():
-    """An entry of many sends a request or two a second, and sees a hundred running."""
+    """One of many entries sends a request or two a second and sees a hundred
+    running."""
     gate = make_gate(63, engine=ENGINE)
     told = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
     gate.observe_loads([(make_load(rank, **told), 10.0) for rank in range(63)])
@@ -122,7 +125,7 @@
         gate.add(make_waiting(number, now=10.0), weight=1.0)
         for place in list_assignments(gate.dispatch(10.0)):
             gate.finish(place.replica, failed=False, now=12.0)
-    # Two of them end after two seconds each, so 126 that run make 63 a second.
+    # Requests last two seconds each, so 126 running ones mean 63 arrivals a second.
     assert room.measure_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
 
 
@@ -147,7 +150,7 @@
 def test_entries_with_the_same_loads_do_not_fill_the_same_group():
     """Three groups are about equally full, and all entries see which is emptiest.
 
-    All that came until the next loads went to that one, and met full ranks there.
+    All requests until the next loads went to that group and met full ranks there.
     """
     taken = [0, 0, 0]
     for seed in range(30):
