--- a/tests/unit/test_load_scenarios.py
+++ b/tests/unit/test_load_scenarios.py
@@ -86,7 +86,7 @@
             assert 1 <= result.retry_after_s <= 90
 
 
-def test_refusal_comes_as_soon_as_the_wait_is_known():
+def test_late_requests_are_refused_well_before_their_deadline():
     """A queue is full of work that is admitted; then half of the targets go.
 
     Callers who wait for what can no longer be in time would learn of it only at their
@@ -99,7 +99,7 @@
     assert min(left) > 2.0
 
 
-def test_arrival_that_can_not_be_served_in_time_is_refused():
+def test_request_that_cannot_be_served_in_time_is_refused_on_arrival():
     scheduler = make_scheduler()
     now = measure_runs(scheduler, seconds=4.0)
     decisions = [
@@ -123,7 +123,7 @@
     assert isinstance(patient, Waiting)
 
 
-def test_prompt_start_is_never_refused_for_its_guessed_length():
+def test_request_that_can_start_is_not_refused_for_its_estimated_length():
     """The guess of the answer's length is far too high, and places are free.
 
     A caller would be refused by an idle system, again and again.
@@ -152,7 +152,7 @@
     assert [type(one) for one in decisions] == kinds
 
 
-def test_caller_gone_leaves_the_queue_and_its_limits():
+def test_withdrawn_request_leaves_the_queue_and_its_limits():
     row = CustomerRow("a", concurrency_limit=2)
     scheduler = make_scheduler(customers=[row])
     scheduler.submit(make_request("r0"), now=0.0)
@@ -165,7 +165,7 @@
     assert [name for name, _ in scheduler.collect(now=0.0)] == ["r3"]
 
 
-def test_retry_that_finds_no_place_does_not_hold_up_others():
+def test_retry_without_a_free_slot_goes_first_later():
     """An attempt comes back unstarted while every place is taken.
 
     It goes first when a place comes free, since it has waited its turn already.
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -88,7 +88,7 @@
     return [one for one in decisions if isinstance(one, Rejection)]
 
 
-def test_burst_takes_only_this_entrys_part_of_the_free_places():
+def test_burst_takes_only_this_entrys_part_of_the_free_slots():
     """Thirty callers come at one entry at once, while three others see the same room.
 
     Were each entry to fill it alone, the group would get four times what it can take,
@@ -103,7 +103,7 @@
     assert not list_rejections(gate.dispatch(0.1))
 
 
-def test_what_found_no_room_is_refused_early_with_a_time_to_come_back():
+def test_request_without_room_is_refused_early_with_a_retry_after():
     gate = make_gate()
     for number in range(4):
         gate.observe_load(make_load(number, active=6), now=0.0)
@@ -138,7 +138,7 @@
     assert slow.limit < quick.limit
 
 
-def test_without_word_from_agents_each_entry_counts_for_all():
+def test_stale_loads_limit_an_entry_to_its_part():
     gate = make_gate()
     gate.observe_load(make_load(0), now=-10.0)
     add(gate, 30)
@@ -146,7 +146,7 @@
     assert len(placed) <= ENGINE.slots * 4 / 4
 
 
-def test_places_are_spread_over_the_replicas():
+def test_requests_are_spread_over_the_replicas():
     gate = make_gate(engine=None)
     add(gate, 4)
     placed = []
@@ -165,7 +165,7 @@
             gate.finish(place.replica, failed=False, now=0.0)
 
 
-def test_failing_replica_is_left_out_for_a_while():
+def test_failing_replica_is_ejected():
     gate = make_gate(3, engine=None)
     for _ in range(12):
         gate.finish(make_replica(0), failed=True, now=0.0)
@@ -184,7 +184,7 @@
     assert list_assignments(gate.dispatch(0.0))[0].request_id == "r-2"
 
 
-def test_those_who_can_be_served_in_time_go_before_those_who_are_late():
+def test_requests_in_time_go_before_late_ones():
     """For a second the group takes less than comes, and a queue builds up.
 
     Served in order of arrival everybody would be late, also those who come after.
@@ -196,7 +196,7 @@
     assert [one.request_id for one in placed] == ["r-2", "r-1"]
 
 
-def test_requests_that_have_just_left_do_not_make_the_others_look_dear():
+def test_requests_that_just_ended_do_not_lower_the_limit():
     """Half of the requests end at once, while the measured passes are still long.
 
     A limit from the long passes and the few requests that are left would refuse
@@ -234,7 +234,7 @@
     assert fixed_s + gate.limit * moved_s < 0.12
 
 
-def test_late_requests_leave_places_for_those_in_time():
+def test_late_requests_leave_slots_for_those_in_time():
     """The group is full, and places fall free one at a time.
 
     They go to whoever comes next and can be served in time, at any entry, not to those
@@ -282,7 +282,7 @@
     assert three.limit == pytest.approx(3 * one.limit)
 
 
-def test_work_goes_to_the_group_that_has_most_room():
+def test_work_goes_to_the_group_with_most_room():
     """One group is full and another one is nearly empty.
 
     A request in the full one would slow all streams there.
@@ -310,7 +310,7 @@
     assert not list_rejections(gate.dispatch(0.01))
 
 
-def test_free_places_are_not_taken_again_before_the_next_pass():
+def test_free_slots_are_not_taken_again_before_the_next_pass():
     """Callers wait at all entries, and a few places of a full group fall free.
 
     Each entry sees them for a whole pass. One that takes its part at each look takes
@@ -318,8 +318,8 @@
     """
     gate = make_groups(1, active=4)
     add(gate, 30)
-    looks = [list_assignments(gate.dispatch(0.001 * look)) for look in range(20)]
-    assert sum(len(one) for one in looks) <= 8 / 4 + 1
+    batches = [list_assignments(gate.dispatch(0.001 * look)) for look in range(20)]
+    assert sum(len(one) for one in batches) <= 8 / 4 + 1
 
 
 def test_entries_together_take_what_is_free():
@@ -339,7 +339,7 @@
     assert 150 <= taken <= 200
 
 
-def test_replica_whose_address_another_one_has_stays_out():
+def test_replica_whose_address_was_taken_over_gets_nothing():
     """A replica has gone for good, and a new one answers at its address.
 
     The store lists the old one for some seconds more. Sent there again with each news
@@ -363,7 +363,7 @@
 LAYOUT = ExpertLayout(4, 72, 8, 3, 0.85, 780.0, 180_000.0)
 
 
-def play_return(gate, *, tokens, passes=8):
+def simulate_recovery(gate, *, tokens, passes=8):
     """Let a group of twelve be formed anew, and return what is placed by pass."""
     for step in range(1, passes + 1):
         for number in range(12):
@@ -372,7 +372,7 @@
         yield sum(tokens for _ in list_assignments(gate.dispatch(step * 0.1)))
 
 
-def test_prompts_that_come_back_after_a_crash_are_read_over_several_passes():
+def test_prompts_retried_after_a_crash_are_read_over_several_passes():
     """A rank crashes, its group is formed anew, and all its streams come at once.
 
     Each brings a prompt of thousands of tokens. Read in one pass they make it longer
@@ -383,12 +383,12 @@
     for gate in gates:
         make_prompts(gate, 60, tokens=2_500)
     # What goes beyond the entries' part in a pass is paid for by the passes after it.
-    passes = [play_pass(gates, step, tokens=2_500) for step in range(1, 9)]
+    passes = [simulate_pass(gates, step, tokens=2_500) for step in range(1, 9)]
     assert sum(map(measure_pass, passes)) / len(passes) < 0.12
     assert sum(map(sum, passes)) >= 4 * 10 * 2_500
 
 
-def play_pass(gates, step, *, tokens):
+def simulate_pass(gates, step, *, tokens):
     """Let a group begin a pass; return the prompt tokens that each rank gets."""
     read = [0] * 12
     for gate in gates:
@@ -413,11 +413,11 @@
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
     make_prompts(gate, 2, tokens=30_000)
-    read = list(play_return(gate, tokens=30_000, passes=30))
+    read = list(simulate_recovery(gate, tokens=30_000, passes=30))
     assert sum(read) == 60_000
 
 
-def test_request_goes_where_the_prompts_are_read_already():
+def test_request_goes_to_the_rank_without_unread_prompts():
     """Two ranks have three requests each; one of them has yet to read two prompts.
 
     It reads one after the other, and a third one would have its first event late.
@@ -429,7 +429,7 @@
     assert [one.replica.id for one in list_assignments(gate.dispatch(0.0))] == ["i-1"]
 
 
-def test_entry_with_most_callers_may_send_most_prompts():
+def test_entry_with_more_callers_may_send_more_prompts():
     """Half of the callers of four entries are at one of them.
 
     With a quarter of what may be read its callers wait while others use up nothing.
@@ -451,13 +451,13 @@
     assert parts[1] == pytest.approx(2 * parts[0])
 
 
-def tell_group(gate, *, step, now, active, pass_s):
+def report_group_load(gate, *, step, now, active, pass_s):
     for number in range(12):
         load = make_load(number, ranks=12, step=step, active=active, pass_s=pass_s)
         gate.observe_load(load, now=now)
 
 
-def test_slow_spell_does_not_shut_a_group_for_good():
+def test_slow_period_does_not_close_a_group_permanently():
     """Ranks are slow for seconds, and passes take three times the pause.
 
     Then the group has served what it had, and is idle: an idle group makes no passes,
@@ -467,23 +467,23 @@
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
     for step in range(1, 40):
-        tell_group(gate, step=step, now=step * 0.3, active=3, pass_s=0.3)
+        report_group_load(gate, step=step, now=step * 0.3, active=3, pass_s=0.3)
     for look in range(20):
-        tell_group(gate, step=40, now=12.0 + look * 0.06, active=0, pass_s=0.0)
+        report_group_load(gate, step=40, now=12.0 + look * 0.06, active=0, pass_s=0.0)
     make_prompts(gate, 6, tokens=2_500, now=13.2)
     placed = 0
     for step in range(41, 60):
         now = 13.2 + (step - 41) * 0.06
         placed += len(list_assignments(gate.dispatch(now)))
         if placed:
-            tell_group(gate, step=step, now=now, active=1, pass_s=0.06)
+            report_group_load(gate, step=step, now=now, active=1, pass_s=0.06)
         else:
-            tell_group(gate, step=40, now=now, active=0, pass_s=0.0)
+            report_group_load(gate, step=40, now=now, active=0, pass_s=0.0)
     assert placed == 6
 
 
 @pytest.mark.parametrize("pass_s", [0.13, 0.5])
-def test_prompts_are_not_held_back_where_all_streams_are_late_already(pass_s):
+def test_prompts_are_not_held_back_if_all_streams_are_late_already(pass_s):
     """A rank works at an eighth of its pace, and every pass is longer than the pause.
 
     Whoever is let in is served late; whoever waits for shorter passes is refused.
@@ -491,15 +491,15 @@
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
     for step in range(1, 40):
-        tell_group(gate, step=step, now=step * pass_s, active=0, pass_s=pass_s)
-    tell_group(gate, step=40, now=40 * pass_s, active=1, pass_s=pass_s)
+        report_group_load(gate, step=step, now=step * pass_s, active=0, pass_s=pass_s)
+    report_group_load(gate, step=40, now=40 * pass_s, active=1, pass_s=pass_s)
     (group,) = gate._groups.values()
     group.take(100_000, now=0.0)
-    tell_group(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
+    report_group_load(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
     assert group.may_read(engine, 41 * pass_s)
 
 
-def test_callers_of_a_group_that_is_not_formed_yet_hear_at_once_when_to_return():
+def test_callers_of_a_group_not_yet_formed_get_a_retry_after_at_once():
     """Everything lost power. Entries are back before the group is formed.
 
     Nobody has told its load, and its ranks refuse all requests. Callers were sent to
@@ -524,7 +524,7 @@
     assert min(one.retry_after_s for one in rejected) >= 1.5
 
 
-def test_group_that_serves_again_is_seen_by_the_next_try():
+def test_group_that_recovers_is_found_by_the_next_probe():
     gate = make_gate(12)
     add(gate, 1)
     place = list_assignments(gate.dispatch(0.0))[0]
@@ -535,7 +535,7 @@
     assert list_assignments(gate.dispatch(0.3))
 
 
-def test_full_rank_of_a_group_that_is_told_of_closes_nobody_else():
+def test_full_rank_of_a_reported_group_does_not_close_the_others():
     gate = make_groups(1, active=1)
     full = make_replica(0)
     gate.note_full(full, now=0.05, until=0.15)
@@ -545,7 +545,7 @@
     assert places[0].replica.id != full.id
 
 
-def test_those_whose_turn_at_a_limited_replica_comes_too_late_are_refused_at_once():
+def test_requests_beyond_a_limited_replicas_rate_are_refused_at_once():
     """A service's only replica takes ten requests a second, and fifty callers come.
 
     This entry may send it a part of those. Who stands further back than its time
@@ -561,7 +561,7 @@
     assert all(one.retry_after_s > 0 for one in rejected)
 
 
-def test_limited_replica_is_passed_over_while_another_has_room():
+def test_limited_replica_is_skipped_while_another_has_room():
     gate = make_gate(2, engine=None)
     gate.note_limit(make_replica(1), 0.0, now=0.0)
     add(gate, 4, now=0.0)
@@ -579,7 +579,7 @@
     assert not list_assignments(gate.dispatch(0.2))
 
 
-def test_limit_of_an_earlier_start_does_not_bind_the_next_one():
+def test_limit_of_an_earlier_incarnation_does_not_apply_to_the_next():
     gate = make_gate(1, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
     gate.note_limit(make_replica(0, started_ms=1), 0.0, now=0.0)
@@ -590,7 +590,7 @@
     assert not list_rejections(gate.dispatch(0.1))
 
 
-def test_one_caller_at_a_time_shows_whether_a_group_that_refused_serves_again():
+def test_single_request_probes_a_group_that_refused():
     """Everything lost power, and a crowd stands at an entry before the group is formed.
 
     Were all of them sent at once after a refusal, each would lose one of the tries that
@@ -613,7 +613,7 @@
 
 
 @pytest.mark.parametrize(("replicas", "entries"), [(12, 4), (72, 12), (192, 32)])
-def test_herd_after_a_return_fills_the_groups_once_over_all_entries(replicas, entries):
+def test_thundering_herd_fills_the_groups_once_over_all_entries(replicas, entries):
     """Everything has lost power, and each entry has a crowd of callers that came back.
 
     No load has been told yet, so no entry knows how many others there are. With a few
