--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -152,7 +152,7 @@
         reader = member.spread.reader
         revisions, marks = reader.get_revisions(), reader.get_held_marks()
         for key, mark in member.marks.items():
-            assert marks[key][0] >= mark, f"{member.name} went back at {key}"
+            assert marks[key][0] >= mark, f"{member.name} reverted to an older {key}"
         member.marks = {key: held[0] for key, held in marks.items()}
         member.in_force = revisions
         if member.first_in_force is None:
--- a/tests/unit/test_load_scenarios.py
+++ b/tests/unit/test_load_scenarios.py
@@ -1,4 +1,4 @@
-"""Test what callers get under load, scenario by scenario."""
+"""Test the outcomes of callers under load, scenario by scenario."""
 
 from random import Random
 
@@ -37,7 +37,7 @@
 
 
 def measure_runs(scheduler, *, seconds, count=60):
-    """Let a scheduler learn how long a request of a hundred tokens runs."""
+    """Let a scheduler measure how long a request of a hundred tokens runs."""
     for number in range(count):
         now = number * seconds
         scheduler.submit(make_request(f"past-{number}"), now=now)
@@ -62,10 +62,10 @@
     ],
 )
 def test_callers_under_load(scenario, factor, in_time, goodput, refused_later):
-    """More work comes than the targets can do, or targets slow down or go.
+    """More work arrives than the targets can serve, or targets slow down or fail.
 
-    Without refusals on arrival everything waits, starts too late and is given up by
-    its caller half-way: the targets are busy and almost nobody gets an answer.
+    Without refusals on arrival everything waits, starts too late and is cancelled by
+    its caller half-way: the targets are busy and almost no caller gets an answer.
     """
     found = SCENARIOS[scenario]
     results = run_scenario(found, factor=factor, policy="hyssopvane")
@@ -75,7 +75,7 @@
     assert outcomes.refused_later <= refused_later
     assert outcomes.late <= 0.02
     assert outcomes.fairness >= 0.99
-    # Nobody within its share loses because another exceeds its own.
+    # No customer within its share loses because another exceeds its own.
     assert outcomes.worst_within_share >= 0.999
     for result in results:
         if result.refusal in (
@@ -87,10 +87,10 @@
 
 
 def test_late_requests_are_refused_well_before_their_deadline():
-    """A queue is full of work that is admitted; then half of the targets go.
+    """A queue is full of admitted work; then half of the targets fail.
 
-    Callers who wait for what can no longer be in time would learn of it only at their
-    deadline, too late to go elsewhere.
+    Callers whose requests can no longer be served in time would be refused only at
+    their deadline, too late to go elsewhere.
     """
     scenario = SCENARIOS["half"]
     results = run_scenario(scenario, factor=2.0, policy="hyssopvane")
@@ -124,9 +124,10 @@
 
 
 def test_request_that_can_start_is_not_refused_for_its_estimated_length():
-    """The guess of the answer's length is far too high, and places are free.
+    """The estimated length of the answer is far too high, and slots are free.
 
-    A caller would be refused by an idle system, again and again.
+    Without the bound on the estimate, an idle system would refuse a caller again and
+    again.
     """
     scheduler = make_scheduler(targets=2)
     now = measure_runs(scheduler, seconds=4.0)
@@ -166,9 +167,10 @@
 
 
 def test_retry_without_a_free_slot_goes_first_later():
-    """An attempt comes back unstarted while every place is taken.
+    """An attempt is returned unstarted while every slot is taken.
 
-    It goes first when a place comes free, since it has waited its turn already.
+    It goes first when a slot is freed, since it has already waited its turn, and must
+    not block other requests until then.
     """
     scheduler = make_scheduler(targets=1)
     scheduler.submit(make_request("r0"), now=0.0)
@@ -182,7 +184,7 @@
 
 
 def test_every_request_ends():
-    """Callers leave, targets die and come back, all at once."""
+    """Callers disconnect, and targets fail and return, all at once."""
     random = Random(7)
     targets = [
         FakeTarget(TargetInfo(f"t{number}", "draft", "arima", 1), slots=2)
--- a/tests/unit/test_queueing.py
+++ b/tests/unit/test_queueing.py
@@ -36,7 +36,7 @@
         pytest.param(
             [("a", 5, 100), ("a", 5, 100), ("a", 5, 100), ("b", 5, 100)],
             ["r0", "r3", "r1", "r2"],
-            id="a newcomer's customer is served before the flood's rest",
+            id="a new customer is served before the rest of a flood",
         ),
         pytest.param(
             [("a", 5, 100), ("b", 0, 100), ("c", 9, 100)],
@@ -106,13 +106,13 @@
             [("flood", 5, 100)] * 8 + [("modest", 5, 100)] * 2,
             ("modest", 5),
             "r7",
-            id="the flood's newest goes, not a customer within its share",
+            id="the flood's newest request is dropped, none within its share",
         ),
         pytest.param(
             [("flood", 5, 100)] * 8 + [("modest", 5, 100)] * 2,
             ("flood", 5),
             "new",
-            id="the newcomer goes when its customer is above its share",
+            id="the newcomer is dropped if its customer is above its share",
         ),
         pytest.param(
             [("flood", 0, 100)] * 8 + [("modest", 9, 100)] * 2,
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -1,4 +1,4 @@
-"""Test who is placed, held and refused at one entry, under replayed loads."""
+"""Test which requests one entry assigns, queues and refuses, under replayed loads."""
 
 from dataclasses import replace
 from random import Random
@@ -89,10 +89,10 @@
 
 
 def test_burst_takes_only_this_entrys_part_of_the_free_slots():
-    """Thirty callers come at one entry at once, while three others see the same room.
+    """Thirty callers arrive at one entry at once, and three others see the same room.
 
-    Were each entry to fill it alone, the group would get four times what it can take,
-    and all its streams would stutter.
+    If each entry filled it alone, the group would get four times its capacity, and all
+    its streams would stutter.
     """
     gate = make_gate()
     for number in range(4):
@@ -116,9 +116,9 @@
 
 
 def test_broken_group_refuses_at_once():
-    """A rank has crashed, and its group serves nobody for seconds.
+    """A rank has crashed, and its group serves no requests for seconds.
 
-    Callers that waited for it would use up their time for nothing.
+    Callers that waited for it would use up their time in vain.
     """
     gate = make_gate()
     for number in range(4):
@@ -185,9 +185,9 @@
 
 
 def test_requests_in_time_go_before_late_ones():
-    """For a second the group takes less than comes, and a queue builds up.
+    """For a second the group serves less than arrives, and a queue builds up.
 
-    Served in order of arrival everybody would be late, also those who come after.
+    In order of arrival all requests would be late, including those that arrive later.
     """
     gate = make_gate(1, engine=None)
     gate.add(make_waiting(1, now=0.0), weight=1.0)
@@ -199,7 +199,7 @@
 def test_requests_that_just_ended_do_not_lower_the_limit():
     """Half of the requests end at once, while the measured passes are still long.
 
-    A limit from the long passes and the few requests that are left would refuse
+    A limit computed from the long passes and the few remaining requests would refuse
     callers while the group is half empty.
     """
     gate = make_gate()
@@ -216,13 +216,13 @@
 def test_limit_leaves_room_for_the_next_shift_of_demand():
     """Demand moves to other experts every few seconds, and passes double for a second.
 
-    A limit from the quick passes in between fills the group, and with the next shift
-    all of its streams pause for too long at once.
+    A limit computed from the quick passes in between fills the group, and with the next
+    shift all of its streams pause for too long at once.
     """
     layout = ExpertLayout(3, 96, 11, 4, 0.85, 2200.0, 44_000.0)
     engine = replace(ENGINE, layout=layout)
     gate = make_gate(engine=engine)
-    # Slots beyond what the passes allow, so that these decide.
+    # More slots than the passes allow, so that the passes determine the limit.
     gate.update(
         [make_replica(number, slots=60) for number in range(4)], engine, now=0.0
     )
@@ -235,10 +235,10 @@
 
 
 def test_late_requests_leave_slots_for_those_in_time():
-    """The group is full, and places fall free one at a time.
+    """The group is full, and slots are freed one at a time.
 
-    They go to whoever comes next and can be served in time, at any entry, not to those
-    who have waited here for long.
+    They go to new requests that can be served in time, at any entry, not to requests
+    that have waited here for long.
     """
     gate = make_gate()
     for number in range(4):
@@ -248,7 +248,7 @@
     gate.add(make_waiting(2, now=1.0), weight=1.0)
     placed = []
     for step in range(2, 40):
-        # Each pass gives this entry another turn at the free places.
+        # Each pass gives this entry another turn at the free slots.
         for number in range(4):
             load = make_load(number, active=5 + number % 2, step=step)
             gate.observe_load(load, now=1.0)
@@ -257,7 +257,7 @@
 
 
 def make_groups(groups=3, *, active=0, step=1, gate=None):
-    """Return a gate whose replicas form groups of four ranks, all heard."""
+    """Return a gate with loads of all replicas, which form groups of four ranks."""
     numbers = range(4 * groups)
     if gate is None:
         gate = make_gate(4 * groups)
@@ -275,8 +275,8 @@
 def test_each_group_of_a_service_has_a_limit_of_its_own():
     """A service has grown from one group of ranks to three.
 
-    Its passes are those of one group. A limit for all replicas together, worked out
-    from them, leaves two thirds of the machines idle while callers are refused.
+    Its passes are those of one group. A limit computed from them for all replicas
+    together leaves two thirds of the machines idle while callers are refused.
     """
     one, three = make_groups(1, active=4), make_groups(3, active=4)
     assert three.limit == pytest.approx(3 * one.limit)
@@ -295,7 +295,7 @@
 
 
 def test_broken_group_gets_nothing_while_others_serve():
-    """A rank of one group has crashed; the other groups go on.
+    """A rank of one group has crashed; the other groups keep serving.
 
     A request that is sent to the broken group is refused there seconds later.
     """
@@ -311,10 +311,11 @@
 
 
 def test_free_slots_are_not_taken_again_before_the_next_pass():
-    """Callers wait at all entries, and a few places of a full group fall free.
+    """Callers wait at all entries, and a few slots of a full group are freed.
 
-    Each entry sees them for a whole pass. One that takes its part at each look takes
-    all of them alone, as do the others, and every stream of the group stutters.
+    Each entry sees them for a whole pass. If it took its part at every dispatch, it
+    would take all of them alone, as would the other entries, and every stream of the
+    group would stutter.
     """
     gate = make_groups(1, active=4)
     add(gate, 30)
@@ -323,9 +324,9 @@
 
 
 def test_entries_together_take_what_is_free():
-    """Fewer places than entries are free in each pass.
+    """Fewer slots than entries are free in each pass.
 
-    Were each entry to leave them to the others, callers would wait beside free places.
+    If each entry left them to the others, callers would wait while slots are free.
     """
     gate = make_groups(1, active=5)
     taken = 0
@@ -335,15 +336,15 @@
         for place in list_assignments(gate.dispatch(0.0)):
             gate.finish(place.replica, failed=False, now=0.0)
             taken += 1
-    # Four places of 24 are free, and four entries share them.
+    # Four slots of 24 are free, and four entries share them.
     assert 150 <= taken <= 200
 
 
 def test_replica_whose_address_was_taken_over_gets_nothing():
-    """A replica has gone for good, and a new one answers at its address.
+    """A replica is gone permanently, and a new one answers at its address.
 
-    The store lists the old one for some seconds more. Sent there again with each news
-    of the store, requests would use up their attempts.
+    The store lists the old one for some seconds more. If each update from the store
+    made it available again, requests would use up their attempts there.
     """
     gate = make_gate(2, engine=None)
     gate.mark_replaced(make_replica(0))
@@ -364,7 +365,8 @@
 
 
 def simulate_recovery(gate, *, tokens, passes=8):
-    """Let a group of twelve be formed anew, and return what is placed by pass."""
+    """Simulate a group of twelve that is formed anew; yield the tokens placed per
+    pass."""
     for step in range(1, passes + 1):
         for number in range(12):
             load = make_load(number, ranks=12, epoch=2, step=step, pass_s=0.0)
@@ -373,23 +375,24 @@
 
 
 def test_prompts_retried_after_a_crash_are_read_over_several_passes():
-    """A rank crashes, its group is formed anew, and all its streams come at once.
+    """A rank crashes, its group is formed anew, and all its streams return at once.
 
-    Each brings a prompt of thousands of tokens. Read in one pass they make it longer
-    than the pause that a reader allows, and every stream that has begun is late.
+    Each brings a prompt of thousands of tokens. If all are read in one pass, it is
+    longer than the pause that a reader accepts, and every stream that has begun is
+    late.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     gates = [make_gate(12, engine=engine, seed=seed) for seed in range(4)]
     for gate in gates:
         make_prompts(gate, 60, tokens=2_500)
-    # What goes beyond the entries' part in a pass is paid for by the passes after it.
+    # Tokens above the entries' part of one pass are deducted from the passes after it.
     passes = [simulate_pass(gates, step, tokens=2_500) for step in range(1, 9)]
     assert sum(map(measure_pass, passes)) / len(passes) < 0.12
     assert sum(map(sum, passes)) >= 4 * 10 * 2_500
 
 
 def simulate_pass(gates, step, *, tokens):
-    """Let a group begin a pass; return the prompt tokens that each rank gets."""
+    """Simulate the start of a pass; return the prompt tokens that each rank gets."""
     read = [0] * 12
     for gate in gates:
         for number in range(12):
@@ -402,7 +405,8 @@
 
 
 def measure_pass(read):
-    """Return the time of a pass in which ranks read so much, with the first map."""
+    """Return the duration of a pass in which ranks read these tokens, with the first
+    map."""
     fixed_s = ENGINE.steps_per_pass * ENGINE.step_s
     busiest = 0.15 * max(read) + 0.85 * 3.2 * sum(read) / 12
     return fixed_s + busiest / ENGINE.read_tokens_per_s
@@ -418,9 +422,9 @@
 
 
 def test_request_goes_to_the_rank_without_unread_prompts():
-    """Two ranks have three requests each; one of them has yet to read two prompts.
+    """Two ranks have three requests each; one of them has two unread prompts.
 
-    It reads one after the other, and a third one would have its first event late.
+    It reads them one after the other, and a third one would get its first event late.
     """
     gate = make_gate(2)
     gate.observe_load(make_load(0, ranks=2, active=1, queued=2), now=0.0)
@@ -432,7 +436,8 @@
 def test_entry_with_more_callers_may_send_more_prompts():
     """Half of the callers of four entries are at one of them.
 
-    With a quarter of what may be read its callers wait while others use up nothing.
+    If it may send only a quarter of the prompts, its callers wait while other entries
+    don't use their part.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     parts = []
@@ -458,11 +463,11 @@
 
 
 def test_slow_period_does_not_close_a_group_permanently():
-    """Ranks are slow for seconds, and passes take three times the pause.
+    """Ranks are slow for seconds, and passes take three times the allowed pause.
 
-    Then the group has served what it had, and is idle: an idle group makes no passes,
-    so the last long one stays in mind. Callers would be refused for the rest of the day
-    by a group that has nothing to do.
+    Then the group has served its requests and is idle. An idle group makes no passes,
+    so the last long one remains the latest measurement. A group with nothing to do
+    would then refuse callers for the rest of the day.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
@@ -484,9 +489,10 @@
 
 @pytest.mark.parametrize("pass_s", [0.13, 0.5])
 def test_prompts_are_not_held_back_if_all_streams_are_late_already(pass_s):
-    """A rank works at an eighth of its pace, and every pass is longer than the pause.
+    """A rank runs at an eighth of its pace, and every pass is longer than the pause.
 
-    Whoever is let in is served late; whoever waits for shorter passes is refused.
+    Requests that are admitted are served late; those that wait for shorter passes are
+    refused.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
@@ -500,11 +506,11 @@
 
 
 def test_callers_of_a_group_not_yet_formed_get_a_retry_after_at_once():
-    """Everything lost power. Entries are back before the group is formed.
+    """After a power loss, entries are back before the group is formed.
 
-    Nobody has told its load, and its ranks refuse all requests. Callers were sent to
-    two of them each, asked back at once and refused again, and had no try left when the
-    group served a second later.
+    No load has been reported yet, and the ranks refuse all requests. Callers were sent
+    to two of them each, told to retry at once and refused again, and had no retry left
+    when the group served requests a second later.
     """
     gate = make_gate(12)
     sent, rejected = 0, []
@@ -546,10 +552,10 @@
 
 
 def test_requests_beyond_a_limited_replicas_rate_are_refused_at_once():
-    """A service's only replica takes ten requests a second, and fifty callers come.
+    """A service's only replica takes ten requests a second, and fifty callers arrive.
 
-    This entry may send it a part of those. Who stands further back than its time
-    lasts would wait for nothing; it hears at once when its turn may come.
+    This entry may send it a part of those. A request whose turn comes after its time
+    would wait in vain; it is refused at once with the time of its turn.
     """
     gate = make_gate(1, engine=None)
     (replica,) = gate.update([make_replica(1)], None, now=0.0) or [make_replica(1)]
@@ -570,7 +576,8 @@
 
 
 def test_limit_is_kept_while_a_registration_lapses():
-    """Guards against a replica in need that gets all it can hold after each lapse."""
+    """Guards against an overloaded replica that gets all it can hold after each
+    lapse."""
     gate = make_gate(1, engine=None)
     gate.note_limit(make_replica(0), 0.0, now=0.0)
     gate.update([], None, now=0.1)
@@ -591,10 +598,10 @@
 
 
 def test_single_request_probes_a_group_that_refused():
-    """Everything lost power, and a crowd stands at an entry before the group is formed.
+    """After a power loss, many callers wait at an entry before the group is formed.
 
-    Were all of them sent at once after a refusal, each would lose one of the tries that
-    its request has, and a second refusal ends it.
+    If all of them were sent at once after a refusal, each request would lose one of its
+    attempts, and a second refusal ends it.
     """
     gate = make_gate(12)
     add(gate, 1)
@@ -614,11 +621,11 @@
 
 @pytest.mark.parametrize(("replicas", "entries"), [(12, 4), (72, 12), (192, 32)])
 def test_thundering_herd_fills_the_groups_once_over_all_entries(replicas, entries):
-    """Everything has lost power, and each entry has a crowd of callers that came back.
+    """After a power loss, each entry has many callers that have returned.
 
-    No load has been told yet, so no entry knows how many others there are. With a few
-    assumed, a dozen entries sent three times what the ranks can take, and those who
-    came for the first time were late as well, for seconds.
+    No load has been reported yet, so no entry knows how many others there are. When a
+    small number was assumed, a dozen entries sent three times the capacity of the
+    ranks, and new callers were late as well, for seconds.
     """
     placed, limit = 0, 0.0
     for number in range(entries):
