--- a/tests/unit/test_water_filling.py
+++ b/tests/unit/test_water_filling.py
@@ -118,8 +118,8 @@
     """One of many entries sends a request or two a second and sees a hundred
     running."""
     gate = make_gate(63, engine=ENGINE)
-    told = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
-    gate.observe_loads([(make_load(rank, **told), 10.0) for rank in range(63)])
+    fields = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
+    gate.observe_loads([(make_load(rank, **fields), 10.0) for rank in range(63)])
     room = gate._groups["group"]
     for number in range(60):
         gate.add(make_waiting(number, now=10.0), weight=1.0)
@@ -157,9 +157,14 @@
         gate = make_gate(12, engine=ENGINE, seed=seed)
         loads = []
         for rank in range(12):
-            told = {"ranks": 4, "pass_s": 0.05, "entries": 8, "group": f"g{rank // 4}"}
+            fields = {
+                "ranks": 4,
+                "pass_s": 0.05,
+                "entries": 8,
+                "group": f"g{rank // 4}",
+            }
             active = 2 if rank == 0 else 3
-            loads.append((make_load(rank, active=active, **told), 0.0))
+            loads.append((make_load(rank, active=active, **fields), 0.0))
         for start in (0, 4, 8):
             gate.observe_loads(loads[start : start + 4])
         gate.add(make_waiting(seed), weight=1.0)
