--- a/src/hyssopvane/_internal/policy/admission.py
+++ b/src/hyssopvane/_internal/policy/admission.py
@@ -49,8 +49,7 @@
 
 @dataclass(slots=True)
 class CustomerUsage:
-    """Track a customer's requests at this entry: those in flight and its recent
-    demand."""
+    """Track a customer's requests in flight at this entry and its recent demand."""
 
     requests: int = 0
     tokens: int = 0
--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -25,8 +25,8 @@
 # limits. Below it a batch has room, and a hop to another zone would cost each token a
 # millisecond for no benefit.
 SPILL_UTILISATION = 0.4
-# Above it, work goes to another zone if the best target there is less full by this
-# factor; without it two equally full zones would exchange their work.
+# Above SPILL_UTILISATION, work goes to another zone if the best target there is less
+# full by this factor; without it two equally full zones would exchange their work.
 SPILL_RATIO = 1.2
 # Number of targets sampled at random for a choice. With two, the tail of the wait is a
 # third of a second longer than with four; with all of them, every entry sends to the
@@ -40,19 +40,20 @@
 # load by at most this factor. A hit saves reading the prompt; at 1.25, waiting behind
 # popular prefixes already costs more in the tail than hits save.
 AFFINITY_MAX_LOAD_RATIO = 1.15
-# Below this fraction of its limits a target is preferred whatever the load of the
-# others: with two requests on twelve targets a comparison is meaningless.
+# A target that holds a prefix and is below this fraction of its limits is preferred
+# whatever the load of the others: with two requests on twelve targets a comparison is
+# meaningless.
 AFFINITY_FREE_UTILISATION = 0.25
 # Targets in rendezvous order that are tried for a prefix before load alone decides.
 _AFFINITY_CANDIDATES = 3
 _MAX_RANKINGS = 4_096
-# Ramp-up time of a new target. Its cache is empty and it compiles its first batches; at
-# full weight its first callers would wait while warm targets are idle.
+# Ramp-up time of a new target, in seconds. Its cache is empty and it compiles its first
+# batches; at full weight its first callers would wait while warm targets are idle.
 SLOW_START_S = 20.0
 _MIN_SLOW_START_WEIGHT = 0.1
-# Initial back-off of a target that its agent can't reach; it doubles with each failure.
-# Such a target fails at once and so always looks least loaded: without the back-off it
-# would attract all requests and exhaust the retry budget.
+# Initial back-off of a target that its agent can't reach, in seconds; it doubles with
+# each failure. Such a target fails at once and so always looks least loaded: without
+# the back-off it would attract all requests and exhaust the retry budget.
 UNREACHABLE_BACKOFF_S = 0.5
 MAX_UNREACHABLE_BACKOFF_S = 8.0
 # Weight factor of a target whose reports have stopped.
--- a/src/hyssopvane/_internal/policy/prefix_cache_index.py
+++ b/src/hyssopvane/_internal/policy/prefix_cache_index.py
@@ -7,7 +7,7 @@
 # Engines keep prefixes in limited memory, and the event of an eviction may never
 # arrive. An entry that isn't renewed expires after this time, in seconds.
 ENTRY_TTL_S = 60.0
-# After a gap in a target's events some of its entries are wrong. Entries in use are
+# After a gap in a target's events its entries can't all be right. Those in use are
 # renewed within this time, in seconds; the others expire.
 TTL_AFTER_GAP_S = 5.0
 # If a prompt that was expected to be cached takes as long as an uncached one twice in a
@@ -94,8 +94,7 @@
         self._gaps[target] = now
 
     def remove_target(self, target: str) -> None:
-        """Remove all entries of a target whose process, and with it its cache, is
-        lost."""
+        """Remove all entries of a target: its cache was lost with its process."""
         self._gaps.pop(target, None)
         for holders in self._prefixes.values():
             holders.pop(target, None)
--- a/src/hyssopvane/_internal/policy/queueing.py
+++ b/src/hyssopvane/_internal/policy/queueing.py
@@ -221,8 +221,7 @@
         self.tokens += item.tokens
 
     def remove(self, request_id: str) -> QueuedItem | None:
-        """Remove a request that is cancelled or refused; return None if it isn't
-        queued."""
+        """Remove and return a cancelled or refused request; None if it isn't queued."""
         item = self._items.pop(request_id, None)
         if item is not None:
             self.tokens -= item.tokens
--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -28,8 +28,8 @@
 
 _NO_TARGET_RETRY_AFTER_S = 1.0
 
-# Factor on the predicted wait at arrival. Predictions are noisy; a quarter more keeps
-# the number of admitted requests low that are refused later, after waiting in vain.
+# Factor on the predicted wait at arrival. Predictions are noisy; with a quarter more,
+# few of the admitted requests are refused later, after waiting in vain.
 _ARRIVAL_WAIT_MARGIN = 1.25
 # Maximum predicted run time as a fraction of the time that a caller allows. The
 # prediction is a rough guess from the size of the body; with at most half of the time,
@@ -139,8 +139,7 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> Decision | None:
-        """Record the end of an attempt; return the next decision, None if there is
-        none."""
+        """Record the end of an attempt; return the next decision or None."""
         entry = self._requests.get(request_id)
         if entry is None:
             return None
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -136,8 +136,7 @@
     def update(
         self, replicas: Iterable[Replica], engine: EngineModel | None, *, now: float
     ) -> list[str]:
-        """Update the replicas that may get work; return the addresses of restarted
-        ones."""
+        """Update the replicas that may get work; return addresses of restarted ones."""
         self._engine = engine
         known = {replica.id: replica for replica in replicas}
         # A replica whose address another one has taken over stays listed for a while.
@@ -170,8 +169,8 @@
         return bool(self.observe_loads([(load, now)]))
 
     def observe_loads(self, loads: Sequence[tuple[RankLoad, float]]) -> list[str]:
-        """Record loads of one group with their times; return addresses of restarted
-        replicas."""
+        """Record loads of one group with their times; return addresses that
+        restarted."""
         restarted = []
         for load, at in loads:
             for one in self._by_address.get(load.address, ()):
@@ -201,8 +200,7 @@
         self._late_queue.remove(request_id)
 
     def dispatch(self, now: float) -> list[Assignment | Rejection]:
-        """Assign requests while there is room, and refuse those that have waited too
-        long."""
+        """Assign requests while there is room; refuse those that waited too long."""
         decisions: list[Assignment | Rejection] = []
         self._demote_late(now)
         for late, queue in ((False, self._queue), (True, self._late_queue)):
@@ -235,7 +233,7 @@
             self.limits.forget(replica.address)
 
     def note_full(self, replica: Replica, *, now: float, until: float) -> None:
-        """Send nothing to a replica until a time, since it refused a request as it is
+        """Send nothing to a replica until a time, as it just refused a request as
         full."""
         one = self._find(replica)
         if one is None:
@@ -250,8 +248,7 @@
         return self.notices.note_rest(self._get_present(replica), rest_s, now=now)
 
     def note_leaving(self, replica: Replica, *, now: float) -> bool:
-        """Record that a replica announced that it leaves; return whether this is
-        new."""
+        """Record that a replica said it is leaving; return whether this is new."""
         return self.notices.note_leaving(self._get_present(replica), now=now)
 
     def may_send(self, replica: Replica, now: float) -> bool:
@@ -262,8 +259,8 @@
         return self.notices.takes_requests(replica, now)
 
     def measure_rest_s(self, now: float) -> float:
-        """Return the seconds until a replica accepts requests, 0 unless all are
-        unavailable."""
+        """Return the seconds until a replica takes requests, 0 unless none takes
+        any."""
         if not len(self.notices):
             return 0.0
         soonest_s = inf
@@ -280,8 +277,7 @@
     def note_limit(
         self, replica: Replica, per_s: float | None, *, now: float, age_s: float = 0.0
     ) -> bool:
-        """Record the request rate limit that a replica reports; return whether it is
-        new."""
+        """Record the rate limit that a replica reports; return whether it is new."""
         one = self._find(replica)
         if one is None:
             return False
@@ -289,8 +285,7 @@
         return self.limits.observe(one.replica, per_s, heard_at=heard_at, now=now)
 
     def observe_peer_limit(self, news: LimitNews, *, now: float) -> bool:
-        """Record a replica's limit reported by another entry; return whether it is
-        new."""
+        """Record a limit received from another entry; return whether it is new."""
         is_new = False
         for one in self._by_address.get(news.replica, ()):
             if may_be_one_start(one.replica.started_ms, news.started_ms):
