--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -169,8 +169,8 @@
         return bool(self.observe_loads([(load, now)]))
 
     def observe_loads(self, loads: Sequence[tuple[RankLoad, float]]) -> list[str]:
-        """Record loads of one group with their times; return addresses that
-        restarted."""
+        """Record timed loads of one group; return the addresses of restarted
+        replicas."""
         restarted = []
         for load, at in loads:
             for one in self._by_address.get(load.address, ()):
@@ -233,8 +233,7 @@
             self.limits.forget(replica.address)
 
     def note_full(self, replica: Replica, *, now: float, until: float) -> None:
-        """Send nothing to a replica until a time, as it just refused a request as
-        full."""
+        """Send nothing to a replica until a time; it has just refused work as full."""
         one = self._find(replica)
         if one is None:
             return
@@ -259,8 +258,7 @@
         return self.notices.takes_requests(replica, now)
 
     def measure_rest_s(self, now: float) -> float:
-        """Return the seconds until a replica takes requests, 0 unless none takes
-        any."""
+        """Return the seconds until a replica takes requests, 0 unless all are away."""
         if not len(self.notices):
             return 0.0
         soonest_s = inf
