--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -1,5 +1,4 @@
-"""Run several entries' tables in one process, with injected faults of links and
-service."""
+"""Run several entries' tables in one process, with faults of links and service."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -365,8 +365,7 @@
 
 
 def simulate_recovery(gate, *, tokens, passes=8):
-    """Simulate a group of twelve that is formed anew; yield the tokens placed per
-    pass."""
+    """Simulate a group of twelve formed anew; yield the tokens placed per pass."""
     for step in range(1, passes + 1):
         for number in range(12):
             load = make_load(number, ranks=12, epoch=2, step=step, pass_s=0.0)
@@ -405,8 +404,7 @@
 
 
 def measure_pass(read):
-    """Return the duration of a pass in which ranks read these tokens, with the first
-    map."""
+    """Return the duration of a pass with these prompt tokens, with the first map."""
     fixed_s = ENGINE.steps_per_pass * ENGINE.step_s
     busiest = 0.15 * max(read) + 0.85 * 3.2 * sum(read) / 12
     return fixed_s + busiest / ENGINE.read_tokens_per_s
@@ -576,8 +574,7 @@
 
 
 def test_limit_is_kept_while_a_registration_lapses():
-    """Guards against an overloaded replica that gets all it can hold after each
-    lapse."""
+    """Guards against an overloaded replica that is filled again after each lapse."""
     gate = make_gate(1, engine=None)
     gate.note_limit(make_replica(0), 0.0, now=0.0)
     gate.update([], None, now=0.1)
--- a/tests/unit/test_water_filling.py
+++ b/tests/unit/test_water_filling.py
@@ -115,8 +115,7 @@
 
 
 def test_arrival_rate_follows_from_running_requests_and_their_duration():
-    """One of many entries sends a request or two a second and sees a hundred
-    running."""
+    """One of many entries sends one or two requests a second and sees a hundred run."""
     gate = make_gate(63, engine=ENGINE)
     fields = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
     gate.observe_loads([(make_load(rank, **fields), 10.0) for rank in range(63)])
