--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -169,8 +169,7 @@
         return bool(self.observe_loads([(load, now)]))
 
     def observe_loads(self, loads: Sequence[tuple[RankLoad, float]]) -> list[str]:
-        """Record timed loads of one group; return the addresses of restarted
-        replicas."""
+        """Record timed loads of one group; return addresses of restarted replicas."""
         restarted = []
         for load, at in loads:
             for one in self._by_address.get(load.address, ()):
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -235,8 +235,7 @@
 
 @pytest.mark.parametrize("also", [None, "target-unreachable"])
 def test_target_gets_nothing_during_its_back_off(also):
-    """Guards against a back-off that binds one retry only, or is cut by a shorter
-    one."""
+    """Guards against a back-off for one retry only, or one cut by a shorter one."""
     placer = make_placer(["t0"])
     rested = AttemptReport(AttemptResult.NOT_STARTED, "target-full", rest_s=9.0)
     placer.place(make_request(0), now=WARM)
