--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -353,7 +353,7 @@
     assert {one.replica.id for one in list_assignments(gate.dispatch(0.0))} == {"i-1"}
 
 
-def make_prompts(gate, count, *, tokens, now=0.0):
+def add_prompts(gate, count, *, tokens, now=0.0):
     for number in range(count):
         waiting = replace(
             make_waiting(number, now=now), prompt_tokens=tokens, refuse_at=now + 8.0
@@ -383,7 +383,7 @@
     engine = replace(ENGINE, layout=LAYOUT)
     gates = [make_gate(12, engine=engine, seed=seed) for seed in range(4)]
     for gate in gates:
-        make_prompts(gate, 60, tokens=2_500)
+        add_prompts(gate, 60, tokens=2_500)
     # Tokens above the entries' part of one pass are deducted from the passes after it.
     passes = [simulate_pass(gates, step, tokens=2_500) for step in range(1, 9)]
     assert sum(map(measure_pass, passes)) / len(passes) < 0.12
@@ -414,7 +414,7 @@
     """A prompt is larger than what an entry may send in one pass."""
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
-    make_prompts(gate, 2, tokens=30_000)
+    add_prompts(gate, 2, tokens=30_000)
     read = list(simulate_recovery(gate, tokens=30_000, passes=30))
     assert sum(read) == 60_000
 
@@ -473,7 +473,7 @@
         report_group_load(gate, step=step, now=step * 0.3, active=3, pass_s=0.3)
     for look in range(20):
         report_group_load(gate, step=40, now=12.0 + look * 0.06, active=0, pass_s=0.0)
-    make_prompts(gate, 6, tokens=2_500, now=13.2)
+    add_prompts(gate, 6, tokens=2_500, now=13.2)
     placed = 0
     for step in range(41, 60):
         now = 13.2 + (step - 41) * 0.06
