--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.policy.attempts import AttemptPlanner
 from hyssopvane._internal.policy.measures import ServiceMeter
 from hyssopvane._internal.policy.queueing import (
-    PASSED_OVER_SHARE,
+    LOWER_PRIORITY_SHARE,
     FairQueue,
     QueuedItem,
 )
@@ -26,26 +26,30 @@
     WorkRequest,
 )
 
-_RETRY_AFTER_S = 1.0
+_NO_TARGET_RETRY_AFTER_S = 1.0
 
-# Predictions are noisy. On arrival the wait counts a quarter more, so that few of the
-# admitted are refused later, when they have waited in vain.
-_ARRIVAL_MARGIN = 1.25
-# The run time is a rough guess from the size of the body, so it takes up at most half
-# of the time a caller allows: a request that starts promptly is never refused for it.
+# Factor on the predicted wait at arrival. Predictions are noisy; with a quarter more,
+# few of the admitted requests are refused later, after waiting in vain.
+_ARRIVAL_WAIT_MARGIN = 1.25
+# Maximum predicted run time as a fraction of the time that a caller allows. The
+# prediction is a rough guess from the size of the body; with at most half of the time,
+# a request that starts promptly is never refused for it.
 _MAX_RUN_SHARE = 0.5
-# Looking through the queue costs about a microsecond a request. Four times a second, a
-# full queue of a thousand costs well under a hundredth of a core.
+# Interval between scans of the queue, in seconds. A scan costs about a microsecond per
+# request: four times a second, a full queue of a thousand costs well under a hundredth
+# of a core.
 _REVIEW_INTERVAL_S = 0.25
-# Made for one customer that fills the queue. The last tenth is kept for customers
-# within their share; else each of their requests would push out one that has waited,
-# and its caller would be refused later instead of at once.
-_OPEN_QUEUE_SHARE = 0.9
-# Callers refused in one burst would come back in one burst; spread their return.
-_RETURN_SPREAD = 0.5
+# Share of the queue that is open to all customers. The last tenth is reserved for
+# customers within their share when one customer fills the queue. Otherwise each of
+# their requests would displace one that has waited, whose caller would be refused late
+# instead of at once.
+_UNRESERVED_QUEUE_SHARE = 0.9
+# Jitter of Retry-After as a fraction: callers refused in one burst would otherwise
+# return in one burst.
+_RETRY_JITTER = 0.5
 
-# Attempts that ended so say nothing on how long work holds a place.
-_UNTIMED = frozenset({AttemptResult.NOT_STARTED, AttemptResult.LOST})
+# Results of attempts that say nothing about how long a request holds its slot.
+_UNTIMED_RESULTS = frozenset({AttemptResult.NOT_STARTED, AttemptResult.LOST})
 
 
 @dataclass(slots=True)
@@ -58,21 +62,24 @@
 
 
 class _Service:
-    """Hold what waits and runs of one service at this entry."""
+    """Queue and measurements of one service at this entry."""
 
     def __init__(self, name: str) -> None:
         self.row = ServiceRow(name)
         self.queue = FairQueue()
         self.meter = ServiceMeter()
-        # Requests that are to run again, and crash suspects. They have waited their
-        # turn already, so they go first; each may be barred from targets that others
-        # may use, so one of them that finds no place must not hold up the queue.
-        self.again: dict[str, _Request] = {}
+        # Requests to be retried, and crash suspects. They have already waited their
+        # turn, so they go first. Each may be excluded from targets that others may use,
+        # so one that finds no target must not block the queue.
+        self.retry_queue: dict[str, _Request] = {}
         self.reviewed_at = 0.0
 
 
 class Scheduler:
-    """Hold the queue and the targets of one entry; the caller brings the clock."""
+    """Queue the requests of one entry and assign them to targets.
+
+    The caller passes the current time.
+    """
 
     def __init__(self, *, random: Random, availability_zone: str = "") -> None:
         self._random = random
@@ -86,7 +93,7 @@
         self.admission = Admission()
 
     def update_table(self, table: Table, *, now: float) -> None:
-        """Apply the weights and limits of the table in force."""
+        """Apply the weights and limits of the current table."""
         self._now = now
         self.planner.update_table(table)
         self.admission.update_rows(table.customers)
@@ -94,15 +101,15 @@
             self._get_service(name).row = table.services.get(name, ServiceRow(name))
 
     def connect_target(self, info: TargetInfo) -> None:
-        """Start to place work on a target."""
+        """Add a connected target, which may get work from now on."""
         self.planner.connect(info, now=self._now)
 
     def disconnect_target(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Remove a target, which gets no more work."""
         self.planner.disconnect(name)
 
     def observe_load(self, name: str, report: LoadReport) -> None:
-        """Take note of what a target's agent reports."""
+        """Record a load report from a target's agent."""
         self.planner.observe_load(name, report, now=self._now)
 
     def submit(self, request: WorkRequest, *, now: float) -> Decision:
@@ -115,10 +122,11 @@
         entry = _Request(request, max(1, request.tokens), arrived_at=now)
         decision: Decision | None = None
         if self.planner.is_held(request, now=now):
-            decision = self._hold(entry, service, now=now)
+            decision = self._hold_suspect(entry, service, now=now)
         elif not service.queue:
-            # Nobody is overtaken. With others waiting, only the queue says whose turn
-            # it is: a newcomer that takes the place just freed would starve them.
+            # The queue is empty, so the request overtakes no other. Otherwise only the
+            # queue decides which request is next: a newcomer that took a slot just
+            # freed would starve the queue.
             decision = self._start(entry, now=now)
         if decision is None:
             decision = self._enqueue(entry, service, now=now)
@@ -131,7 +139,7 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> Decision | None:
-        """Take note of an attempt's end; return the next decision, None when done."""
+        """Record the end of an attempt; return the next decision or None."""
         entry = self._requests.get(request_id)
         if entry is None:
             return None
@@ -139,28 +147,28 @@
         retry = self.planner.finish(request_id, report, now=now)
         if isinstance(retry, RetryAt):
             return self._retry(entry, now=now)
-        self._forget(entry)
+        self._remove(entry)
         return retry if isinstance(retry, Refusal) else None
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         entry = self._requests.get(request_id)
         if entry is None:
             return
         service = self._get_service(entry.request.service)
         service.queue.remove(request_id)
-        service.again.pop(request_id, None)
+        service.retry_queue.pop(request_id, None)
         self._stop(entry, None, now=self._now)
         self._release(entry)
-        self._forget(entry)
+        self._remove(entry)
 
     def collect(self, *, now: float) -> list[tuple[str, Decision]]:
         """Return new decisions about waiting requests."""
         self._now = now
         for service in self._services.values():
-            self._place_again(service, now=now)
+            self._place_retries(service, now=now)
             self._place_queued(service, now=now)
-            self._review(service, now=now)
+            self._refuse_late_waiters(service, now=now)
         decided = self._decided
         self._decided = []
         return decided
@@ -170,7 +178,7 @@
         return len(self._requests)
 
     def describe_targets(self) -> list[dict[str, object]]:
-        """Return what is known of each target."""
+        """Return the state of each target."""
         return self.planner.placer.describe(now=self._now)
 
     def _refuse_on_arrival(self, request: WorkRequest, *, now: float) -> Refusal | None:
@@ -178,7 +186,9 @@
             return Refusal(RefusalReason.DEADLINE_UNREACHABLE, Outcome.NOT_RUN)
         if not self.planner.placer.has_target(request.service):
             return Refusal(
-                RefusalReason.NO_TARGET, Outcome.NOT_RUN, self._spread(_RETRY_AFTER_S)
+                RefusalReason.NO_TARGET,
+                Outcome.NOT_RUN,
+                self._add_jitter(_NO_TARGET_RETRY_AFTER_S),
             )
         service = self._get_service(request.service)
         return self.planner.refuse(request, now=now) or self.admission.check(
@@ -208,25 +218,25 @@
     ) -> None:
         if entry.running:
             entry.running = False
-            untimed = report is None or report.result in _UNTIMED
+            untimed = report is None or report.result in _UNTIMED_RESULTS
             self._get_service(entry.request.service).meter.count_end(
                 entry.tokens, held_s=None if untimed else now - entry.sent_at
             )
 
-    def _forget(self, entry: _Request) -> None:
+    def _remove(self, entry: _Request) -> None:
         del self._requests[entry.request.request_id]
-        self.admission.give_back(entry.request.customer, entry.tokens)
+        self.admission.release(entry.request.customer, entry.tokens)
 
-    def _hold(
+    def _hold_suspect(
         self, entry: _Request, service: _Service, *, now: float
     ) -> Waiting | Refusal:
-        if len(service.again) >= service.row.queue_limit:
+        if len(service.retry_queue) >= service.row.queue_limit:
             return self._refuse_full(service, now=now)
-        return self._enqueue_again(entry)
+        return self._enqueue_retry(entry)
 
-    def _enqueue_again(self, entry: _Request) -> Waiting:
+    def _enqueue_retry(self, entry: _Request) -> Waiting:
         service = self._get_service(entry.request.service)
-        service.again[entry.request.request_id] = entry
+        service.retry_queue[entry.request.request_id] = entry
         return Waiting()
 
     def _enqueue(
@@ -246,13 +256,13 @@
             item.customer, priority=item.priority, tokens=item.tokens
         )
         drain = self._measure_drain(service, item, now=now) if ahead else None
-        wait_s = ahead * _ARRIVAL_MARGIN / drain if drain else 0.0
+        wait_s = ahead * _ARRIVAL_WAIT_MARGIN / drain if drain else 0.0
         late_s = self._predict_lateness(service, item, wait_s, now=now)
         if late_s > 0:
             return self._refuse_late(late_s)
-        return self._make_room(service, item, weight, now=now)
+        return self._enqueue_within_limits(service, item, weight, now=now)
 
-    def _make_room(
+    def _enqueue_within_limits(
         self, service: _Service, item: QueuedItem, weight: float, *, now: float
     ) -> Waiting | Refusal:
         queue, row = service.queue, service.row
@@ -262,7 +272,7 @@
             (False, len(queue) + 1, row.queue_limit),
             (True, queue.tokens + item.tokens, row.queue_token_limit),
         ):
-            open_limit = math.ceil(limit * _OPEN_QUEUE_SHARE)
+            open_limit = math.ceil(limit * _UNRESERVED_QUEUE_SHARE)
             if used > open_limit and queue.is_above_share(
                 item, weight=weight, limit=open_limit, in_tokens=in_tokens
             ):
@@ -271,15 +281,15 @@
             queue.tokens + item.tokens > row.queue_token_limit
         ):
             in_tokens = len(queue) < row.queue_limit
-            loser = queue.find_loser(
+            victim = queue.choose_victim(
                 item,
                 weight=weight,
                 limit=row.queue_token_limit if in_tokens else row.queue_limit,
                 in_tokens=in_tokens,
             )
-            if loser is item:
+            if victim is item:
                 return self._refuse_full(service, now=now)
-            self._drop(service, loser, self._refuse_full(service, now=now))
+            self._drop(service, victim, self._refuse_full(service, now=now))
         queue.add(item, weight=weight)
         return Waiting()
 
@@ -288,9 +298,9 @@
     ) -> float:
         """Return the seconds by which a waiting request would miss its deadline.
 
-        Made for load beyond capacity. A request that can't be answered in time would
-        take a place from one that can, and its caller would learn of it only at the
-        deadline. While nothing is measured yet, only the queue's limits hold.
+        Under load beyond capacity, a request that can't be answered in time would take
+        a slot from one that can, and its caller would get the refusal only at the
+        deadline. Until there are measurements, only the limits of the queue apply.
         """
         run_s = min(
             service.meter.predict_run_s(item.tokens),
@@ -305,31 +315,35 @@
             item.priority,
             item.customer,
             weight=self._get_weight(item.customer),
-            floor=PASSED_OVER_SHARE,
+            floor=LOWER_PRIORITY_SHARE,
             now=now,
         )
 
     def _refuse_late(self, late_s: float) -> Refusal:
         return Refusal(
-            RefusalReason.DEADLINE_UNREACHABLE, Outcome.NOT_RUN, self._spread(late_s)
+            RefusalReason.DEADLINE_UNREACHABLE,
+            Outcome.NOT_RUN,
+            self._add_jitter(late_s),
         )
 
     def _refuse_full(self, service: _Service, *, now: float) -> Refusal:
         drain = service.meter.measure_drain()
         wait_s = service.queue.tokens / drain if drain else 0.0
-        return Refusal(RefusalReason.QUEUE_FULL, Outcome.NOT_RUN, self._spread(wait_s))
+        return Refusal(
+            RefusalReason.QUEUE_FULL, Outcome.NOT_RUN, self._add_jitter(wait_s)
+        )
 
-    def _spread(self, wait_s: float) -> float:
-        """Return a time to come back, spread so that not all come at once."""
-        return clamp_retry_after(wait_s) * (1 + _RETURN_SPREAD * self._random.random())
+    def _add_jitter(self, wait_s: float) -> float:
+        """Return a Retry-After with jitter, so that not all callers return at once."""
+        return clamp_retry_after(wait_s) * (1 + _RETRY_JITTER * self._random.random())
 
     def _drop(self, service: _Service, item: QueuedItem, refusal: Refusal) -> None:
         service.queue.remove(item.request_id)
-        self._forget(self._requests[item.request_id])
+        self._remove(self._requests[item.request_id])
         self._decided.append((item.request_id, refusal))
 
-    def _place_again(self, service: _Service, *, now: float) -> None:
-        for request_id, entry in list(service.again.items()):
+    def _place_retries(self, service: _Service, *, now: float) -> None:
+        for request_id, entry in list(service.retry_queue.items()):
             decision: Decision | None = None
             if now >= entry.request.deadline:
                 outcome = self.planner.get_outcome(request_id)
@@ -337,17 +351,17 @@
             else:
                 decision = self._start(entry, now=now)
             if decision is not None:
-                del service.again[request_id]
+                del service.retry_queue[request_id]
                 if isinstance(decision, Refusal):
                     self._release(entry)
-                    self._forget(entry)
+                    self._remove(entry)
                 self._decided.append((request_id, decision))
 
     def _place_queued(self, service: _Service, *, now: float) -> None:
         while (item := service.queue.peek()) is not None:
             late_s = self._predict_lateness(service, item, 0.0, now=now)
             if late_s > 0:
-                # It would hold a place and still miss its deadline.
+                # It would hold a slot and still miss its deadline.
                 self._drop(service, item, self._refuse_late(late_s))
                 continue
             entry = self._requests[item.request_id]
@@ -357,17 +371,17 @@
             service.queue.pop()
             if placed is None:
                 # It became a crash suspect while it waited.
-                service.again[item.request_id] = entry
+                service.retry_queue[item.request_id] = entry
                 continue
             if isinstance(placed, Refusal):
-                self._forget(entry)
+                self._remove(entry)
             self._decided.append((item.request_id, placed))
 
-    def _review(self, service: _Service, *, now: float) -> None:
-        """Refuse what is now known not to reach its turn in time.
+    def _refuse_late_waiters(self, service: _Service, *, now: float) -> None:
+        """Refuse waiting requests that will no longer start in time.
 
-        Made for a loss of capacity, as half of the targets gone at once. What was
-        admitted before would else wait until its deadline to be refused, and keep
+        This covers a loss of capacity, such as half of the targets at once. Requests
+        admitted before would otherwise be refused only at their deadlines, and prevent
         others from a wait that they can afford.
         """
         if now - service.reviewed_at < _REVIEW_INTERVAL_S:
@@ -396,8 +410,8 @@
     def _retry(self, entry: _Request, *, now: float) -> Decision:
         placed = self._start(entry, now=now)
         if isinstance(placed, Refusal):
-            self._forget(entry)
-        return placed or self._enqueue_again(entry)
+            self._remove(entry)
+        return placed or self._enqueue_retry(entry)
 
     def _place(self, entry: _Request, *, now: float) -> Placed | Refusal | None:
         return self.planner.place(entry.request, now=now)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -10,10 +10,10 @@
 from hyssopvane._internal.policy.placement import (
     SLOW_START_S,
     SPILL_UTILISATION,
-    UNREACHABLE_S,
+    UNREACHABLE_BACKOFF_S,
     Placer,
 )
-from hyssopvane._internal.policy.target_load import FORGOTTEN_REPORT_S, TargetLoad
+from hyssopvane._internal.policy.target_load import REPORT_EXPIRY_S, TargetLoad
 from hyssopvane._internal.state.table import ServiceRow, Table, TargetRow
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -119,7 +119,7 @@
     assert set(place_many(placer, 20)) == {"t0", "t1"}
 
 
-def test_same_prefix_meets_same_target_until_it_is_loaded():
+def test_same_prefix_goes_to_same_target_until_it_is_loaded():
     placer = make_placer([f"t{number}" for number in range(8)])
     few = place_many(placer, 6, affinity=(11, 12))
     assert len(few) == 1
@@ -159,8 +159,8 @@
 def test_late_report_is_not_counted_twice():
     """A report shows the load as it was half a second ago.
 
-    An entry that adds its own requests to a report which has them already takes its
-    busiest target for twice as busy as it is.
+    If an entry adds its own requests to a report that already contains them, it takes
+    its busiest target to be twice as busy as it is.
     """
     load = TargetLoad()
     load.add(100, now=0.0)
@@ -169,24 +169,24 @@
     assert load.estimate(10.0) == (350, 4)
 
 
-def test_report_fades_when_no_other_comes():
-    """A partition hides a target's reports for minutes.
+def test_old_report_loses_weight():
+    """A partition keeps a target's reports away for minutes.
 
-    An entry that kept the last one would give a target that was busy then no work at
-    all, and callers would wait in front of idle targets.
+    If an entry kept the last report, a target that was busy then would get no work at
+    all, and callers would wait while targets are idle.
     """
     placer = make_placer(["busy", "t1"])
     placer.observe_load("busy", LoadReport(30, 90_000), now=WARM)
     assert place_many(placer, 10, now=WARM)["busy"] == 0
-    later = WARM + FORGOTTEN_REPORT_S
+    later = WARM + REPORT_EXPIRY_S
     assert place_many(placer, 40, now=later)["busy"] > 15
 
 
 def test_silent_target_gets_little_new_work():
-    """A device on the way forgets a connection: nothing fails, nothing arrives.
+    """A network device drops a connection's state: nothing fails, nothing arrives.
 
-    Until the silence is long enough to close it, each request that is placed there
-    keeps its caller waiting for nothing.
+    Until the silence is long enough to close the connection, each request that is
+    placed there keeps its caller waiting in vain.
     """
     names = [f"t{number}" for number in range(4)]
     placer = make_placer(names)
@@ -207,11 +207,11 @@
 
 
 @pytest.mark.parametrize("reason", ["target-unreachable", "leaving"])
-def test_target_that_refuses_at_once_does_not_draw_the_work(reason):
-    """An engine dies while its agent lives on, and the agent refuses at once.
+def test_target_that_refuses_at_once_does_not_attract_work(reason):
+    """An engine dies while its agent keeps running, and the agent refuses at once.
 
-    A target that never keeps a request always looks least loaded. Most requests would
-    go there first, and the retries of a busy service would be spent on it.
+    A target that never holds a request always looks least loaded. Most requests would
+    go there first, and use up the retries of a busy service.
     """
     placer = make_placer(["t0", "t1", "t2"])
     refused = AttemptReport(AttemptResult.NOT_STARTED, reason)
@@ -230,12 +230,12 @@
     placer.place(make_request(0), now=WARM)
     placer.release("r0", refused, now=WARM)
     assert placer.place(make_request(1), now=WARM) is None
-    assert placer.place(make_request(1), now=WARM + UNREACHABLE_S) is not None
+    assert placer.place(make_request(1), now=WARM + UNREACHABLE_BACKOFF_S) is not None
 
 
 @pytest.mark.parametrize("also", [None, "target-unreachable"])
-def test_target_gets_nothing_within_the_time_that_it_asked_for(also):
-    """Guards against a pause that binds one repeat only, or a shorter one after it."""
+def test_target_gets_nothing_during_its_back_off(also):
+    """Guards against a back-off for one retry only, or one cut by a shorter one."""
     placer = make_placer(["t0"])
     rested = AttemptReport(AttemptResult.NOT_STARTED, "target-full", backoff_s=9.0)
     placer.place(make_request(0), now=WARM)
@@ -247,11 +247,11 @@
     assert placer.place(make_request(2), now=WARM + 9.0) is not None
 
 
-def test_half_of_the_targets_gone_at_once():
-    """A rack fails, and half of the targets go in one moment.
+def test_half_of_the_targets_lost_at_once():
+    """A rack fails, and half of the targets are lost at once.
 
-    Callers notice nothing more than fuller batches: no request is placed on a target
-    that is gone, and the rest shares the work evenly.
+    Callers notice only fuller batches: no request is placed on a lost target, and the
+    remaining targets share the work evenly.
     """
     placer = make_placer([f"t{number}" for number in range(12)])
     place_many(placer, 60)
--- a/tests/unit/test_queueing.py
+++ b/tests/unit/test_queueing.py
@@ -36,7 +36,7 @@
         pytest.param(
             [("a", 5, 100), ("a", 5, 100), ("a", 5, 100), ("b", 5, 100)],
             ["r0", "r3", "r1", "r2"],
-            id="a newcomer's customer is served before the flood's rest",
+            id="a new customer is served before the rest of a flood",
         ),
         pytest.param(
             [("a", 5, 100), ("b", 0, 100), ("c", 9, 100)],
@@ -68,7 +68,7 @@
     assert first.count("a") == 30
 
 
-def test_long_work_moves_beside_short():
+def test_long_work_progresses_beside_short():
     """A customer keeps sending short checks while one of its long drafts waits.
 
     If short work always went first, the draft would never start and its caller would
@@ -80,11 +80,11 @@
     assert served.index(3000) <= 40
 
 
-def test_low_priority_is_served_in_the_end():
-    """Urgent work comes without end, more than the targets can take.
+def test_low_priority_is_eventually_served():
+    """Urgent work arrives without end, more than the targets can serve.
 
-    Under strict priority a caller of low priority would wait until its deadline
-    without any progress. It gets a tenth of the tokens, shared by all lower classes.
+    Under strict priority a caller of low priority would wait until its deadline without
+    any progress. All lower classes together get a tenth of the tokens.
     """
     queue = FairQueue()
     fill(queue, [("low", 9, 100), ("middle", 7, 100)] * 10)
@@ -100,19 +100,19 @@
 
 
 @pytest.mark.parametrize(
-    ("waiting", "newcomer", "loser"),
+    ("waiting", "newcomer", "victim"),
     [
         pytest.param(
             [("flood", 5, 100)] * 8 + [("modest", 5, 100)] * 2,
             ("modest", 5),
             "r7",
-            id="the flood's newest goes, not a customer within its share",
+            id="the flood's newest request is dropped, none within its share",
         ),
         pytest.param(
             [("flood", 5, 100)] * 8 + [("modest", 5, 100)] * 2,
             ("flood", 5),
             "new",
-            id="the newcomer goes when its customer is above its share",
+            id="the newcomer is dropped if its customer is above its share",
         ),
         pytest.param(
             [("flood", 0, 100)] * 8 + [("modest", 9, 100)] * 2,
@@ -128,18 +128,18 @@
         ),
     ],
 )
-def test_full_queue_gives_up(waiting, newcomer, loser):
-    """One customer fills the queue; another comes at its usual pace.
+def test_full_queue_drops_the_right_request(waiting, newcomer, victim):
+    """One customer fills the queue; another one sends at its usual rate.
 
-    If the newcomer were refused, the flood's neighbours would be told to come back
-    although they ask for less than their share.
+    If the newcomer were refused, the other customers would be told to retry although
+    they use less than their share.
     """
     queue = FairQueue()
     fill(queue, waiting)
     customer, priority = newcomer
     item = make_item("new", customer=customer, priority=priority, arrived_at=99.0)
-    found = queue.find_loser(item, weight=100.0, limit=10, in_tokens=False)
-    assert found.request_id == loser
+    found = queue.choose_victim(item, weight=100.0, limit=10, in_tokens=False)
+    assert found.request_id == victim
 
 
 _ITEMS = st.tuples(
@@ -160,7 +160,7 @@
         max_size=80,
     )
 )
-def test_queue_neither_loses_nor_doubles(steps):
+def test_queue_neither_loses_nor_duplicates_requests(steps):
     queue = FairQueue()
     waiting = {}
     for number, (step, value) in enumerate(steps):
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -1,4 +1,4 @@
-"""Test who is placed, held and refused at one entry, under replayed loads."""
+"""Test which requests one entry assigns, queues and refuses, under replayed loads."""
 
 from dataclasses import replace
 from random import Random
@@ -7,10 +7,10 @@
 
 from hyssopvane._internal.policy.queueing import QueuedItem
 from hyssopvane._internal.policy.service_gate import (
-    Place,
+    Assignment,
+    QueuedRequest,
+    Rejection,
     ServiceGate,
-    Turned,
-    Waiting,
 )
 from hyssopvane._internal.state.loads import RankLoad
 from hyssopvane._internal.state.routing import EngineModel, ExpertLayout, Replica
@@ -70,7 +70,7 @@
         deadline=now + 8.0,
         arrived_at=now,
     )
-    return Waiting(
+    return QueuedRequest(
         item, late_at=now + IN_TIME_S, refuse_at=now + HOLD_S, avoid=frozenset(avoid)
     )
 
@@ -80,52 +80,52 @@
         gate.add(make_waiting(number, now=now, **options), weight=1.0)
 
 
-def list_places(decisions):
-    return [one for one in decisions if isinstance(one, Place)]
+def list_assignments(decisions):
+    return [one for one in decisions if isinstance(one, Assignment)]
 
 
-def list_turned(decisions):
-    return [one for one in decisions if isinstance(one, Turned)]
+def list_rejections(decisions):
+    return [one for one in decisions if isinstance(one, Rejection)]
 
 
-def test_burst_takes_only_this_entrys_part_of_the_free_places():
-    """Thirty callers come at one entry at once, while three others see the same room.
+def test_burst_takes_only_this_entrys_part_of_the_free_slots():
+    """Thirty callers arrive at one entry at once, and three others see the same room.
 
-    Were each entry to fill it alone, the group would get four times what it can take,
-    and all its streams would stutter.
+    If each entry filled it alone, the group would get four times its capacity, and all
+    its streams would stutter.
     """
     gate = make_gate()
     for number in range(4):
         gate.observe_load(make_load(number, active=3), now=0.0)
     add(gate, 30)
-    placed = list_places(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert 1 <= len(placed) <= 3
-    assert not list_turned(gate.settle(0.1))
+    assert not list_rejections(gate.dispatch(0.1))
 
 
-def test_what_found_no_room_is_refused_early_with_a_time_to_come_back():
+def test_request_without_room_is_refused_early_with_a_retry_after():
     gate = make_gate()
     for number in range(4):
         gate.observe_load(make_load(number, active=6), now=0.0)
     add(gate, 5)
-    assert gate.settle(0.1) == []
-    turned = list_turned(gate.settle(HOLD_S))
-    assert len(turned) == 5
-    assert {one.reason for one in turned} == {"overloaded"}
-    assert all(one.retry_after_s > 0 for one in turned)
+    assert gate.dispatch(0.1) == []
+    rejected = list_rejections(gate.dispatch(HOLD_S))
+    assert len(rejected) == 5
+    assert {one.reason for one in rejected} == {"overloaded"}
+    assert all(one.retry_after_s > 0 for one in rejected)
 
 
 def test_broken_group_refuses_at_once():
-    """A rank has crashed, and its group serves nobody for seconds.
+    """A rank has crashed, and its group serves no requests for seconds.
 
-    Callers that waited for it would use up their time for nothing.
+    Callers that waited for it would use up their time in vain.
     """
     gate = make_gate()
     for number in range(4):
         gate.observe_load(make_load(number, open=False), now=0.0)
     add(gate, 3)
-    turned = list_turned(gate.settle(0.001))
-    assert [one.reason for one in turned] == ["group-broken"] * 3
+    rejected = list_rejections(gate.dispatch(0.001))
+    assert [one.reason for one in rejected] == ["group-broken"] * 3
 
 
 def test_slow_passes_lower_the_limit():
@@ -138,20 +138,20 @@
     assert slow.limit < quick.limit
 
 
-def test_without_word_from_agents_each_entry_counts_for_all():
+def test_stale_loads_limit_an_entry_to_its_part():
     gate = make_gate()
     gate.observe_load(make_load(0), now=-10.0)
     add(gate, 30)
-    placed = list_places(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert len(placed) <= ENGINE.slots * 4 / 4
 
 
-def test_places_are_spread_over_the_replicas():
+def test_requests_are_spread_over_the_replicas():
     gate = make_gate(engine=None)
     add(gate, 4)
     placed = []
     for _ in range(4):
-        placed += list_places(gate.settle(0.0))
+        placed += list_assignments(gate.dispatch(0.0))
     assert len({one.replica.id for one in placed}) >= 3
 
 
@@ -160,19 +160,19 @@
     gate = make_gate(2, engine=None)
     for number in range(20):
         gate.add(make_waiting(number, avoid=((avoided, 0),)), weight=1.0)
-        for place in list_places(gate.settle(0.0)):
+        for place in list_assignments(gate.dispatch(0.0)):
             assert place.replica.id != avoided
             gate.finish(place.replica, failed=False, now=0.0)
 
 
-def test_failing_replica_is_left_out_for_a_while():
+def test_failing_replica_is_ejected():
     gate = make_gate(3, engine=None)
     for _ in range(12):
         gate.finish(make_replica(0), failed=True, now=0.0)
     add(gate, 12)
     placed = []
     for _ in range(12):
-        placed += list_places(gate.settle(0.0))
+        placed += list_assignments(gate.dispatch(0.0))
     assert placed
     assert not [one for one in placed if one.replica.id == "i-0"]
 
@@ -181,25 +181,25 @@
     gate = make_gate(1, engine=None)
     for number, priority in enumerate((3, 3, 0)):
         gate.add(make_waiting(number, priority=priority), weight=1.0)
-    assert list_places(gate.settle(0.0))[0].request_id == "r-2"
+    assert list_assignments(gate.dispatch(0.0))[0].request_id == "r-2"
 
 
-def test_those_who_can_be_served_in_time_go_before_those_who_are_late():
-    """For a second the group takes less than comes, and a queue builds up.
+def test_requests_in_time_go_before_late_ones():
+    """For a second the group serves less than arrives, and a queue builds up.
 
-    Served in order of arrival everybody would be late, also those who come after.
+    In order of arrival all requests would be late, including those that arrive later.
     """
     gate = make_gate(1, engine=None)
     gate.add(make_waiting(1, now=0.0), weight=1.0)
     gate.add(make_waiting(2, now=0.1), weight=1.0)
-    placed = list_places(gate.settle(0.1))
+    placed = list_assignments(gate.dispatch(0.1))
     assert [one.request_id for one in placed] == ["r-2", "r-1"]
 
 
-def test_requests_that_have_just_left_do_not_make_the_others_look_dear():
+def test_requests_that_just_ended_do_not_lower_the_limit():
     """Half of the requests end at once, while the measured passes are still long.
 
-    A limit from the long passes and the few requests that are left would refuse
+    A limit computed from the long passes and the few remaining requests would refuse
     callers while the group is half empty.
     """
     gate = make_gate()
@@ -216,13 +216,13 @@
 def test_limit_leaves_room_for_the_next_shift_of_demand():
     """Demand moves to other experts every few seconds, and passes double for a second.
 
-    A limit from the quick passes in between fills the group, and with the next shift
-    all of its streams pause for too long at once.
+    A limit computed from the quick passes in between fills the group, and with the next
+    shift all of its streams pause for too long at once.
     """
     layout = ExpertLayout(3, 96, 11, 4, 0.85, 2200.0, 44_000.0)
     engine = replace(ENGINE, layout=layout)
     gate = make_gate(engine=engine)
-    # Slots beyond what the passes allow, so that these decide.
+    # More slots than the passes allow, so that the passes determine the limit.
     gate.update(
         [make_replica(number, slots=60) for number in range(4)], engine, now=0.0
     )
@@ -234,30 +234,30 @@
     assert fixed_s + gate.limit * moved_s < 0.12
 
 
-def test_late_requests_leave_places_for_those_in_time():
-    """The group is full, and places fall free one at a time.
+def test_late_requests_leave_slots_for_those_in_time():
+    """The group is full, and slots are freed one at a time.
 
-    They go to whoever comes next and can be served in time, at any entry, not to those
-    who have waited here for long.
+    They go to new requests that can be served in time, at any entry, not to requests
+    that have waited here for long.
     """
     gate = make_gate()
     for number in range(4):
         gate.observe_load(make_load(number, active=5 + number % 2), now=1.0)
     gate.add(make_waiting(1, now=0.9), weight=1.0)
-    assert not list_places(gate.settle(1.0))
+    assert not list_assignments(gate.dispatch(1.0))
     gate.add(make_waiting(2, now=1.0), weight=1.0)
     placed = []
     for step in range(2, 40):
-        # Each pass gives this entry another turn at the free places.
+        # Each pass gives this entry another turn at the free slots.
         for number in range(4):
             load = make_load(number, active=5 + number % 2, step=step)
             gate.observe_load(load, now=1.0)
-        placed += list_places(gate.settle(1.0))
+        placed += list_assignments(gate.dispatch(1.0))
     assert [one.request_id for one in placed] == ["r-2"]
 
 
 def make_groups(groups=3, *, active=0, step=1, gate=None):
-    """Return a gate whose replicas form groups of four ranks, all heard."""
+    """Return a gate with loads of all replicas, which form groups of four ranks."""
     numbers = range(4 * groups)
     if gate is None:
         gate = make_gate(4 * groups)
@@ -275,27 +275,27 @@
 def test_each_group_of_a_service_has_a_limit_of_its_own():
     """A service has grown from one group of ranks to three.
 
-    Its passes are those of one group. A limit for all replicas together, worked out
-    from them, leaves two thirds of the machines idle while callers are refused.
+    Its passes are those of one group. A limit computed from them for all replicas
+    together leaves two thirds of the machines idle while callers are refused.
     """
     one, three = make_groups(1, active=4), make_groups(3, active=4)
     assert three.limit == pytest.approx(3 * one.limit)
 
 
-def test_work_goes_to_the_group_that_has_most_room():
+def test_work_goes_to_the_group_with_most_room():
     """One group is full and another one is nearly empty.
 
     A request in the full one would slow all streams there.
     """
     gate = make_groups(3, active=(6, 1, 5))
     add(gate, 4)
-    placed = list_places(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert placed
     assert {int(one.replica.id[2:]) // 4 for one in placed} == {1}
 
 
 def test_broken_group_gets_nothing_while_others_serve():
-    """A rank of one group has crashed; the other groups go on.
+    """A rank of one group has crashed; the other groups keep serving.
 
     A request that is sent to the broken group is refused there seconds later.
     """
@@ -304,55 +304,56 @@
         load = make_load(number, group="group-0", open=False)
         gate.observe_load(load, now=0.0)
     add(gate, 6)
-    placed = list_places(gate.settle(0.0))
+    placed = list_assignments(gate.dispatch(0.0))
     assert placed
     assert {int(one.replica.id[2:]) // 4 for one in placed} == {1}
-    assert not list_turned(gate.settle(0.01))
+    assert not list_rejections(gate.dispatch(0.01))
 
 
-def test_free_places_are_not_taken_again_before_the_next_pass():
-    """Callers wait at all entries, and a few places of a full group fall free.
+def test_free_slots_are_not_taken_again_before_the_next_pass():
+    """Callers wait at all entries, and a few slots of a full group are freed.
 
-    Each entry sees them for a whole pass. One that takes its part at each look takes
-    all of them alone, as do the others, and every stream of the group stutters.
+    Each entry sees them for a whole pass. If it took its part at every dispatch, it
+    would take all of them alone, as would the other entries, and every stream of the
+    group would stutter.
     """
     gate = make_groups(1, active=4)
     add(gate, 30)
-    looks = [list_places(gate.settle(0.001 * look)) for look in range(20)]
-    assert sum(len(one) for one in looks) <= 8 / 4 + 1
+    batches = [list_assignments(gate.dispatch(0.001 * look)) for look in range(20)]
+    assert sum(len(one) for one in batches) <= 8 / 4 + 1
 
 
 def test_entries_together_take_what_is_free():
-    """Fewer places than entries are free in each pass.
+    """Fewer slots than entries are free in each pass.
 
-    Were each entry to leave them to the others, callers would wait beside free places.
+    If each entry left them to the others, callers would wait while slots are free.
     """
     gate = make_groups(1, active=5)
     taken = 0
     for step in range(2, 202):
         make_groups(1, active=5, step=step, gate=gate)
         gate.add(make_waiting(step, now=0.0), weight=1.0)
-        for place in list_places(gate.settle(0.0)):
+        for place in list_assignments(gate.dispatch(0.0)):
             gate.finish(place.replica, failed=False, now=0.0)
             taken += 1
-    # Four places of 24 are free, and four entries share them.
+    # Four slots of 24 are free, and four entries share them.
     assert 150 <= taken <= 200
 
 
-def test_replica_whose_address_another_one_has_stays_out():
-    """A replica has gone for good, and a new one answers at its address.
+def test_replica_whose_address_was_taken_over_gets_nothing():
+    """A replica is gone permanently, and a new one answers at its address.
 
-    The store lists the old one for some seconds more. Sent there again with each news
-    of the store, requests would use up their attempts.
+    The store lists the old one for some seconds more. If each update from the store
+    made it available again, requests would use up their attempts there.
     """
     gate = make_gate(2, engine=None)
-    gate.mark_wrong(make_replica(0))
+    gate.mark_replaced(make_replica(0))
     gate.update([make_replica(number) for number in range(2)], None, now=0.0)
     add(gate, 3)
-    assert {one.replica.id for one in list_places(gate.settle(0.0))} == {"i-1"}
+    assert {one.replica.id for one in list_assignments(gate.dispatch(0.0))} == {"i-1"}
 
 
-def make_prompts(gate, count, *, tokens, now=0.0):
+def add_prompts(gate, count, *, tokens, now=0.0):
     for number in range(count):
         waiting = replace(
             make_waiting(number, now=now), prompt_tokens=tokens, refuse_at=now + 8.0
@@ -363,46 +364,47 @@
 LAYOUT = ExpertLayout(4, 72, 8, 3, 0.85, 780.0, 180_000.0)
 
 
-def play_return(gate, *, tokens, passes=8):
-    """Let a group of twelve be formed anew, and return what is placed by pass."""
+def simulate_recovery(gate, *, tokens, passes=8):
+    """Simulate a group of twelve formed anew; yield the tokens placed per pass."""
     for step in range(1, passes + 1):
         for number in range(12):
             load = make_load(number, ranks=12, epoch=2, step=step, pass_s=0.0)
             gate.observe_load(load, now=step * 0.1)
-        yield sum(tokens for _ in list_places(gate.settle(step * 0.1)))
+        yield sum(tokens for _ in list_assignments(gate.dispatch(step * 0.1)))
 
 
-def test_prompts_that_come_back_after_a_crash_are_read_over_several_passes():
-    """A rank crashes, its group is formed anew, and all its streams come at once.
+def test_prompts_retried_after_a_crash_are_read_over_several_passes():
+    """A rank crashes, its group is formed anew, and all its streams return at once.
 
-    Each brings a prompt of thousands of tokens. Read in one pass they make it longer
-    than the pause that a reader allows, and every stream that has begun is late.
+    Each brings a prompt of thousands of tokens. If all are read in one pass, it is
+    longer than the pause that a reader accepts, and every stream that has begun is
+    late.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     gates = [make_gate(12, engine=engine, seed=seed) for seed in range(4)]
     for gate in gates:
-        make_prompts(gate, 60, tokens=2_500)
-    # What goes beyond the entries' part in a pass is paid for by the passes after it.
-    passes = [play_pass(gates, step, tokens=2_500) for step in range(1, 9)]
+        add_prompts(gate, 60, tokens=2_500)
+    # Tokens above the entries' part of one pass are deducted from the passes after it.
+    passes = [simulate_pass(gates, step, tokens=2_500) for step in range(1, 9)]
     assert sum(map(measure_pass, passes)) / len(passes) < 0.12
     assert sum(map(sum, passes)) >= 4 * 10 * 2_500
 
 
-def play_pass(gates, step, *, tokens):
-    """Let a group begin a pass; return the prompt tokens that each rank gets."""
+def simulate_pass(gates, step, *, tokens):
+    """Simulate the start of a pass; return the prompt tokens that each rank gets."""
     read = [0] * 12
     for gate in gates:
         for number in range(12):
             load = make_load(number, ranks=12, epoch=2, step=step, pass_s=0.0)
             gate.observe_load(load, now=step * 0.1)
     for gate in gates:
-        for place in list_places(gate.settle(step * 0.1)):
+        for place in list_assignments(gate.dispatch(step * 0.1)):
             read[int(place.replica.id.removeprefix("i-"))] += tokens
     return read
 
 
 def measure_pass(read):
-    """Return the time of a pass in which ranks read so much, with the first map."""
+    """Return the duration of a pass with these prompt tokens, with the first map."""
     fixed_s = ENGINE.steps_per_pass * ENGINE.step_s
     busiest = 0.15 * max(read) + 0.85 * 3.2 * sum(read) / 12
     return fixed_s + busiest / ENGINE.read_tokens_per_s
@@ -412,27 +414,28 @@
     """A prompt is larger than what an entry may send in one pass."""
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
-    make_prompts(gate, 2, tokens=30_000)
-    read = list(play_return(gate, tokens=30_000, passes=30))
+    add_prompts(gate, 2, tokens=30_000)
+    read = list(simulate_recovery(gate, tokens=30_000, passes=30))
     assert sum(read) == 60_000
 
 
-def test_request_goes_where_the_prompts_are_read_already():
-    """Two ranks have three requests each; one of them has yet to read two prompts.
+def test_request_goes_to_the_rank_without_unread_prompts():
+    """Two ranks have three requests each; one of them has two unread prompts.
 
-    It reads one after the other, and a third one would have its first event late.
+    It reads them one after the other, and a third one would get its first event late.
     """
     gate = make_gate(2)
     gate.observe_load(make_load(0, ranks=2, active=1, queued=2), now=0.0)
     gate.observe_load(make_load(1, ranks=2, active=3), now=0.0)
     add(gate, 1)
-    assert [one.replica.id for one in list_places(gate.settle(0.0))] == ["i-1"]
+    assert [one.replica.id for one in list_assignments(gate.dispatch(0.0))] == ["i-1"]
 
 
-def test_entry_with_most_callers_may_send_most_prompts():
+def test_entry_with_more_callers_may_send_more_prompts():
     """Half of the callers of four entries are at one of them.
 
-    With a quarter of what may be read its callers wait while others use up nothing.
+    If it may send only a quarter of the prompts, its callers wait while other entries
+    don't use their part.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     parts = []
@@ -451,180 +454,181 @@
     assert parts[1] == pytest.approx(2 * parts[0])
 
 
-def tell_group(gate, *, step, now, active, pass_s):
+def report_group_load(gate, *, step, now, active, pass_s):
     for number in range(12):
         load = make_load(number, ranks=12, step=step, active=active, pass_s=pass_s)
         gate.observe_load(load, now=now)
 
 
-def test_slow_spell_does_not_shut_a_group_for_good():
-    """Ranks are slow for seconds, and passes take three times the pause.
+def test_slow_period_does_not_close_a_group_permanently():
+    """Ranks are slow for seconds, and passes take three times the allowed pause.
 
-    Then the group has served what it had, and is idle: an idle group makes no passes,
-    so the last long one stays in mind. Callers would be refused for the rest of the day
-    by a group that has nothing to do.
+    Then the group has served its requests and is idle. An idle group makes no passes,
+    so the last long one remains the latest measurement. A group with nothing to do
+    would then refuse callers for the rest of the day.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
     for step in range(1, 40):
-        tell_group(gate, step=step, now=step * 0.3, active=3, pass_s=0.3)
+        report_group_load(gate, step=step, now=step * 0.3, active=3, pass_s=0.3)
     for look in range(20):
-        tell_group(gate, step=40, now=12.0 + look * 0.06, active=0, pass_s=0.0)
-    make_prompts(gate, 6, tokens=2_500, now=13.2)
+        report_group_load(gate, step=40, now=12.0 + look * 0.06, active=0, pass_s=0.0)
+    add_prompts(gate, 6, tokens=2_500, now=13.2)
     placed = 0
     for step in range(41, 60):
         now = 13.2 + (step - 41) * 0.06
-        placed += len(list_places(gate.settle(now)))
+        placed += len(list_assignments(gate.dispatch(now)))
         if placed:
-            tell_group(gate, step=step, now=now, active=1, pass_s=0.06)
+            report_group_load(gate, step=step, now=now, active=1, pass_s=0.06)
         else:
-            tell_group(gate, step=40, now=now, active=0, pass_s=0.0)
+            report_group_load(gate, step=40, now=now, active=0, pass_s=0.0)
     assert placed == 6
 
 
 @pytest.mark.parametrize("pass_s", [0.13, 0.5])
-def test_prompts_are_not_held_back_where_all_streams_are_late_already(pass_s):
-    """A rank works at an eighth of its pace, and every pass is longer than the pause.
+def test_prompts_are_not_held_back_if_all_streams_are_late_already(pass_s):
+    """A rank runs at an eighth of its pace, and every pass is longer than the pause.
 
-    Whoever is let in is served late; whoever waits for shorter passes is refused.
+    Requests that are admitted are served late; those that wait for shorter passes are
+    refused.
     """
     engine = replace(ENGINE, layout=LAYOUT)
     gate = make_gate(12, engine=engine)
     for step in range(1, 40):
-        tell_group(gate, step=step, now=step * pass_s, active=0, pass_s=pass_s)
-    tell_group(gate, step=40, now=40 * pass_s, active=1, pass_s=pass_s)
+        report_group_load(gate, step=step, now=step * pass_s, active=0, pass_s=pass_s)
+    report_group_load(gate, step=40, now=40 * pass_s, active=1, pass_s=pass_s)
     (group,) = gate._groups.values()
     group.take(100_000, now=0.0)
-    tell_group(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
+    report_group_load(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
     assert group.may_read(engine, 41 * pass_s)
 
 
-def test_callers_of_a_group_that_is_not_formed_yet_hear_at_once_when_to_return():
-    """Everything lost power. Entries are back before the group is formed.
+def test_callers_of_a_group_not_yet_formed_get_a_retry_after_at_once():
+    """After a power loss, entries are back before the group is formed.
 
-    Nobody has told its load, and its ranks refuse all requests. Callers were sent to
-    two of them each, asked back at once and refused again, and had no try left when the
-    group served a second later.
+    No load has been reported yet, and the ranks refuse all requests. Callers were sent
+    to two of them each, told to retry at once and refused again, and had no retry left
+    when the group served requests a second later.
     """
     gate = make_gate(12)
-    sent, turned = 0, []
+    sent, rejected = 0, []
     for number in range(200):
         now = number * 0.01
         gate.add(make_waiting(number, now=now), weight=1.0)
-        for decision in gate.settle(now):
-            if isinstance(decision, Turned):
-                turned.append(decision)
+        for decision in gate.dispatch(now):
+            if isinstance(decision, Rejection):
+                rejected.append(decision)
                 continue
             sent += 1
             gate.note_full(decision.replica, now=now, until=now + 0.1)
             gate.finish(decision.replica, failed=False, now=now)
     assert sent <= 2.0 / 0.25 + 1
-    assert len(turned) >= 185
-    assert {one.reason for one in turned} == {"group-broken"}
-    assert min(one.retry_after_s for one in turned) >= 1.5
+    assert len(rejected) >= 185
+    assert {one.reason for one in rejected} == {"group-broken"}
+    assert min(one.retry_after_s for one in rejected) >= 1.5
 
 
-def test_group_that_serves_again_is_seen_by_the_next_try():
+def test_group_that_recovers_is_found_by_the_next_probe():
     gate = make_gate(12)
     add(gate, 1)
-    place = list_places(gate.settle(0.0))[0]
+    place = list_assignments(gate.dispatch(0.0))[0]
     gate.note_full(place.replica, now=0.0, until=0.1)
     gate.add(make_waiting(50, now=0.1), weight=1.0)
-    assert list_turned(gate.settle(0.1))
+    assert list_rejections(gate.dispatch(0.1))
     gate.add(make_waiting(51, now=0.3), weight=1.0)
-    assert list_places(gate.settle(0.3))
+    assert list_assignments(gate.dispatch(0.3))
 
 
-def test_full_rank_of_a_group_that_is_told_of_closes_nobody_else():
+def test_full_rank_of_a_reported_group_does_not_close_the_others():
     gate = make_groups(1, active=1)
     full = make_replica(0)
     gate.note_full(full, now=0.05, until=0.15)
     add(gate, 1, now=0.05)
-    places = list_places(gate.settle(0.05))
+    places = list_assignments(gate.dispatch(0.05))
     assert places
     assert places[0].replica.id != full.id
 
 
-def test_those_whose_turn_at_a_limited_replica_comes_too_late_are_refused_at_once():
-    """A service's only replica takes ten requests a second, and fifty callers come.
+def test_requests_beyond_a_limited_replicas_rate_are_refused_at_once():
+    """A service's only replica takes ten requests a second, and fifty callers arrive.
 
-    This entry may send it a part of those. Who stands further back than its time
-    lasts would wait for nothing; it hears at once when its turn may come.
+    This entry may send it a part of those. A request whose turn comes after its time
+    would wait in vain; it is refused at once with the time of its turn.
     """
     gate = make_gate(1, engine=None)
     (replica,) = gate.update([make_replica(1)], None, now=0.0) or [make_replica(1)]
     gate.note_limit(replica, 160.0, now=0.0)
     add(gate, 50, now=0.1)
-    turned = list_turned(gate.settle(0.1))
-    assert {one.reason for one in turned} == {"replicas-limited"}
-    assert 45 <= len(turned) < 50
-    assert all(one.retry_after_s > 0 for one in turned)
+    rejected = list_rejections(gate.dispatch(0.1))
+    assert {one.reason for one in rejected} == {"replicas-limited"}
+    assert 45 <= len(rejected) < 50
+    assert all(one.retry_after_s > 0 for one in rejected)
 
 
-def test_limited_replica_is_passed_over_while_another_has_room():
+def test_limited_replica_is_skipped_while_another_has_room():
     gate = make_gate(2, engine=None)
     gate.note_limit(make_replica(1), 0.0, now=0.0)
     add(gate, 4, now=0.0)
-    places = list_places(gate.settle(0.0))
+    places = list_assignments(gate.dispatch(0.0))
     assert [one.replica.id for one in places].count("i-1") <= 1
 
 
 def test_limit_is_kept_while_a_registration_lapses():
-    """Guards against a replica in need that gets all it can hold after each lapse."""
+    """Guards against an overloaded replica that is filled again after each lapse."""
     gate = make_gate(1, engine=None)
     gate.note_limit(make_replica(0), 0.0, now=0.0)
     gate.update([], None, now=0.1)
     gate.update([make_replica(0)], None, now=0.2)
     add(gate, 6, now=0.2)
-    assert not list_places(gate.settle(0.2))
+    assert not list_assignments(gate.dispatch(0.2))
 
 
-def test_limit_of_an_earlier_start_does_not_bind_the_next_one():
+def test_limit_of_an_earlier_incarnation_does_not_apply_to_the_next():
     gate = make_gate(1, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
     gate.note_limit(make_replica(0, started_ms=1), 0.0, now=0.0)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
     add(gate, 3, now=0.1)
-    placed = list_places(gate.settle(0.1)) + list_places(gate.settle(0.1))
+    placed = list_assignments(gate.dispatch(0.1)) + list_assignments(gate.dispatch(0.1))
     assert len(placed) >= 1
-    assert not list_turned(gate.settle(0.1))
+    assert not list_rejections(gate.dispatch(0.1))
 
 
-def test_one_caller_at_a_time_shows_whether_a_group_that_refused_serves_again():
-    """Everything lost power, and a crowd stands at an entry before the group is formed.
+def test_single_request_probes_a_group_that_refused():
+    """After a power loss, many callers wait at an entry before the group is formed.
 
-    Were all of them sent at once after a refusal, each would lose one of the tries that
-    its request has, and a second refusal ends it.
+    If all of them were sent at once after a refusal, each request would lose one of its
+    attempts, and a second refusal ends it.
     """
     gate = make_gate(12)
     add(gate, 1)
-    (first,) = list_places(gate.settle(0.0))
+    (first,) = list_assignments(gate.dispatch(0.0))
     gate.note_full(first.replica, now=0.0, until=0.1)
     gate.finish(first.replica, failed=False, now=0.0)
     add(gate, 8, now=0.3)
-    decisions = gate.settle(0.3)
-    assert len(list_places(decisions)) == 1
-    assert len(list_turned(decisions)) == 7
+    decisions = gate.dispatch(0.3)
+    assert len(list_assignments(decisions)) == 1
+    assert len(list_rejections(decisions)) == 7
     add(gate, 8, now=0.31)
-    assert not list_places(gate.settle(0.31))
+    assert not list_assignments(gate.dispatch(0.31))
     gate.note_served(first.replica)
     add(gate, 8, now=0.32)
-    assert len(list_places(gate.settle(0.32))) > 1
+    assert len(list_assignments(gate.dispatch(0.32))) > 1
 
 
 @pytest.mark.parametrize(("replicas", "entries"), [(12, 4), (72, 12), (192, 32)])
-def test_herd_after_a_return_fills_the_groups_once_over_all_entries(replicas, entries):
-    """Everything has lost power, and each entry has a crowd of callers that came back.
+def test_thundering_herd_fills_the_groups_once_over_all_entries(replicas, entries):
+    """After a power loss, each entry has many callers that have returned.
 
-    No load has been told yet, so no entry knows how many others there are. With a few
-    assumed, a dozen entries sent three times what the ranks can take, and those who
-    came for the first time were late as well, for seconds.
+    No load has been reported yet, so no entry knows how many others there are. When a
+    small number was assumed, a dozen entries sent three times the capacity of the
+    ranks, and new callers were late as well, for seconds.
     """
     placed, limit = 0, 0.0
     for number in range(entries):
         gate = make_gate(replicas, seed=number)
         add(gate, 3 * replicas // entries * ENGINE.slots)
         for _ in range(20):
-            placed += len(list_places(gate.settle(0.0)))
+            placed += len(list_assignments(gate.dispatch(0.0)))
         limit = gate.limit
     assert 0.5 * limit <= placed <= 1.2 * limit
--- a/tests/unit/test_level_choice.py
+++ b/tests/unit/test_water_filling.py
@@ -1,4 +1,4 @@
-"""Test the choice among replicas by loads that many entries saw a moment ago."""
+"""Test the choice among replicas by stale loads that many entries share."""
 
 from random import Random
 
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
-from hyssopvane._internal.policy.level_choice import (
+from hyssopvane._internal.policy.water_filling import (
     REQUEST_COST,
-    choose_below,
-    find_level,
+    choose_by_deficit,
+    find_water_level,
 )
 from tests.unit.test_service_gate import (
     ENGINE,
-    list_places,
+    list_assignments,
     make_gate,
     make_load,
     make_replica,
@@ -29,10 +29,10 @@
     st.lists(st.integers(0, 20), min_size=1, max_size=40),
     st.floats(0.01, 200),
 )
-def test_level_holds_just_what_is_poured(costs, added):
-    level = find_level(costs, added)
-    poured = sum(max(0.0, level - cost) for cost in costs)
-    assert poured == pytest.approx(added)
+def test_level_adds_up_to_the_added_amount(costs, added):
+    level = find_water_level(costs, added)
+    filled = sum(max(0.0, level - cost) for cost in costs)
+    assert filled == pytest.approx(added)
 
 
 @given(
@@ -42,21 +42,21 @@
 )
 def test_replica_above_the_level_is_not_chosen(costs, arrivals, seed):
     free = [SLOTS - cost for cost in costs]
-    number = choose_below(costs, arrivals, free=free, random=Random(seed))
-    assert costs[number] < find_level(costs, max(1.0, arrivals) * REQUEST_COST)
+    number = choose_by_deficit(costs, arrivals, free=free, random=Random(seed))
+    assert costs[number] < find_water_level(costs, max(1.0, arrivals) * REQUEST_COST)
 
 
-def test_alone_an_entry_sends_to_the_least_loaded():
+def test_single_entry_sends_to_the_least_loaded():
     costs = [4, 4, 0, 4]
     chosen = {
-        choose_below(costs, 1.0, free=[2, 2, 6, 2], random=Random(seed))
+        choose_by_deficit(costs, 1.0, free=[2, 2, 6, 2], random=Random(seed))
         for seed in range(50)
     }
     assert chosen == {2}
 
 
-def play_shared_loads(*, entries, ranks, steps, arrivals, homes=False):
-    """Let entries place requests by shared loads; count what meets a full rank."""
+def simulate_shared_loads(*, entries, ranks, steps, arrivals, homes=False):
+    """Simulate entries with shared loads; count requests that reach a full rank."""
     gates = [make_gate(ranks, engine=ENGINE, seed=seed) for seed in range(entries)]
     names = [f"10.2.0.{number}:7000" for number in range(entries)]
     for gate, name in zip(gates, names, strict=True):
@@ -65,7 +65,7 @@
             gate._homes.update(name, names)
     random = Random(7)
     ends = []
-    met_full = 0
+    full_hits = 0
     for step in range(1, steps + 1):
         now = step * 0.12
         ends = [(rank, at) for rank, at in ends if at > now]
@@ -81,52 +81,54 @@
         for number in range(arrivals):
             gate = random.choice(gates)
             gate.add(make_waiting(step * 1_000 + number, now=now), weight=1.0)
-            for place in list_places(gate.settle(now)):
+            for place in list_assignments(gate.dispatch(now)):
                 rank = int(place.replica.id.removeprefix("i-"))
-                met_full += active[rank] >= SLOTS
+                full_hits += active[rank] >= SLOTS
                 active[rank] += 1
                 ends.append((rank, now + random.uniform(0.6, 1.6)))
-    return met_full
+    return full_hits
 
 
 def test_entries_with_the_same_loads_do_not_fill_the_same_ranks():
-    """Thirteen entries see eight times a second which ranks have least to do.
+    """Thirteen entries receive the same loads eight times a second.
 
-    All of them sent what came until the next loads to these few. Their slots were full
-    and callers waited there for a second, while half of all slots were free.
+    All of them sent the requests until the next loads to the few least loaded ranks.
+    The slots there were full and callers waited for a second, while half of all slots
+    were free.
     """
-    assert play_shared_loads(entries=13, ranks=63, steps=40, arrivals=14) <= 2
+    assert simulate_shared_loads(entries=13, ranks=63, steps=40, arrivals=14) <= 2
 
 
-def test_entries_that_divide_the_ranks_hardly_meet_at_one():
-    """Most slots are taken, and entries see loads of a moment ago.
+def test_home_replicas_reduce_collisions_at_full_ranks():
+    """Most slots are taken, and entries see stale loads.
 
-    Two that send to the same free slot let one of their callers wait for a second.
+    When two entries send to the same free slot, one of their callers waits for a
+    second.
     """
     met = {True: 0, False: 0}
     for homes in met:
         for arrivals in (6, 7, 8):
-            met[homes] += play_shared_loads(
+            met[homes] += simulate_shared_loads(
                 entries=7, ranks=13, steps=200, arrivals=arrivals, homes=homes
             )
     assert met[True] <= 0.7 * met[False]
 
 
-def test_arrivals_follow_from_what_runs_and_how_long_it_lasts():
-    """An entry of many sends a request or two a second, and sees a hundred running."""
+def test_arrival_rate_follows_from_running_requests_and_their_duration():
+    """One of many entries sends one or two requests a second and sees a hundred run."""
     gate = make_gate(63, engine=ENGINE)
-    told = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
-    gate.observe_loads([(make_load(rank, **told), 10.0) for rank in range(63)])
+    fields = {"ranks": 63, "active": 2, "pass_s": 0.05, "entries": 13}
+    gate.observe_loads([(make_load(rank, **fields), 10.0) for rank in range(63)])
     room = gate._groups["group"]
     for number in range(60):
         gate.add(make_waiting(number, now=10.0), weight=1.0)
-        for place in list_places(gate.settle(10.0)):
+        for place in list_assignments(gate.dispatch(10.0)):
             gate.finish(place.replica, failed=False, now=12.0)
-    # Two of them end after two seconds each, so 126 that run make 63 a second.
+    # Requests last two seconds each, so 126 running ones mean 63 arrivals a second.
     assert room.measure_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
 
 
-def test_homes_of_a_zone_are_divided_and_move_little():
+def test_homes_cover_a_zone_and_few_move_when_an_entry_leaves():
     names = [f"10.0.0.{number}:7000" for number in range(7)]
     replicas = [f"10.1.0.{number}:80" for number in range(39)]
 
@@ -147,20 +149,25 @@
 def test_entries_with_the_same_loads_do_not_fill_the_same_group():
     """Three groups are about equally full, and all entries see which is emptiest.
 
-    All that came until the next loads went to that one, and met full ranks there.
+    All requests until the next loads went to that group and met full ranks there.
     """
     taken = [0, 0, 0]
     for seed in range(30):
         gate = make_gate(12, engine=ENGINE, seed=seed)
         loads = []
         for rank in range(12):
-            told = {"ranks": 4, "pass_s": 0.05, "entries": 8, "group": f"g{rank // 4}"}
+            fields = {
+                "ranks": 4,
+                "pass_s": 0.05,
+                "entries": 8,
+                "group": f"g{rank // 4}",
+            }
             active = 2 if rank == 0 else 3
-            loads.append((make_load(rank, active=active, **told), 0.0))
+            loads.append((make_load(rank, active=active, **fields), 0.0))
         for start in (0, 4, 8):
             gate.observe_loads(loads[start : start + 4])
         gate.add(make_waiting(seed), weight=1.0)
-        for place in list_places(gate.settle(0.0)):
+        for place in list_assignments(gate.dispatch(0.0)):
             taken[int(place.replica.id.removeprefix("i-")) // 4] += 1
     assert sum(taken) >= 15
     assert max(taken) <= 0.75 * sum(taken)
