--- a/bench/telling.py
+++ b/bench/telling.py
@@ -7,7 +7,7 @@
 from bench.output import parse_options, print_table, write_json
 from hyssopvane._internal.protocol.group_messages import encode_message
 from hyssopvane._internal.state.group import MapChange, Presence, RankState
-from tests.lib.telling_model import TellingModel
+from tests.lib.publishing_model import PublishingModel
 
 SIZES = ((12, 3, 2), (24, 3, 5), (63, 3, 5), (64, 5, 7), (64, 14, 69))
 """Ranks of a group, zones, entries of a zone; the last one is the target's."""
@@ -41,7 +41,7 @@
 
 
 def _measure(ranks: int, zones: int, by_zone: int, *, seed: int) -> Row:
-    model = TellingModel(
+    model = PublishingModel(
         Random(seed), ranks=ranks, zones=zones, entries_by_zone=by_zone
     )
     model.play(SETTLE_S)
@@ -60,7 +60,7 @@
     )
 
 
-def _count_sent(model: TellingModel) -> tuple[int, int]:
+def _count_sent(model: PublishingModel) -> tuple[int, int]:
     entries = sum(one.sent_bytes for one in model.entries)
     return model.leaders[0].sent_bytes, entries
 
--- a/src/hyssopvane/_internal/policy/load_teller.py
+++ b/src/hyssopvane/_internal/policy/load_publisher.py
@@ -16,7 +16,7 @@
 )
 from hyssopvane._internal.state.ranks import RankReport
 
-ROSTER_S = 2.0
+ROSTER_INTERVAL_S = 2.0
 """Pause between two rosters to a relay while nothing changes: entries come and go."""
 
 ROSTER_REPEATS = 3
@@ -25,19 +25,19 @@
 An entry can't use a load before it has the roster, and now and then a message is lost.
 """
 
-ROSTER_AGAIN_S = 0.5
+ROSTER_RETRY_S = 0.5
 """Pause between two rosters to a zone whose entries complain.
 
 A roster has four times the size of a load. Told again with each load that is lost, it
 would fill the link that loses them.
 """
 
-FAR_CONTACTS = 2
+REMOTE_CONTACTS = 2
 """Entries of other zones that a roster names: beliefs spread to other zones by them."""
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
+class OutgoingMessage:
     """Send one message to some addresses."""
 
     message: GroupLoad | Roster
@@ -45,17 +45,17 @@
 
 
 @dataclass(slots=True)
-class _Told:
+class _SentRoster:
     """Hold what was told to one zone last."""
 
     number: int
-    times: int = 0
-    at: float = float("-inf")
-    asked: bool = False
+    sent_count: int = 0
+    sent_at: float = float("-inf")
+    is_requested: bool = False
     """Whether an entry of the zone may lack it."""
 
 
-class LoadTeller:
+class LoadPublisher:
     """Turn what a leader knows of its group into messages to relays.
 
     What is sent grows with the zones and with the members of the one group, not with
@@ -65,40 +65,40 @@
     def __init__(self, *, source: int, key: str) -> None:
         self._source = source
         self._sequence = 0
-        self._told: dict[str, _Told] = {}
+        self._sent_rosters: dict[str, _SentRoster] = {}
         """By availability zone."""
         self.relays = LoadRelays(key=key)
 
     def observe(self, state: EntryState, *, now: float) -> bool:
         """Take an entry's word; tell whether the entry is new."""
         is_new = self.relays.observe(state, now=now)
-        told = self._told.get(state.availability_zone)
-        if told is not None and (is_new or state.unheard):
+        sent = self._sent_rosters.get(state.availability_zone)
+        if sent is not None and (is_new or state.unheard):
             # It may lack the roster: a load says nothing without it.
-            told.asked = True
+            sent.is_requested = True
         return is_new
 
-    def tell(
+    def build_messages(
         self,
         report: RankReport,
-        heard: Sequence[tuple[RankState, float]],
+        states: Sequence[tuple[RankState, float]],
         *,
         pass_s: float,
         now: float,
-    ) -> list[Telling]:
+    ) -> list[OutgoingMessage]:
         """Return the messages that tell the load of the ranks heard of."""
         relays = self.relays.choose(now)
         zones = {relay.availability_zone for relay in relays}
-        for gone in self._told.keys() - zones:
-            del self._told[gone]
+        for gone in self._sent_rosters.keys() - zones:
+            del self._sent_rosters[gone]
         if not relays:
             return []
-        ordered = sorted(heard, key=lambda one: one[0].rank)
+        ordered = sorted(states, key=lambda one: one[0].rank)
         members = tuple(Member(one.replica, one.started_ms) for one, _ in ordered)
         number = digest_members(report.group, members)
         contacts = self.relays.list_entries(now)
         due = {zone for zone in zones if self._is_roster_due(zone, number, now)}
-        tellings = [
+        outgoing = [
             self._make_roster(relay, report.group, number, members, contacts)
             for relay in relays
             if relay.availability_zone in due
@@ -122,24 +122,24 @@
         )
         direct = tuple(relay.entry for relay in relays if not relay.via)
         if direct:
-            tellings.append(Telling(load, direct))
+            outgoing.append(OutgoingMessage(load, direct))
         for relay in relays:
             if relay.via:
-                tellings.append(
-                    Telling(replace(load, forward=relay.entry), (relay.via,))
+                outgoing.append(
+                    OutgoingMessage(replace(load, forward=relay.entry), (relay.via,))
                 )
-        return tellings
+        return outgoing
 
     def _is_roster_due(self, zone: str, number: int, now: float) -> bool:
-        told = self._told.get(zone)
-        if told is None or told.number != number:
-            told = self._told[zone] = _Told(number)
-        pause_s = ROSTER_AGAIN_S if told.asked else ROSTER_S
-        if told.times >= ROSTER_REPEATS and now - told.at < pause_s:
+        sent = self._sent_rosters.get(zone)
+        if sent is None or sent.number != number:
+            sent = self._sent_rosters[zone] = _SentRoster(number)
+        pause_s = ROSTER_RETRY_S if sent.is_requested else ROSTER_INTERVAL_S
+        if sent.sent_count >= ROSTER_REPEATS and now - sent.sent_at < pause_s:
             return False
-        told.times += 1
-        told.at = now
-        told.asked = False
+        sent.sent_count += 1
+        sent.sent_at = now
+        sent.is_requested = False
         return True
 
     def _make_roster(
@@ -149,16 +149,16 @@
         number: int,
         members: tuple[Member, ...],
         contacts: Sequence[EntryContact],
-    ) -> Telling:
+    ) -> OutgoingMessage:
         zone = relay.availability_zone
         near = [one for one in contacts if one.availability_zone == zone]
         far = [one for one in contacts if one.availability_zone != zone]
         turn = self._sequence % max(1, len(far))
-        some = (far[turn:] + far[:turn])[:FAR_CONTACTS]
+        some = (far[turn:] + far[:turn])[:REMOTE_CONTACTS]
         roster = Roster(number, group, members, (*near, *some), relay=True)
         if relay.via:
-            return Telling(replace(roster, forward=relay.entry), (relay.via,))
-        return Telling(roster, (relay.entry,))
+            return OutgoingMessage(replace(roster, forward=relay.entry), (relay.via,))
+        return OutgoingMessage(roster, (relay.entry,))
 
 
 def digest_members(group: str, members: Sequence[Member]) -> int:
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -19,7 +19,7 @@
 from hyssopvane._internal.models.settings import RankAgentSettings
 from hyssopvane._internal.policy.count_meter import CountMeter
 from hyssopvane._internal.policy.group_presence import PRESENCE_S, GroupPresence
-from hyssopvane._internal.policy.load_teller import LoadTeller
+from hyssopvane._internal.policy.load_publisher import LoadPublisher
 from hyssopvane._internal.policy.look_times import LOOK_S, measure_look_s
 from hyssopvane._internal.policy.map_actions import (
     Announce,
@@ -141,7 +141,9 @@
         self._exchange = BeliefExchange(self.feed, seeds=())
         self._passes = PassMeter()
         self._coordinator = MapCoordinator(nonce=secrets.randbits(31))
-        self._teller = LoadTeller(source=secrets.randbits(32), key=settings.replica)
+        self._publisher = LoadPublisher(
+            source=secrets.randbits(32), key=settings.replica
+        )
         self._presence = GroupPresence()
         self._complaints = TokenBucket(per_s=COMPLAINTS_PER_S, burst=COMPLAINTS_PER_S)
         self._counts = CountMeter()
@@ -275,7 +277,7 @@
 
     def _take_entry(self, state: EntryState, now: float) -> None:
         report = self._report
-        if self._teller.observe(state, now=now):
+        if self._publisher.observe(state, now=now):
             log_event("info", "entry-found", entry=state.address, via=state.via)
         self.feed.note_era(state.replicas_era)
         if self._follows_store and self.feed.table is None and state.beliefs:
@@ -452,9 +454,11 @@
     ) -> None:
         """Tell the entries the load of ranks, by way of one entry in each zone."""
         pass_s = self._passes.measure(now=now)
-        for telling in self._teller.tell(report, heard, pass_s=pass_s, now=now):
-            await self._port.send(telling.message, *telling.to)
-        relays = self._teller.relays.describe()
+        for outgoing in self._publisher.build_messages(
+            report, heard, pass_s=pass_s, now=now
+        ):
+            await self._port.send(outgoing.message, *outgoing.to)
+        relays = self._publisher.relays.describe()
         if relays != self._logged_relays:
             self._logged_relays = relays
             log_event("info", "load-relays", group=report.group, relays=relays)
--- a/tests/lib/telling_model.py
+++ b/tests/lib/publishing_model.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from hyssopvane._internal.policy.load_inbox import LoadInbox
-from hyssopvane._internal.policy.load_teller import LoadTeller
+from hyssopvane._internal.policy.load_publisher import LoadPublisher
 from hyssopvane._internal.protocol.group_messages import GroupMessage, encode_message
 from hyssopvane._internal.state.group import EntryState, RankState
 from hyssopvane._internal.state.loads import GroupLoad, Roster, split_load
@@ -31,7 +31,7 @@
     """Tell the load of a group, as an agent that leads it does."""
 
     address: str
-    teller: LoadTeller
+    publisher: LoadPublisher
     down_until: float = float("-inf")
     sent_bytes: int = 0
 
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class TellingModel:
+class PublishingModel:
     """Play the words between one group's leaders and the entries.
 
     The agents of the three lowest ranks may lead; `leading` holds those that do.
@@ -77,7 +77,7 @@
     def __post_init__(self) -> None:
         self.starts = [FIRST_MS] * self.ranks
         self.leaders = [
-            ModelLeader(self.agent(rank), LoadTeller(source=rank, key=f"k{rank}"))
+            ModelLeader(self.agent(rank), LoadPublisher(source=rank, key=f"k{rank}"))
             for rank in range(min(3, self.ranks))
         ]
         for zone in range(self.zones):
@@ -126,9 +126,11 @@
         report = RankReport(
             "g", self.epoch, 0, self.ranks, True, 3, 0, 1.0, 7, 0, 0, 0, 0, 0, False, 0
         )
-        for telling in leader.teller.tell(report, heard, pass_s=0.1, now=self.now):
-            for to in telling.to:
-                leader.sent_bytes += self._send(leader.address, to, telling.message)
+        for outgoing in leader.publisher.build_messages(
+            report, heard, pass_s=0.1, now=self.now
+        ):
+            for to in outgoing.to:
+                leader.sent_bytes += self._send(leader.address, to, outgoing.message)
 
     def _describe(self, rank: int) -> RankState:
         return RankState(
@@ -203,7 +205,7 @@
     def _take(self, leader: ModelLeader, message: GroupMessage) -> None:
         match message:
             case EntryState():
-                leader.teller.observe(message, now=self.now)
+                leader.publisher.observe(message, now=self.now)
                 if leader is not self.leaders[self.leading[0]]:
                     self._pass_on(leader.address, message)
             case _:
--- a/tests/unit/test_load_telling.py
+++ b/tests/unit/test_load_publishing.py
@@ -12,7 +12,7 @@
 from hyssopvane._internal.policy.load_relays import MAX_RELAYS, LoadRelays
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.state.loads import GroupLoad, Member, MemberLoad, Roster
-from tests.lib.telling_model import TellingModel
+from tests.lib.publishing_model import PublishingModel
 
 FRESH_S = 0.25
 ROUTED_ROUND_S = 1.0
@@ -20,13 +20,15 @@
 
 
 def make_model(*, seed=1, settle_s=4.0, **options):
-    model = TellingModel(Random(seed), **options)
+    model = PublishingModel(Random(seed), **options)
     model.play(settle_s)
     return model
 
 
 def find_relays(model):
-    return [relay.entry for relay in model.leaders[0].teller.relays.choose(model.now)]
+    return [
+        relay.entry for relay in model.leaders[0].publisher.relays.choose(model.now)
+    ]
 
 
 def get_entry(model, address):
@@ -166,7 +168,7 @@
     An old load that is taken for a new one would count the requests of a start that has
     ended, or of a group that was formed anew since.
     """
-    model = TellingModel(
+    model = PublishingModel(
         Random(seed),
         zones=2,
         entries_by_zone=2,
