--- a/src/hyssopvane/_internal/policy/group_room.py
+++ b/src/hyssopvane/_internal/policy/group_room.py
@@ -3,8 +3,8 @@
 from collections import deque
 from random import Random
 
-from hyssopvane._internal.policy.look_times import measure_look_s
 from hyssopvane._internal.policy.pass_model import PassModel
+from hyssopvane._internal.policy.poll_intervals import get_poll_interval_s
 from hyssopvane._internal.policy.replica_load import ReplicaLoad, guess_entries
 from hyssopvane._internal.state.loads import RankLoad
 from hyssopvane._internal.state.routing import EngineModel
@@ -205,8 +205,8 @@
         too little to tell by: with its own rate each entry of a zone would take itself
         for alone, and send to ranks that others have just filled.
         """
-        unheard_s = 2 * measure_look_s(self._ranks)
-        return self.count(now) * unheard_s / max(self._lasts_s, unheard_s)
+        unreported_s = 2 * get_poll_interval_s(self._ranks)
+        return self.count(now) * unreported_s / max(self._lasts_s, unreported_s)
 
     def finish(self, now: float) -> None:
         """Take note that one of this entry's requests has left the group.
--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -26,7 +26,6 @@
 from enum import Enum, auto
 from math import ceil
 
-from hyssopvane._internal.policy.look_times import FRESH_S, measure_fresh_s
 from hyssopvane._internal.policy.map_actions import (
     Action,
     Announce,
@@ -44,6 +43,10 @@
     is_told,
 )
 from hyssopvane._internal.policy.map_search import MapSearch
+from hyssopvane._internal.policy.poll_intervals import (
+    MAX_STATE_AGE_S,
+    get_max_state_age_s,
+)
 from hyssopvane._internal.state.group import MapChange, RankState
 from hyssopvane._internal.state.loads import SLOW_PACE
 from hyssopvane._internal.state.ranks import (
@@ -172,7 +175,7 @@
         self._group = ""
         self._epoch = 0
         self._own = -1
-        self._fresh_s = FRESH_S
+        self._max_state_age_s = MAX_STATE_AGE_S
         self._hold_answered = False
         """Whether the rank that is to hold the group has answered that it does."""
         self._active_at = float("-inf")
@@ -196,7 +199,7 @@
             if self._listens_since is None:
                 self._listens_since = now
             self._own = state.rank
-            self._fresh_s = measure_fresh_s(state.ranks)
+            self._max_state_age_s = get_max_state_age_s(state.ranks)
             if (state.group, state.epoch) != (self._group, self._epoch):
                 self._begin_epoch(state)
         if state.group != self._group or state.epoch != self._epoch:
@@ -393,7 +396,9 @@
         return {
             "phase": self.phase.name.lower(),
             "heard": len(self._heard),
-            "fresh": sum(now - one.at < self._fresh_s for one in self._heard.values()),
+            "fresh": sum(
+                now - one.at < self._max_state_age_s for one in self._heard.values()
+            ),
             "maps": ",".join(
                 str(v) for v in sorted({s.map_version for s in self._list_states()})
             ),
@@ -427,7 +432,9 @@
     def _is_silent(self, rank: int, now: float) -> bool:
         if rank == self._own:
             return False
-        return self._measure_silence(rank, now) > max(_DIRECT_AFTER_S, self._fresh_s)
+        return self._measure_silence(rank, now) > max(
+            _DIRECT_AFTER_S, self._max_state_age_s
+        )
 
     def _begin_epoch(self, state: RankState) -> None:
         # A group that was formed anew has map 0 and nothing prepared, armed or held.
@@ -452,7 +459,7 @@
     def _is_complete(self, now: float) -> bool:
         ranks = self._heard[self._own].state.ranks
         return len(self._heard) == ranks and all(
-            now - one.at < self._fresh_s for one in self._heard.values()
+            now - one.at < self._max_state_age_s for one in self._heard.values()
         )
 
     def _begin(self, now: float) -> list[Action]:
@@ -644,7 +651,9 @@
         if now - told_at < ORPHAN_S:
             return False
         stale = [
-            rank for rank, one in self._heard.items() if now - one.at >= self._fresh_s
+            rank
+            for rank, one in self._heard.items()
+            if now - one.at >= self._max_state_age_s
         ]
         return len(stale) <= 1 and all(rank < self._own for rank in stale)
 
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -20,7 +20,6 @@
 from hyssopvane._internal.policy.count_meter import CountMeter
 from hyssopvane._internal.policy.group_presence import PRESENCE_S, GroupPresence
 from hyssopvane._internal.policy.load_publisher import LoadPublisher
-from hyssopvane._internal.policy.look_times import LOOK_S, measure_look_s
 from hyssopvane._internal.policy.map_actions import (
     Announce,
     AskAgent,
@@ -32,6 +31,10 @@
 from hyssopvane._internal.policy.map_coordinator import MapCoordinator
 from hyssopvane._internal.policy.map_spread import split_among, split_by_zone
 from hyssopvane._internal.policy.pass_meter import PassMeter
+from hyssopvane._internal.policy.poll_intervals import (
+    POLL_INTERVAL_S,
+    get_poll_interval_s,
+)
 from hyssopvane._internal.protocol.group_messages import GroupMessage
 from hyssopvane._internal.roles.belief_exchange import BeliefExchange
 from hyssopvane._internal.roles.process import Role
@@ -362,7 +365,7 @@
                     log_event("warning", "replica-lost", why=error)
                 lost = True
                 self._report = None
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
                 continue
             self._report = report
             if report.group and report.group != self._group:
@@ -370,11 +373,11 @@
                 self._group = report.group
             await self._use_report(report, counts)
             idle = not (report.active or report.queued or report.held_step)
-            pause_s = measure_look_s(report.ranks)
+            pause_s = get_poll_interval_s(report.ranks)
             if self._is_changing(report):
                 # What the rank has copied or is armed for shows at the next look, and
                 # the whole group waits for the last rank to tell it.
-                pause_s = LOOK_S
+                pause_s = POLL_INTERVAL_S
             with trio.move_on_after(IDLE_POLL_S if idle else pause_s):
                 await self._changed.wait()
             self._changed = trio.Event()
@@ -382,7 +385,7 @@
     def _is_counting_due(self, report: RankReport) -> bool:
         now = trio.current_time()
         # Counts that are read and not told would be missing from the demand.
-        told = now - self._told_at >= _DUE_SHARE * measure_look_s(report.ranks)
+        told = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
         pause_s = self._counts.measure_pause_s(
             tellers=min(report.ranks, COUNTED_RANKS),
             link_bytes_per_s=self._settings.link_bits_per_s / _BITS,
@@ -423,7 +426,7 @@
         else:
             self._passes.rest()
         state = self._make_state(report, counts)
-        is_due = now - self._told_at >= _DUE_SHARE * measure_look_s(report.ranks)
+        is_due = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
         if is_due:
             self._told_at = now
         if not report.group:
--- a/tests/lib/publishing_model.py
+++ b/tests/lib/publishing_model.py
@@ -12,8 +12,8 @@
 from hyssopvane._internal.state.ranks import RankReport
 
 TICK_S = 0.025
-LOOK_S = 0.125
-ENTRY_LOOK_S = 0.25
+POLL_INTERVAL_S = 0.125
+ENTRY_POLL_INTERVAL_S = 0.25
 HOP_S = 0.003
 FIRST_MS = 1_700_000_000_000
 
@@ -102,13 +102,13 @@
         while self.now < end:
             before, self.now = self.now, self.now + TICK_S
             self._deliver()
-            if _passes(before, self.now, LOOK_S):
+            if _passes(before, self.now, POLL_INTERVAL_S):
                 for number in self.leading:
                     self._tell(self.leaders[number])
             for number, entry in enumerate(self.entries):
-                shift = ENTRY_LOOK_S * number / len(self.entries)
-                if _passes(before + shift, self.now + shift, ENTRY_LOOK_S):
-                    self._look(entry)
+                shift = ENTRY_POLL_INTERVAL_S * number / len(self.entries)
+                if _passes(before + shift, self.now + shift, ENTRY_POLL_INTERVAL_S):
+                    self._poll(entry)
 
     def list_ages(self) -> list[float]:
         """Return the age of each entry's belief of each rank's load, in seconds."""
@@ -152,14 +152,14 @@
             started_ms=self.starts[rank],
         )
 
-    def _look(self, entry: ModelEntry) -> None:
+    def _poll(self, entry: ModelEntry) -> None:
         if self.now < entry.down_until:
             return
         state = EntryState(entry.address, "", 0, 0, entry.zone)
         agents = [self.agent(rank) for rank in range(self.ranks)]
         replicas = [self.replica(rank) for rank in range(self.ranks)]
         by_replica = dict(zip(replicas, agents, strict=True))
-        if round(self.now / ENTRY_LOOK_S) % 4 == 0:
+        if round(self.now / ENTRY_POLL_INTERVAL_S) % 4 == 0:
             for replica in entry.inbox.list_contacts():
                 to = by_replica[replica]
                 entry.sent_bytes += self._send(entry.address, to, state)
--- a/tests/unit/test_map_coordinator.py
+++ b/tests/unit/test_map_coordinator.py
@@ -6,7 +6,6 @@
 import pytest
 
 from hyssopvane._internal.policy import map_coordinator
-from hyssopvane._internal.policy.look_times import measure_look_s
 from hyssopvane._internal.policy.map_actions import (
     Announce,
     AskAgent,
@@ -18,6 +17,7 @@
     MapCoordinator,
     Phase,
 )
+from hyssopvane._internal.policy.poll_intervals import get_poll_interval_s
 from hyssopvane._internal.state.group import RankState
 from hyssopvane._internal.state.ranks import Hold, Release
 from hyssopvane._internal.state.routing import ExpertLayout
@@ -172,9 +172,9 @@
 
 def hear_all(coordinator, *, ranks, layout, now, round_number):
     """Let each agent of a group tell its state once, spread over one look."""
-    look_s = measure_look_s(ranks)
+    interval_s = get_poll_interval_s(ranks)
     for rank in range(ranks):
-        at = now + look_s * rank / ranks
+        at = now + interval_s * rank / ranks
         counts = tuple(
             (rank + 1) * (40 if expert == 3 else 1)
             for expert in range(layout.sets * layout.experts)
@@ -199,7 +199,7 @@
             counts=counts,
         )
         coordinator.observe(state, now=at, own=rank == 0)
-    return now + look_s
+    return now + interval_s
 
 
 @pytest.mark.parametrize("ranks", [4, 12, 24, 40, 41, 63, 64, 128])
@@ -443,23 +443,23 @@
     layout = ExpertLayout(12, 128, 4, 2, 0.85, 1.0, 180_000.0)
     coordinator = MapCoordinator(nonce=1, layout=layout)
     now, searched = 0.0, []
-    look_s = measure_look_s(ranks)
-    for look in range(8):
-        hottest = 2_000 if look >= 5 else 10
+    interval_s = get_poll_interval_s(ranks)
+    for poll in range(8):
+        hottest = 2_000 if poll >= 5 else 10
         for rank in range(ranks):
             counts = tuple(
                 hottest if expert == 0 else 10
                 for _ in range(12)
                 for expert in range(128)
             )
-            state = make_state(rank, ranks, layout, counts=counts, step=look)
-            at = now + look_s * rank / ranks
+            state = make_state(rank, ranks, layout, counts=counts, step=poll)
+            at = now + interval_s * rank / ranks
             coordinator.observe(state, now=at, own=rank == 0)
-        now += look_s
+        now += interval_s
         coordinator._reset()
         coordinator.decide(now)
         if coordinator._search.searched_at == now:
-            searched.append(look)
+            searched.append(poll)
     assert searched[0] <= 1
     assert {5, 6} & set(searched)
 
