--- a/src/hyssopvane/_internal/policy/load_inbox.py
+++ b/src/hyssopvane/_internal/policy/load_inbox.py
@@ -5,29 +5,29 @@
 
 from hyssopvane._internal.state.loads import EntryContact, GroupLoad, Member, Roster
 
-UNHEARD_S = 0.35
+LOAD_TIMEOUT_S = 0.35
 """Silence after which an entry complains: loads come eight times a second, and now and
 then one is lost."""
 
-FIRST_COMPLAINT_S = 0.25
-LAST_COMPLAINT_S = 2.0
+MIN_REQUEST_PAUSE_S = 0.25
+MAX_REQUEST_PAUSE_S = 2.0
 """Pause between two complaints of one silence, which doubles.
 
 The first ones replace a relay that has failed. Later ones find a group that nobody
 leads, or a network that is full, where more messages would lose what still arrives.
 """
 
-CONTACTS = 3
+CONTACTS_PER_GROUP = 3
 """Ranks of a group that an entry speaks to, from the lowest: its leader and those that
 lead after it."""
 
-KEPT_S = 10.0
+ROSTER_EXPIRY_S = 10.0
 """Time that a roster is kept after it was last told or used: it is told each 2 s."""
 
 MAX_SOURCES = 4
 """Leaders of a group whose last number is kept."""
 
-ASKED_AT_ONCE = 8
+MAX_QUERIES = 8
 """Agents that are asked in one look for replicas that no group's roster names.
 
 Any agent passes the question on to its leader, so one answer brings a whole group.
@@ -37,11 +37,11 @@
 @dataclass(slots=True)
 class _Group:
     roster: Roster
-    heard_at: float
+    received_at: float
     sequences: dict[int, int] = field(default_factory=dict)
     """Last number by the process that told it."""
-    complain_at: float = 0.0
-    pause_s: float = FIRST_COMPLAINT_S
+    next_request_at: float = 0.0
+    pause_s: float = MIN_REQUEST_PAUSE_S
 
 
 class LoadInbox:
@@ -53,8 +53,8 @@
         self._used_at: dict[int, float] = {}
         self._groups: dict[str, _Group] = {}
         """By the group's name, or the address of a replica in none."""
-        self._ask_at = float("-inf")
-        self._ask_pause_s = FIRST_COMPLAINT_S
+        self._next_query_at = float("-inf")
+        self._query_pause_s = MIN_REQUEST_PAUSE_S
 
     def add_roster(self, roster: Roster, *, now: float) -> None:
         """Learn the members of a group."""
@@ -63,7 +63,7 @@
         self._rosters[roster.number] = roster
         self._used_at[roster.number] = now
         self._find_group(roster, now).roster = roster
-        self._forget_old(now)
+        self._remove_expired(now)
 
     def take(self, load: GroupLoad, *, now: float) -> Roster | None:
         """Return the roster that a load is to be read by, if it is new and readable.
@@ -82,9 +82,9 @@
         group.sequences[load.source] = load.sequence
         while len(group.sequences) > MAX_SOURCES:
             del group.sequences[next(iter(group.sequences))]
-        group.heard_at = now
-        group.pause_s = FIRST_COMPLAINT_S
-        group.complain_at = 0.0
+        group.received_at = now
+        group.pause_s = MIN_REQUEST_PAUSE_S
+        group.next_request_at = 0.0
         group.roster = roster
         self._used_at[load.roster] = now
         return roster
@@ -94,7 +94,7 @@
         return [
             member.address
             for group in self._groups.values()
-            for member in group.roster.members[:CONTACTS]
+            for member in group.roster.members[:CONTACTS_PER_GROUP]
         ]
 
     def list_entries(self) -> frozenset[EntryContact]:
@@ -108,27 +108,27 @@
         return frozenset(
             name
             for name, group in self._groups.items()
-            if now - group.heard_at >= UNHEARD_S
+            if now - group.received_at >= LOAD_TIMEOUT_S
         )
 
-    def choose_complaints(self, now: float) -> list[str]:
+    def choose_load_requests(self, now: float) -> list[str]:
         """Return the replicas whose agents are told now that a load is missing."""
         chosen: list[str] = []
         for group in self._groups.values():
-            if now - group.heard_at < UNHEARD_S or now < group.complain_at:
+            if now - group.received_at < LOAD_TIMEOUT_S or now < group.next_request_at:
                 continue
-            group.complain_at = now + group.pause_s
-            group.pause_s = min(LAST_COMPLAINT_S, 2 * group.pause_s)
+            group.next_request_at = now + group.pause_s
+            group.pause_s = min(MAX_REQUEST_PAUSE_S, 2 * group.pause_s)
             members = group.roster.members
             # Beside those that should lead, one of the others: it knows who does.
-            others: tuple[Member, ...] = members[CONTACTS:]
-            asked = [*members[:CONTACTS]]
+            others: tuple[Member, ...] = members[CONTACTS_PER_GROUP:]
+            receivers = [*members[:CONTACTS_PER_GROUP]]
             if others:
-                asked.append(self._random.choice(others))
-            chosen += [member.address for member in asked]
+                receivers.append(self._random.choice(others))
+            chosen += [member.address for member in receivers]
         return chosen
 
-    def choose_asked(self, replicas: list[str], now: float) -> list[str]:
+    def choose_queried(self, replicas: list[str], now: float) -> list[str]:
         """Return some of the replicas that no roster names, to be asked now."""
         named = {
             member.address
@@ -137,13 +137,13 @@
         }
         unknown = [address for address in replicas if address not in named]
         if not unknown:
-            self._ask_pause_s = FIRST_COMPLAINT_S
+            self._query_pause_s = MIN_REQUEST_PAUSE_S
             return []
-        if now < self._ask_at:
+        if now < self._next_query_at:
             return []
-        self._ask_at = now + self._ask_pause_s
-        self._ask_pause_s = min(LAST_COMPLAINT_S, 2 * self._ask_pause_s)
-        return self._random.sample(unknown, min(ASKED_AT_ONCE, len(unknown)))
+        self._next_query_at = now + self._query_pause_s
+        self._query_pause_s = min(MAX_REQUEST_PAUSE_S, 2 * self._query_pause_s)
+        return self._random.sample(unknown, min(MAX_QUERIES, len(unknown)))
 
     def _find_group(self, roster: Roster, now: float) -> _Group:
         name = _name_group(roster)
@@ -151,9 +151,9 @@
             self._groups[name] = _Group(roster, now)
         return self._groups[name]
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for number, used_at in list(self._used_at.items()):
-            if now - used_at > KEPT_S:
+            if now - used_at > ROSTER_EXPIRY_S:
                 del self._used_at[number]
                 del self._rosters[number]
         for name, group in list(self._groups.items()):
--- a/src/hyssopvane/_internal/policy/load_relays.py
+++ b/src/hyssopvane/_internal/policy/load_relays.py
@@ -14,14 +14,14 @@
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.state.loads import EntryContact
 
-SILENT_S = 2.5
+RELAY_TIMEOUT_S = 2.5
 """Silence after which an entry is no relay: it speaks each second, and now and then a
 message is lost."""
 
-GONE_S = 5.0
+ENTRY_EXPIRY_S = 5.0
 """Silence after which an entry no longer counts as one that sends requests."""
 
-SWITCH_S = 0.3
+MIN_SWITCH_INTERVAL_S = 0.3
 """Time that a new relay gets before a complaint replaces it.
 
 Loads come eight times a second, and an entry complains after 0.35 s without one.
@@ -35,7 +35,7 @@
 let complaints raise what a leader sends, just when messages are lost.
 """
 
-CALM_S = 5.0
+SECOND_RELAY_S = 5.0
 """Time without a complaint after which a zone is told by way of one relay again."""
 
 
@@ -50,9 +50,9 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _KnownEntry:
     availability_zone: str
-    heard_at: float
+    seen_at: float
     via: str = ""
     """Agent that passed the entry's last complaint on."""
 
@@ -62,7 +62,7 @@
     relays: deque[Relay] = field(default_factory=lambda: deque(maxlen=MAX_RELAYS))
     """The newest first."""
     switched_at: float = float("-inf")
-    complained_at: float = float("-inf")
+    load_missing_at: float = float("-inf")
 
 
 class LoadRelays:
@@ -70,7 +70,7 @@
 
     def __init__(self, *, key: str) -> None:
         self._key = key.encode()
-        self._entries: dict[str, _Known] = {}
+        self._entries: dict[str, _KnownEntry] = {}
         self._zones: dict[str, _Zone] = {}
 
     def observe(self, state: EntryState, *, now: float) -> bool:
@@ -79,20 +79,20 @@
         known = self._entries.get(state.address)
         is_new = known is None
         if known is None or known.availability_zone != zone:
-            self._forget_gone(now)
-            known = self._entries[state.address] = _Known(zone, now)
-        known.heard_at = now
+            self._remove_expired(now)
+            known = self._entries[state.address] = _KnownEntry(zone, now)
+        known.seen_at = now
         known.via = state.via or known.via
         if state.unheard:
-            self._take_complaint(state.address, known, now)
+            self._handle_missing_load(state.address, known, now)
         return is_new
 
     def choose(self, now: float) -> list[Relay]:
         """Return the relays to send to now, one or two in each zone with entries."""
-        self._forget_gone(now)
+        self._remove_expired(now)
         live: dict[str, list[str]] = {}
         for address, known in self._entries.items():
-            if now - known.heard_at < SILENT_S:
+            if now - known.seen_at < RELAY_TIMEOUT_S:
                 live.setdefault(known.availability_zone, []).append(address)
         for name in self._zones.keys() - live.keys():
             del self._zones[name]
@@ -113,16 +113,18 @@
 
     def list_entries(self, now: float) -> list[EntryContact]:
         """Return the entries that were heard lately."""
-        self._forget_gone(now)
+        self._remove_expired(now)
         return [
             EntryContact(address, known.availability_zone)
             for address, known in self._entries.items()
         ]
 
-    def _take_complaint(self, address: str, known: _Known, now: float) -> None:
+    def _handle_missing_load(
+        self, address: str, known: _KnownEntry, now: float
+    ) -> None:
         zone = self._zones.setdefault(known.availability_zone, _Zone())
-        zone.complained_at = now
-        if now - zone.switched_at < SWITCH_S:
+        zone.load_missing_at = now
+        if now - zone.switched_at < MIN_SWITCH_INTERVAL_S:
             return
         relay = Relay(address, known.availability_zone)
         if relay in zone.relays:
@@ -139,7 +141,7 @@
     def _refresh(self, zone: _Zone, addresses: list[str], now: float) -> None:
         for relay in [one for one in zone.relays if one.entry not in addresses]:
             zone.relays.remove(relay)
-        if len(zone.relays) > 1 and now - zone.complained_at > CALM_S:
+        if len(zone.relays) > 1 and now - zone.load_missing_at > SECOND_RELAY_S:
             zone.relays.pop()
         if zone.relays:
             return
@@ -150,7 +152,7 @@
         zone.relays.appendleft(Relay(first, known.availability_zone))
         zone.switched_at = now
 
-    def _forget_gone(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for address, known in list(self._entries.items()):
-            if now - known.heard_at > GONE_S:
+            if now - known.seen_at > ENTRY_EXPIRY_S:
                 del self._entries[address]
--- a/tests/lib/publishing_model.py
+++ b/tests/lib/publishing_model.py
@@ -164,8 +164,8 @@
                 to = by_replica[replica]
                 entry.sent_bytes += self._send(entry.address, to, state)
         complaint = replace(state, unheard=True)
-        asked = entry.inbox.choose_complaints(self.now)
-        asked += entry.inbox.choose_asked(replicas, self.now)
+        asked = entry.inbox.choose_load_requests(self.now)
+        asked += entry.inbox.choose_queried(replicas, self.now)
         for replica in asked:
             to = by_replica[replica]
             entry.sent_bytes += self._send(entry.address, to, complaint)
