--- a/src/hyssopvane/_internal/policy/load_inbox.py
+++ b/src/hyssopvane/_internal/policy/load_inbox.py
@@ -9,8 +9,8 @@
 """Silence after which an entry complains: loads come eight times a second, and now and
 then one is lost."""
 
-MIN_REQUEST_PAUSE_S = 0.25
-MAX_REQUEST_PAUSE_S = 2.0
+MIN_QUERY_PAUSE_S = 0.25
+MAX_QUERY_PAUSE_S = 2.0
 """Pause between two complaints of one silence, which doubles.
 
 The first ones replace a relay that has failed. Later ones find a group that nobody
@@ -40,8 +40,8 @@
     received_at: float
     sequences: dict[int, int] = field(default_factory=dict)
     """Last number by the process that told it."""
-    next_request_at: float = 0.0
-    pause_s: float = MIN_REQUEST_PAUSE_S
+    next_query_at: float = 0.0
+    pause_s: float = MIN_QUERY_PAUSE_S
 
 
 class LoadInbox:
@@ -54,7 +54,7 @@
         self._groups: dict[str, _Group] = {}
         """By the group's name, or the address of a replica in none."""
         self._next_query_at = float("-inf")
-        self._query_pause_s = MIN_REQUEST_PAUSE_S
+        self._query_pause_s = MIN_QUERY_PAUSE_S
 
     def add_roster(self, roster: Roster, *, now: float) -> None:
         """Learn the members of a group."""
@@ -83,8 +83,8 @@
         while len(group.sequences) > MAX_SOURCES:
             del group.sequences[next(iter(group.sequences))]
         group.received_at = now
-        group.pause_s = MIN_REQUEST_PAUSE_S
-        group.next_request_at = 0.0
+        group.pause_s = MIN_QUERY_PAUSE_S
+        group.next_query_at = 0.0
         group.roster = roster
         self._used_at[load.roster] = now
         return roster
@@ -111,14 +111,14 @@
             if now - group.received_at >= LOAD_TIMEOUT_S
         )
 
-    def choose_load_requests(self, now: float) -> list[str]:
+    def choose_load_queries(self, now: float) -> list[str]:
         """Return the replicas whose agents are told now that a load is missing."""
         chosen: list[str] = []
         for group in self._groups.values():
-            if now - group.received_at < LOAD_TIMEOUT_S or now < group.next_request_at:
+            if now - group.received_at < LOAD_TIMEOUT_S or now < group.next_query_at:
                 continue
-            group.next_request_at = now + group.pause_s
-            group.pause_s = min(MAX_REQUEST_PAUSE_S, 2 * group.pause_s)
+            group.next_query_at = now + group.pause_s
+            group.pause_s = min(MAX_QUERY_PAUSE_S, 2 * group.pause_s)
             members = group.roster.members
             # Beside those that should lead, one of the others: it knows who does.
             others: tuple[Member, ...] = members[CONTACTS_PER_GROUP:]
@@ -128,7 +128,7 @@
             chosen += [member.address for member in receivers]
         return chosen
 
-    def choose_queried(self, replicas: list[str], now: float) -> list[str]:
+    def choose_replica_queries(self, replicas: list[str], now: float) -> list[str]:
         """Return some of the replicas that no roster names, to be asked now."""
         named = {
             member.address
@@ -137,12 +137,12 @@
         }
         unknown = [address for address in replicas if address not in named]
         if not unknown:
-            self._query_pause_s = MIN_REQUEST_PAUSE_S
+            self._query_pause_s = MIN_QUERY_PAUSE_S
             return []
         if now < self._next_query_at:
             return []
         self._next_query_at = now + self._query_pause_s
-        self._query_pause_s = min(MAX_REQUEST_PAUSE_S, 2 * self._query_pause_s)
+        self._query_pause_s = min(MAX_QUERY_PAUSE_S, 2 * self._query_pause_s)
         return self._random.sample(unknown, min(MAX_QUERIES, len(unknown)))
 
     def _find_group(self, roster: Roster, now: float) -> _Group:
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -296,14 +296,14 @@
         Without this a relay that has died, or a leader that is cut off from this entry
         alone, would leave the entry to guess the load of all ranks.
         """
-        silent = self._inbox.choose_load_requests(now)
+        silent = self._inbox.choose_load_queries(now)
         ranked = self._list_ranked()
         replicas = [
             replica.address
             for replica in self.feed.replicas.values()
             if replica.service in ranked
         ]
-        asked = silent + self._inbox.choose_queried(replicas, now)
+        asked = silent + self._inbox.choose_replica_queries(replicas, now)
         if asked:
             self.metrics.count_event("load-missing", len(asked))
             await self._port.send(state, *map(self._find_agent, asked))
--- a/tests/lib/publishing_model.py
+++ b/tests/lib/publishing_model.py
@@ -44,7 +44,7 @@
     zone: str
     inbox: LoadInbox
     down_until: float = float("-inf")
-    heard_at: dict[str, float] = field(default_factory=dict)
+    taken_at: dict[str, float] = field(default_factory=dict)
     """Time that the newest load of each replica was taken at."""
     starts: dict[str, int] = field(default_factory=dict)
     epoch: int = 0
@@ -71,7 +71,7 @@
     starts: list[int] = field(default_factory=list)
     leaders: list[ModelLeader] = field(default_factory=list)
     entries: list[ModelEntry] = field(default_factory=list)
-    _on_way: list[tuple[float, str, GroupMessage]] = field(default_factory=list)
+    _in_flight: list[tuple[float, str, GroupMessage]] = field(default_factory=list)
     messages: int = 0
 
     def __post_init__(self) -> None:
@@ -104,7 +104,7 @@
             self._deliver()
             if _passes(before, self.now, POLL_INTERVAL_S):
                 for number in self.leading:
-                    self._tell(self.leaders[number])
+                    self._publish(self.leaders[number])
             for number, entry in enumerate(self.entries):
                 shift = ENTRY_POLL_INTERVAL_S * number / len(self.entries)
                 if _passes(before + shift, self.now + shift, ENTRY_POLL_INTERVAL_S):
@@ -113,21 +113,21 @@
     def list_ages(self) -> list[float]:
         """Return the age of each entry's belief of each rank's load, in seconds."""
         return [
-            self.now - entry.heard_at.get(self.replica(rank), float("-inf"))
+            self.now - entry.taken_at.get(self.replica(rank), float("-inf"))
             for entry in self.entries
             if self.now >= entry.down_until
             for rank in range(self.ranks)
         ]
 
-    def _tell(self, leader: ModelLeader) -> None:
+    def _publish(self, leader: ModelLeader) -> None:
         if self.now < leader.down_until:
             return
-        heard = [(self._describe(rank), 0.0) for rank in range(self.ranks)]
+        states = [(self._describe(rank), 0.0) for rank in range(self.ranks)]
         report = RankReport(
             "g", self.epoch, 0, self.ranks, True, 3, 0, 1.0, 7, 0, 0, 0, 0, 0, False, 0
         )
         for outgoing in leader.publisher.build_messages(
-            report, heard, pass_s=0.1, now=self.now
+            report, states, pass_s=0.1, now=self.now
         ):
             for to in outgoing.to:
                 leader.sent_bytes += self._send(leader.address, to, outgoing.message)
@@ -163,12 +163,12 @@
             for replica in entry.inbox.list_contacts():
                 to = by_replica[replica]
                 entry.sent_bytes += self._send(entry.address, to, state)
-        complaint = replace(state, unheard=True)
-        asked = entry.inbox.choose_load_requests(self.now)
-        asked += entry.inbox.choose_queried(replicas, self.now)
-        for replica in asked:
+        query = replace(state, unheard=True)
+        replica_queries = entry.inbox.choose_load_queries(self.now)
+        replica_queries += entry.inbox.choose_replica_queries(replicas, self.now)
+        for replica in replica_queries:
             to = by_replica[replica]
-            entry.sent_bytes += self._send(entry.address, to, complaint)
+            entry.sent_bytes += self._send(entry.address, to, query)
 
     def _send(self, sender: str, to: str, message: GroupMessage) -> int:
         self.messages += 1
@@ -178,31 +178,32 @@
         delay_s = HOP_S
         if self.random.random() < self.late_share:
             delay_s = self.random.uniform(0.05, 1.0)
-        self._on_way.append((self.now + delay_s, to, message))
+        self._in_flight.append((self.now + delay_s, to, message))
         if self.random.random() < self.doubled_share:
-            self._on_way.append((self.now + 2 * delay_s, to, message))
+            self._in_flight.append((self.now + 2 * delay_s, to, message))
         return size
 
     def _deliver(self) -> None:
         due = sorted(
-            (one for one in self._on_way if one[0] <= self.now), key=lambda one: one[0]
+            (one for one in self._in_flight if one[0] <= self.now),
+            key=lambda one: one[0],
         )
-        self._on_way = [one for one in self._on_way if one[0] > self.now]
+        self._in_flight = [one for one in self._in_flight if one[0] > self.now]
         for _, to, message in due:
             self._receive(to, message)
 
     def _receive(self, to: str, message: GroupMessage) -> None:
         for entry in self.entries:
             if entry.address == to and self.now >= entry.down_until:
-                self._hear(entry, message)
+                self._receive_at_entry(entry, message)
                 return
         for leader in self.leaders:
             if leader.address == to and self.now >= leader.down_until:
-                self._take(leader, message)
+                self._receive_at_leader(leader, message)
                 return
         self._pass_on(to, message)
 
-    def _take(self, leader: ModelLeader, message: GroupMessage) -> None:
+    def _receive_at_leader(self, leader: ModelLeader, message: GroupMessage) -> None:
         match message:
             case EntryState():
                 leader.publisher.observe(message, now=self.now)
@@ -220,7 +221,7 @@
             case GroupLoad() | Roster() if message.forward:
                 self._send(agent, message.forward, replace(message, forward=""))
 
-    def _hear(self, entry: ModelEntry, message: GroupMessage) -> None:
+    def _receive_at_entry(self, entry: ModelEntry, message: GroupMessage) -> None:
         match message:
             case Roster():
                 entry.inbox.add_roster(message, now=self.now)
@@ -231,7 +232,7 @@
                     return
                 entry.epoch = message.epoch
                 for load, age_s in split_load(message, roster):
-                    entry.heard_at[load.address] = self.now - age_s
+                    entry.taken_at[load.address] = self.now - age_s
                     entry.starts[load.address] = load.started_ms
             case _:
                 return
--- a/tests/unit/test_load_publishing.py
+++ b/tests/unit/test_load_publishing.py
@@ -252,7 +252,7 @@
     inbox = LoadInbox(random=Random(1))
     inbox.add_roster(make_roster(), now=0.0)
     inbox.take(make_load(1), now=0.0)
-    asked = [at / 10 for at in range(200) if inbox.choose_load_requests(at / 10)]
+    asked = [at / 10 for at in range(200) if inbox.choose_load_queries(at / 10)]
     assert load_inbox.LOAD_TIMEOUT_S < asked[0] < load_inbox.LOAD_TIMEOUT_S + 0.2
     assert len(asked) <= 14
 
@@ -261,13 +261,13 @@
     inbox = LoadInbox(random=Random(1))
     inbox.add_roster(make_roster(), now=0.0)
     replicas = [f"10.0.0.{number}:80" for number in range(1, 101)]
-    asked = [inbox.choose_queried(replicas, at / 10) for at in range(100)]
+    asked = [inbox.choose_replica_queries(replicas, at / 10) for at in range(100)]
     assert max(len(some) for some in asked) == load_inbox.MAX_QUERIES
     assert sum(len(some) for some in asked) < 10 * load_inbox.MAX_QUERIES
     assert not {"10.0.0.1:80", "10.0.0.2:80"} & {one for some in asked for one in some}
 
 
-def make_state(number, **changes):
+def make_entry_state(number, **changes):
     state = EntryState(f"10.0.0.{number}:7000", "", 0, 0, "zone-a")
     return replace(state, **changes)
 
@@ -275,24 +275,24 @@
 def test_zone_without_complaints_has_one_relay_and_a_silent_one_is_replaced():
     relays = LoadRelays(key="g")
     for number in range(1, 6):
-        relays.observe(make_state(number), now=0.0)
+        relays.observe(make_entry_state(number), now=0.0)
     first = relays.choose(0.0)
     assert len(first) == 1
     later = load_relays.RELAY_TIMEOUT_S + 0.5
     for number in range(1, 6):
-        if make_state(number).address != first[0].entry:
-            relays.observe(make_state(number), now=later - 0.1)
+        if make_entry_state(number).address != first[0].entry:
+            relays.observe(make_entry_state(number), now=later - 0.1)
     assert relays.choose(later) != first
 
 
 def test_complaints_move_the_relay_at_most_every_few_loads():
     relays = LoadRelays(key="g")
     for number in range(1, 8):
-        relays.observe(make_state(number), now=0.0)
+        relays.observe(make_entry_state(number), now=0.0)
     seen = set()
     for tick in range(100):
         now = tick * 0.01
-        relays.observe(make_state(tick % 7 + 1, unheard=True), now=now)
+        relays.observe(make_entry_state(tick % 7 + 1, unheard=True), now=now)
         chosen = relays.choose(now)
         assert len(chosen) <= MAX_RELAYS
         seen.add(tuple(chosen))
