--- a/src/hyssopvane/_internal/policy/group_presence.py
+++ b/src/hyssopvane/_internal/policy/group_presence.py
@@ -11,25 +11,25 @@
 from hyssopvane._internal.policy.map_coordinator import DEPUTIES
 from hyssopvane._internal.state.group import RankState
 
-ANNOUNCERS = DEPUTIES + 1
+PRESENCE_SENDERS = DEPUTIES + 1
 """Agents that tell others that they live: the leader and those that lead after it."""
 
-PRESENCE_S = 0.25
+PRESENCE_INTERVAL_S = 0.25
 """Pause between two words among these: the next one leads after 0.8 s of silence."""
 
-LEADER_EVERY = 2
-DEPUTY_EVERY = 4
+LEADER_BROADCAST_ROUNDS = 2
+DEPUTY_BROADCAST_ROUNDS = 4
 """Such pauses between two words to all agents of the group, by what the agent is."""
 
-LOST_S = 1.3
+LEADER_SILENCE_S = 1.3
 """Silence after which an agent is no longer taken for the leader: the words of the
 next one come each second."""
 
-MISSING_S = 3.0
+MEMBER_SILENCE_S = 3.0
 """Silence after which a member is looked for among the agents that are not known: its
 replica may have been replaced by one on another machine."""
 
-CLAIM_S = 0.6
+LEADER_CLAIM_S = 0.6
 """Silence of the lower ranks after which an agent that says that it leads is believed.
 
 It has not heard of them for 0.8 s, and a leader tells all that it lives each 0.5 s.
@@ -37,11 +37,11 @@
 failed would stand still for half a second more.
 """
 
-GONE_S = 6.0
+PEER_EXPIRY_S = 6.0
 """Silence after which an agent is told nothing more: full states come each 2 s."""
 
-OTHERS_S = 4.0
-STAGGER_S = 0.05
+BACKUP_DELAY_S = 4.0
+BACKUP_STAGGER_S = 0.05
 """Time from its group's forming until an agent that has heard nobody speaks to all, for
 ranks that don't lead and aren't next, and what each rank adds. The others don't wait.
 
@@ -49,25 +49,25 @@
 two hundred agents within two seconds; the others would follow the store for nothing.
 """
 
-STRANGERS_PER_S = 400
+UNKNOWN_AGENTS_PER_S = 400
 """Agents outside the group that is known which are told, while members are missing.
 
 They are told in turn, so the cost does not grow with the fleet: 19 KB a second. After a
 loss of power no map follows the demand until the group is complete.
 """
 
-FULL_S = 2.0
+FULL_STATE_INTERVAL_S = 2.0
 """Pause between two full states to those that lead or may lead next."""
 
-FULL_REPEATS = 2
+FULL_STATE_REPEATS = 2
 """Full states at first: until one has arrived, the short ones say nothing."""
 
 
 @dataclass(slots=True)
 class _Peer:
     rank: int
-    at: float
-    full: RankState | None = None
+    seen_at: float
+    full_state: RankState | None = None
     """Last full state of the rank, without experts and counts."""
 
 
@@ -76,16 +76,16 @@
 
     def __init__(self) -> None:
         self._peers: dict[str, _Peer] = {}
-        self._since: float | None = None
+        self._first_asked_at: float | None = None
         self._round = 0
-        self._led = False
-        self._turn = 0
-        self._told: tuple[object, ...] = ()
+        self._was_leading = False
+        self._next_unknown = 0
+        self._full_state_subject: tuple[object, ...] = ()
         """What the last full states were about."""
-        self._told_times = 0
-        self._told_at = float("-inf")
+        self._full_state_count = 0
+        self._full_state_sent_at = float("-inf")
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Drop an agent that belongs to another group."""
         self._peers.pop(address, None)
 
@@ -99,11 +99,11 @@
         """Take note that an agent lives, and whether it says that it leads."""
         if leads:
             for lower in self._peers.values():
-                if lower.rank < rank and now - lower.at > CLAIM_S:
-                    lower.at = min(lower.at, now - LOST_S)
+                if lower.rank < rank and now - lower.seen_at > LEADER_CLAIM_S:
+                    lower.seen_at = min(lower.seen_at, now - LEADER_SILENCE_S)
         peer = self._peers.get(address)
         if peer is not None and peer.rank == rank:
-            peer.at = now
+            peer.seen_at = now
             return
         # Another machine has the rank now: whoever had it is no member any more.
         for other, known in list(self._peers.items()):
@@ -111,7 +111,7 @@
                 del self._peers[other]
         self._peers[address] = _Peer(rank, now)
 
-    def complete(
+    def complete_state(
         self, state: RankState, sender: str, *, now: float
     ) -> RankState | None:
         """Return a state with what short ones leave out; None where it is not known.
@@ -121,15 +121,24 @@
         """
         if state.replica:
             self.observe(state.messages, state.rank, now=now)
-            self._peers[state.messages].full = replace(state, experts=(), counts=())
+            self._peers[state.messages].full_state = replace(
+                state, experts=(), counts=()
+            )
             return state
         peer = self._peers.get(sender)
-        full = None if peer is None else peer.full
-        if full is None or peer is None or _name(full) != _name(state):
+        full_state = None if peer is None else peer.full_state
+        if (
+            full_state is None
+            or peer is None
+            or _get_identity(full_state) != _get_identity(state)
+        ):
             return None
-        peer.at = now
+        peer.seen_at = now
         return replace(
-            state, messages=full.messages, replica=full.replica, group=full.group
+            state,
+            messages=full_state.messages,
+            replica=full_state.replica,
+            group=full_state.group,
         )
 
     def find_leader(self, rank: int, now: float) -> str | None:
@@ -137,34 +146,38 @@
         lower = self._list_lower(rank, now)
         return lower[0] if lower else None
 
-    def announces(self, rank: int, now: float) -> bool:
+    def sends_presence(self, rank: int, now: float) -> bool:
         """Tell whether this agent speaks to all others of its group."""
-        if self._since is None:
-            self._since = now
-        waits_s = 0.0 if rank < ANNOUNCERS else OTHERS_S + rank * STAGGER_S
-        if now - self._since < waits_s:
+        if self._first_asked_at is None:
+            self._first_asked_at = now
+        waits_s = (
+            0.0 if rank < PRESENCE_SENDERS else BACKUP_DELAY_S + rank * BACKUP_STAGGER_S
+        )
+        if now - self._first_asked_at < waits_s:
             return False
-        return len(self._list_lower(rank, now)) < ANNOUNCERS
+        return len(self._list_lower(rank, now)) < PRESENCE_SENDERS
 
-    def choose_told(
+    def choose_presence_receivers(
         self, rank: int, ranks: int, agents: Sequence[str], now: float, *, leads: bool
     ) -> list[str]:
         """Return the agents that are told now that this one lives."""
-        self._forget_gone(now)
+        self._remove_expired(now)
         self._round += 1
         lowest = sorted(self._peers, key=lambda one: self._peers[one].rank)
-        told = lowest[:ANNOUNCERS]
-        begins_to_lead = leads and not self._led
-        self._led = leads
-        every = LEADER_EVERY if leads else DEPUTY_EVERY
-        if begins_to_lead or self._round % every == 0:
-            told = lowest
-        present = sum(now - peer.at < MISSING_S for peer in self._peers.values())
+        receivers = lowest[:PRESENCE_SENDERS]
+        starts_to_lead = leads and not self._was_leading
+        self._was_leading = leads
+        every = LEADER_BROADCAST_ROUNDS if leads else DEPUTY_BROADCAST_ROUNDS
+        if starts_to_lead or self._round % every == 0:
+            receivers = lowest
+        present = sum(
+            now - peer.seen_at < MEMBER_SILENCE_S for peer in self._peers.values()
+        )
         if present + 1 < ranks:
-            told = [*told, *self._choose_strangers(agents)]
-        return told
+            receivers = [*receivers, *self._choose_unknown(agents)]
+        return receivers
 
-    def choose_full(
+    def choose_state_receivers(
         self, state: RankState, rank: int, now: float
     ) -> tuple[list[str], bool]:
         """Return the agents that are told a state now, and whether it is a full one.
@@ -173,14 +186,17 @@
         whether a group that it holds may go on.
         """
         lower = self._list_lower(rank, now)
-        leaders = self._list_live(now)[:ANNOUNCERS]
-        subject = (leaders, _name(state), state.group, state.replica)
-        if subject != self._told:
-            self._told, self._told_times = subject, 0
-        elif self._told_times >= FULL_REPEATS and now - self._told_at < FULL_S:
+        leaders = self._list_live(now)[:PRESENCE_SENDERS]
+        subject = (leaders, _get_identity(state), state.group, state.replica)
+        if subject != self._full_state_subject:
+            self._full_state_subject, self._full_state_count = subject, 0
+        elif (
+            self._full_state_count >= FULL_STATE_REPEATS
+            and now - self._full_state_sent_at < FULL_STATE_INTERVAL_S
+        ):
             return lower[:1], False
-        self._told_times += 1
-        self._told_at = now
+        self._full_state_count += 1
+        self._full_state_sent_at = now
         return leaders, True
 
     def _list_lower(self, rank: int, now: float) -> list[str]:
@@ -188,23 +204,27 @@
         return [address for address in live if self._peers[address].rank < rank]
 
     def _list_live(self, now: float) -> list[str]:
-        live = [a for a, peer in self._peers.items() if now - peer.at < LOST_S]
+        live = [
+            a
+            for a, peer in self._peers.items()
+            if now - peer.seen_at < LEADER_SILENCE_S
+        ]
         return sorted(live, key=lambda address: self._peers[address].rank)
 
-    def _choose_strangers(self, agents: Sequence[str]) -> list[str]:
-        strangers = [one for one in agents if one not in self._peers]
-        count = min(len(strangers), int(STRANGERS_PER_S * PRESENCE_S))
+    def _choose_unknown(self, agents: Sequence[str]) -> list[str]:
+        unknown = [one for one in agents if one not in self._peers]
+        count = min(len(unknown), int(UNKNOWN_AGENTS_PER_S * PRESENCE_INTERVAL_S))
         if not count:
             return []
-        at = self._turn % len(strangers)
-        self._turn += count
-        return (strangers[at:] + strangers[:at])[:count]
+        at = self._next_unknown % len(unknown)
+        self._next_unknown += count
+        return (unknown[at:] + unknown[:at])[:count]
 
-    def _forget_gone(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for address, peer in list(self._peers.items()):
-            if now - peer.at > GONE_S:
+            if now - peer.seen_at > PEER_EXPIRY_S:
                 del self._peers[address]
 
 
-def _name(state: RankState) -> tuple[int, int, int, int]:
+def _get_identity(state: RankState) -> tuple[int, int, int, int]:
     return (state.epoch, state.rank, state.ranks, state.started_ms)
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -18,7 +18,10 @@
 from hyssopvane._internal.coordination.routing_feed import RoutingFeed, RoutingFormat
 from hyssopvane._internal.models.settings import RankAgentSettings
 from hyssopvane._internal.policy.count_meter import CountMeter
-from hyssopvane._internal.policy.group_presence import PRESENCE_S, GroupPresence
+from hyssopvane._internal.policy.group_presence import (
+    PRESENCE_INTERVAL_S,
+    GroupPresence,
+)
 from hyssopvane._internal.policy.load_publisher import LoadPublisher
 from hyssopvane._internal.policy.map_actions import (
     Announce,
@@ -258,7 +261,7 @@
             case Presence() if message.group != self._group:
                 # A service may have several groups, which have nothing to do with
                 # each other: the lowest rank of another one leads nothing here.
-                self._presence.forget(message.messages)
+                self._presence.remove(message.messages)
             case Presence():
                 self._presence.observe(
                     message.messages, message.rank, now=now, leads=message.leads
@@ -306,9 +309,9 @@
 
     def _take_state(self, state: RankState, sender: str, now: float) -> None:
         if state.group and state.group != self._group:
-            self._presence.forget(state.messages)
+            self._presence.remove(state.messages)
             return
-        whole = self._presence.complete(state, sender, now=now)
+        whole = self._presence.complete_state(state, sender, now=now)
         if whole is None:
             self._metrics.count_event("state-incomplete")
             return
@@ -446,7 +449,7 @@
         await self._lead(now)
 
     async def _tell_leaders(self, state: RankState, now: float) -> None:
-        to, is_full = self._presence.choose_full(state, state.rank, now)
+        to, is_full = self._presence.choose_state_receivers(state, state.rank, now)
         if not is_full:
             # What hardly ever changes is left out: most of a state are addresses.
             state = replace(state, messages="", replica="", group="", experts=())
@@ -647,18 +650,18 @@
         killed leader stands still, until a group has found its members.
         """
         while True:
-            with trio.move_on_after(PRESENCE_S):
+            with trio.move_on_after(PRESENCE_INTERVAL_S):
                 await self._found_agents.wait()
                 self._found_agents = trio.Event()
             report = self._report
             now = trio.current_time()
             if report is None or not report.group:
                 continue
-            if not self._presence.announces(report.rank, now):
+            if not self._presence.sends_presence(report.rank, now):
                 continue
             self._follow_store()
             leads = self._coordinator.leads(now)
-            told = self._presence.choose_told(
+            told = self._presence.choose_presence_receivers(
                 report.rank, report.ranks, self._agents, now, leads=leads
             )
             presence = Presence(
--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -4,7 +4,10 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from hyssopvane._internal.policy.group_presence import ANNOUNCERS, LOST_S
+from hyssopvane._internal.policy.group_presence import (
+    LEADER_SILENCE_S,
+    PRESENCE_SENDERS,
+)
 from hyssopvane._internal.policy.map_actions import (
     Announce,
     AskAgent,
@@ -27,9 +30,9 @@
 LAG_S = 0.2
 """Age of a report that is read from another machine."""
 KEPT_TICKS = 16
-PRESENCE_S = 0.5
+PRESENCE_INTERVAL_S = 0.5
 """Pause between two words of the lowest ranks' agents to all that they live."""
-FULL_S = 2.0
+FULL_STATE_INTERVAL_S = 2.0
 """Pause between two states to all agents that lead or lead next."""
 
 LAYOUT = ExpertLayout(
@@ -115,11 +118,11 @@
     change: MapChange | None = None
     ordered: RankOrder | None = None
     ordered_at: float = float("-inf")
-    present_at: float = float("-inf")
-    told_full: list[int] = field(default_factory=list)
+    presence_sent_at: float = float("-inf")
+    full_state_receivers: list[int] = field(default_factory=list)
     """Agents that were told a full state last."""
-    told_full_at: float = float("-inf")
-    heard_at: dict[int, float] = field(default_factory=dict)
+    full_state_sent_at: float = float("-inf")
+    last_presence_at: dict[int, float] = field(default_factory=dict)
     """Time of the last word of each rank's agent."""
 
 
@@ -265,10 +268,12 @@
         state = replace(self._describe(number), counts=tuple(self.counts[number]))
         self.counts[number] = [0] * EXPERTS
         agent.coordinator.observe(state, now=self.now, own=True)
-        for other in self._list_reached(number, self._choose_told(number)):
+        for other in self._list_reached(number, self._choose_state_receivers(number)):
             other.coordinator.observe(state, now=self.now)
-        for other in self._list_reached(number, self._choose_present(number)):
-            other.heard_at[number] = self.now
+        for other in self._list_reached(
+            number, self._choose_presence_receivers(number)
+        ):
+            other.last_presence_at[number] = self.now
             other.coordinator.note_agent(number, now=self.now)
         self._follow(number)
         for action in agent.coordinator.decide(self.now):
@@ -282,7 +287,7 @@
             elif isinstance(action, AskRank):
                 if self.now < self.agents[int(action.replica)].frozen_until:
                     continue
-                asked = self._read_from_afar(int(action.replica))
+                asked = self._read_remotely(int(action.replica))
                 agent.coordinator.observe(asked, now=self.now, asked=True)
             elif isinstance(action, DelegateOrder):
                 self._delegate(action)
@@ -290,40 +295,46 @@
                 if self._send(int(action.replica), action.order):
                     agent.coordinator.note_done(action.replica, action.order)
 
-    def _read_from_afar(self, number: int) -> RankState:
+    def _read_remotely(self, number: int) -> RankState:
         """Return what a report says that is read from another machine."""
         past = [state for at, state in self.past[number] if at <= self.now - LAG_S]
         return past[-1] if past else self._describe(number)
 
-    def _list_reached(self, number: int, told: list[int]) -> list[ModelAgent]:
+    def _list_reached(self, number: int, receivers: list[int]) -> list[ModelAgent]:
         return [
             self.agents[one]
-            for one in told
+            for one in receivers
             if self.now
             >= max(self.agents[one].frozen_until, self.agents[one].down_until)
             and self.random.random() >= self.message_loss
         ]
 
-    def _choose_told(self, number: int) -> list[int]:
+    def _choose_state_receivers(self, number: int) -> list[int]:
         """Return the agents that one tells its state: its leader, or all leaders."""
         agent = self.agents[number]
         alive = sorted(
             rank
-            for rank, at in agent.heard_at.items()
-            if rank != number and self.now - at < LOST_S
+            for rank, at in agent.last_presence_at.items()
+            if rank != number and self.now - at < LEADER_SILENCE_S
         )
-        leaders = alive[:ANNOUNCERS]
-        if leaders == agent.told_full and self.now - agent.told_full_at < FULL_S:
+        leaders = alive[:PRESENCE_SENDERS]
+        if (
+            leaders == agent.full_state_receivers
+            and self.now - agent.full_state_sent_at < FULL_STATE_INTERVAL_S
+        ):
             return [rank for rank in leaders[:1] if rank < number]
-        agent.told_full, agent.told_full_at = leaders, self.now
+        agent.full_state_receivers, agent.full_state_sent_at = leaders, self.now
         return leaders
 
-    def _choose_present(self, number: int) -> list[int]:
+    def _choose_presence_receivers(self, number: int) -> list[int]:
         """Return the agents that one tells that it lives."""
         agent = self.agents[number]
-        if number >= ANNOUNCERS or self.now - agent.present_at < PRESENCE_S:
+        if (
+            number >= PRESENCE_SENDERS
+            or self.now - agent.presence_sent_at < PRESENCE_INTERVAL_S
+        ):
             return []
-        agent.present_at = self.now
+        agent.presence_sent_at = self.now
         return [one for one in range(RANKS) if one != number]
 
     def _delegate(self, action: DelegateOrder) -> None:
--- a/tests/unit/test_group_presence.py
+++ b/tests/unit/test_group_presence.py
@@ -3,16 +3,16 @@
 import pytest
 
 from hyssopvane._internal.policy.group_presence import (
-    ANNOUNCERS,
-    FULL_REPEATS,
-    FULL_S,
-    GONE_S,
-    LOST_S,
-    MISSING_S,
-    OTHERS_S,
-    PRESENCE_S,
-    STAGGER_S,
-    STRANGERS_PER_S,
+    BACKUP_DELAY_S,
+    BACKUP_STAGGER_S,
+    FULL_STATE_INTERVAL_S,
+    FULL_STATE_REPEATS,
+    LEADER_SILENCE_S,
+    MEMBER_SILENCE_S,
+    PEER_EXPIRY_S,
+    PRESENCE_INTERVAL_S,
+    PRESENCE_SENDERS,
+    UNKNOWN_AGENTS_PER_S,
     GroupPresence,
 )
 from hyssopvane._internal.state.group import RankState
@@ -70,11 +70,11 @@
 )
 def test_only_the_lowest_ranks_that_live_speak_to_all(own, heard, expected):
     presence = make_presence(heard)
-    presence.announces(own, 0.0)
-    later = OTHERS_S + RANKS * STAGGER_S
+    presence.sends_presence(own, 0.0)
+    later = BACKUP_DELAY_S + RANKS * BACKUP_STAGGER_S
     for rank in heard:
         presence.observe(make_address(rank), rank, now=later)
-    assert presence.announces(own, later) == expected
+    assert presence.sends_presence(own, later) == expected
 
 
 def test_all_agents_start_at_once_and_few_speak():
@@ -88,7 +88,7 @@
     for tick in range(150):
         now = tick * 0.1
         for rank, presence in agents.items():
-            if not presence.announces(rank, now):
+            if not presence.sends_presence(rank, now):
                 continue
             spoke.add(rank)
             # It learns the others one after the other, and takes two seconds for that.
@@ -96,16 +96,18 @@
             for number in range(reached):
                 if number != rank:
                     agents[number].observe(make_address(rank), rank, now=now)
-    assert spoke == set(range(ANNOUNCERS))
+    assert spoke == set(range(PRESENCE_SENDERS))
 
 
 def count_words(presence, seconds, *, leads, ranks=RANKS, agents=()):
     told = 0
-    for tick in range(int(seconds / PRESENCE_S)):
-        now = tick * PRESENCE_S
+    for tick in range(int(seconds / PRESENCE_INTERVAL_S)):
+        now = tick * PRESENCE_INTERVAL_S
         for rank in range(1, RANKS):
             presence.observe(make_address(rank), rank, now=now)
-        told += len(presence.choose_told(0, ranks, agents, now, leads=leads))
+        told += len(
+            presence.choose_presence_receivers(0, ranks, agents, now, leads=leads)
+        )
     return told
 
 
@@ -117,7 +119,7 @@
     missing = count_words(
         make_presence(()), 10.0, leads=True, ranks=RANKS + 1, agents=strangers
     )
-    assert missing - few <= 10 * STRANGERS_PER_S
+    assert missing - few <= 10 * UNKNOWN_AGENTS_PER_S
 
 
 def test_member_that_was_replaced_is_looked_for():
@@ -125,14 +127,18 @@
     presence = make_presence(range(1, RANKS))
     stranger = "10.9.9.9:7001"
     told = set()
-    for tick in range(int((MISSING_S + 1.0) / PRESENCE_S)):
-        now = tick * PRESENCE_S
+    for tick in range(int((MEMBER_SILENCE_S + 1.0) / PRESENCE_INTERVAL_S)):
+        now = tick * PRESENCE_INTERVAL_S
         for rank in range(1, RANKS - 1):
             presence.observe(make_address(rank), rank, now=now)
-        told.update(presence.choose_told(0, RANKS, [stranger], now, leads=True))
+        told.update(
+            presence.choose_presence_receivers(0, RANKS, [stranger], now, leads=True)
+        )
     assert stranger in told
-    presence.observe(stranger, RANKS - 1, now=MISSING_S + 1.0)
-    told = presence.choose_told(0, RANKS, [], MISSING_S + 1.0, leads=True)
+    presence.observe(stranger, RANKS - 1, now=MEMBER_SILENCE_S + 1.0)
+    told = presence.choose_presence_receivers(
+        0, RANKS, [], MEMBER_SILENCE_S + 1.0, leads=True
+    )
     assert make_address(RANKS - 1) not in told
 
 
@@ -153,12 +159,12 @@
     """
     presence = GroupPresence()
     sender = make_address(5)
-    assert presence.complete(make_short(5), sender, now=0.0) is None
-    presence.complete(make_state(5), sender, now=0.0)
-    assert presence.complete(make_short(5, active=3), sender, now=0.1) == make_state(
-        5, active=3
-    )
-    assert presence.complete(short, sender, now=0.2) is None
+    assert presence.complete_state(make_short(5), sender, now=0.0) is None
+    presence.complete_state(make_state(5), sender, now=0.0)
+    assert presence.complete_state(
+        make_short(5, active=3), sender, now=0.1
+    ) == make_state(5, active=3)
+    assert presence.complete_state(short, sender, now=0.2) is None
 
 
 def test_full_states_come_first_and_then_now_and_then():
@@ -168,26 +174,35 @@
         now = tick * 0.1
         for rank in (0, 1, 2):
             presence.observe(make_address(rank), rank, now=now)
-        to, is_full = presence.choose_full(make_state(9), 9, now)
+        to, is_full = presence.choose_state_receivers(make_state(9), 9, now)
         assert to[0] == make_address(0)
-        assert len(to) == (ANNOUNCERS if is_full else 1)
+        assert len(to) == (PRESENCE_SENDERS if is_full else 1)
         full.append(is_full)
-    assert all(full[:FULL_REPEATS])
-    assert sum(full) <= FULL_REPEATS + 10.0 / FULL_S
+    assert all(full[:FULL_STATE_REPEATS])
+    assert sum(full) <= FULL_STATE_REPEATS + 10.0 / FULL_STATE_INTERVAL_S
 
 
 def test_next_rank_is_told_when_the_leader_is_silent():
     presence = make_presence((0, 1, 2))
     assert presence.find_leader(9, 0.0) == make_address(0)
-    presence.observe(make_address(1), 1, now=LOST_S + 0.1)
-    assert presence.find_leader(9, LOST_S + 0.2) == make_address(1)
-    to, is_full = presence.choose_full(make_state(9), 9, LOST_S + 0.2)
+    presence.observe(make_address(1), 1, now=LEADER_SILENCE_S + 0.1)
+    assert presence.find_leader(9, LEADER_SILENCE_S + 0.2) == make_address(1)
+    to, is_full = presence.choose_state_receivers(
+        make_state(9), 9, LEADER_SILENCE_S + 0.2
+    )
     assert (to[0], is_full) == (make_address(1), True)
 
 
 def test_agent_that_left_is_forgotten():
     presence = make_presence(range(1, 4))
-    assert len(presence.choose_told(0, 4, [], GONE_S + 1.0, leads=True)) == 0
+    assert (
+        len(
+            presence.choose_presence_receivers(
+                0, 4, [], PEER_EXPIRY_S + 1.0, leads=True
+            )
+        )
+        == 0
+    )
 
 
 @pytest.mark.parametrize(
@@ -213,5 +228,8 @@
 def test_agent_that_begins_to_lead_tells_all_at_once():
     presence = make_presence(range(2, RANKS))
     for _ in range(3):
-        presence.choose_told(1, RANKS, [], 0.0, leads=False)
-    assert len(presence.choose_told(1, RANKS, [], 0.0, leads=True)) == RANKS - 2
+        presence.choose_presence_receivers(1, RANKS, [], 0.0, leads=False)
+    assert (
+        len(presence.choose_presence_receivers(1, RANKS, [], 0.0, leads=True))
+        == RANKS - 2
+    )
