--- a/src/hyssopvane/_internal/policy/group_room.py
+++ b/src/hyssopvane/_internal/policy/group_capacity.py
@@ -5,7 +5,7 @@
 
 from hyssopvane._internal.policy.pass_model import PassModel
 from hyssopvane._internal.policy.poll_intervals import get_poll_interval_s
-from hyssopvane._internal.policy.replica_load import ReplicaLoad, guess_entries
+from hyssopvane._internal.policy.replica_load import ReplicaLoad, estimate_entries
 from hyssopvane._internal.state.loads import RankLoad
 from hyssopvane._internal.state.routing import EngineModel
 
@@ -18,17 +18,17 @@
 """
 
 
-TRY_AGAIN_S = 0.25
+PROBE_INTERVAL_S = 0.25
 """Time after which a group that refused, and that nobody tells of, is tried again."""
 
-FIRST_LASTS_S = 1.0
+INITIAL_DURATION_S = 1.0
 """Time for which a request runs while none has ended yet."""
 
-LASTS_WEIGHT = 0.1
+DURATION_WEIGHT = 0.1
 """Weight of the last request in the mean time for which one runs."""
 
 
-class GroupRoom:
+class GroupCapacity:
     """Limit the requests of one group, over all entries.
 
     A service has one group or several; each makes passes of its own, so what one can
@@ -40,36 +40,36 @@
         self.passes = PassModel()
         self.members: dict[str, ReplicaLoad] = {}
         """Replicas by their id."""
-        self._told_entries = 0
+        self._reported_entries = 0
         """Entries that the leader hears; 0 where no load has come."""
         self._step = -1
-        self._taken = 0
+        self._reserved = 0
         """Places that this entry has taken since the last pass began."""
         self._draw = 0.0
         self._epoch = -1
-        self._refuses_until = float("-inf")
+        self._backs_off_until = float("-inf")
         """Time until which a group that nobody tells of counts as broken."""
         self._has_served = False
         """Whether a member has begun to answer since it last refused."""
         self._ranks = 1
-        self._starts: deque[float] = deque()
+        self._started_at: deque[float] = deque()
         """Times at which this entry took the places that it still has."""
-        self._lasts_s = FIRST_LASTS_S
+        self._mean_duration_s = INITIAL_DURATION_S
         """Mean time for which a request runs."""
-        self._ended = 0
-        self._read_left = 0.0
+        self._finished = 0
+        self._prompt_budget = 0.0
         """Prompt tokens that this entry may still send before the next pass."""
-        self._read_due = True
+        self._is_prompt_budget_due = True
         """Whether a pass has begun since the tokens were last worked out."""
 
     @property
     def entries(self) -> int:
         """Return the entries that send to the group, guessed while none are told."""
-        return self._told_entries or guess_entries(len(self.members))
+        return self._reported_entries or estimate_entries(len(self.members))
 
     def observe(self, load: RankLoad, *, now: float, members: int = 1) -> None:
         """Take what a load tells of the group, and of how many members it was."""
-        self._told_entries = max(1, load.entries)
+        self._reported_entries = max(1, load.entries)
         self._ranks = load.ranks
         if load.epoch != self._epoch:
             self._epoch = load.epoch
@@ -77,14 +77,14 @@
         active = sum(
             member.load.active
             for member in self.members.values()
-            if member.load is not None and member.is_heard(now)
+            if member.load is not None and member.is_fresh(now)
         )
         self.passes.observe(load, active=active, members=members)
         if load.step != self._step:
-            self._read_left = min(0.0, self._read_left)
-            self._read_due = True
+            self._prompt_budget = min(0.0, self._prompt_budget)
+            self._is_prompt_budget_due = True
             self._step = load.step
-            self._taken = 0
+            self._reserved = 0
             self._draw = self._random.random()
 
     def get_limit(self, engine: EngineModel | None) -> float:
@@ -100,16 +100,16 @@
 
     def is_open(self, now: float) -> bool:
         """Tell whether a member serves requests, as far as known."""
-        told = [member for member in self.members.values() if member.is_heard(now)]
-        if not told:
-            return now >= self._refuses_until
-        return any(member.is_open(now) for member in told)
+        reported = [member for member in self.members.values() if member.is_fresh(now)]
+        if not reported:
+            return now >= self._backs_off_until
+        return any(member.is_open(now) for member in reported)
 
     def serves(self, now: float) -> bool | None:
         """Tell whether it serves requests, None while nothing shows it."""
-        if self._is_heard(now):
+        if self._has_fresh_load(now):
             return self.is_open(now)
-        if now < self._refuses_until + TRY_AGAIN_S:
+        if now < self._backs_off_until + PROBE_INTERVAL_S:
             return False
         return True if self._has_served else None
 
@@ -122,20 +122,22 @@
         again. One request in a while shows whether the group serves again, and all
         others hear at once when to come back.
         """
-        if not self._is_heard(now):
-            self._refuses_until = now + TRY_AGAIN_S
+        if not self._has_fresh_load(now):
+            self._backs_off_until = now + PROBE_INTERVAL_S
             self._has_served = False
 
     def note_served(self) -> None:
         """Take note that a member has begun to answer a request."""
-        self._refuses_until = float("-inf")
+        self._backs_off_until = float("-inf")
         self._has_served = True
 
-    def measure_fullness(self, engine: EngineModel | None, now: float) -> float:
+    def get_utilization(self, engine: EngineModel | None, now: float) -> float:
         """Return the part of the limit that is used."""
         return self.count(now) / max(1.0, self.get_limit(engine))
 
-    def count_room(self, engine: EngineModel | None, now: float, *, late: bool) -> int:
+    def count_available(
+        self, engine: EngineModel | None, now: float, *, late: bool
+    ) -> int:
         """Return the places that this entry may take now.
 
         Made for a full group at which several entries wait. All of them see the same
@@ -144,44 +146,44 @@
         all of its streams would stutter. So each takes its part once in a pass. Where
         fewer places than entries are free, a draw decides who takes one.
         """
-        if self._is_tried(now):
+        if self._is_probing(now):
             return 1
         limit = self.get_limit(engine)
         reserve = limit * LATE_RESERVE if late else 0.0
         free = limit - reserve - self.count(now)
         if free < 1:
             return 0
-        if engine is None or not self._is_heard(now):
+        if engine is None or not self._has_fresh_load(now):
             return max(1, int(free / self.entries))
-        share = (free + self._taken) / self.entries
-        return max(0, int(share + self._draw) - self._taken)
+        share = (free + self._reserved) / self.entries
+        return max(0, int(share + self._draw) - self._reserved)
 
-    def _is_tried(self, now: float) -> bool:
+    def _is_probing(self, now: float) -> bool:
         """Tell whether one request shows whether a group that refused serves again.
 
         All who wait would be sent at once else, and be refused together.
         """
-        refused = self._refuses_until > float("-inf")
-        return refused and not self._is_heard(now)
+        refused = self._backs_off_until > float("-inf")
+        return refused and not self._has_fresh_load(now)
 
-    def may_read(self, engine: EngineModel | None, now: float) -> bool:
+    def allows_prompt(self, engine: EngineModel | None, now: float) -> bool:
         """Tell whether one more prompt fits in the next pass.
 
         A prompt is never split: the one that goes beyond this entry's part is paid for
         by the passes after it, so large ones get their turn like small ones.
         """
-        if engine is None or not self._is_heard(now):
+        if engine is None or not self._has_fresh_load(now):
             return True
-        if not self._read_due and not self.count(now):
+        if not self._is_prompt_budget_due and not self.count(now):
             # Nothing runs whose readers would wait, and an idle group makes no passes
             # that could pay for what was sent before.
-            self._read_left = 0.0
+            self._prompt_budget = 0.0
             return True
-        if self._read_due:
-            self._read_due = False
+        if self._is_prompt_budget_due:
+            self._is_prompt_budget_due = False
             tokens = self.passes.measure_read_tokens(engine)
-            self._read_left += tokens * self._measure_share(now)
-        return self._read_left > 0
+            self._prompt_budget += tokens * self._measure_share(now)
+        return self._prompt_budget > 0
 
     def _measure_share(self, now: float) -> float:
         """Return this entry's part of what all entries may send.
@@ -193,10 +195,10 @@
         """
         unseen = sum(len(member.sent_at) for member in self.members.values())
         own = sum(member.own for member in self.members.values()) - unseen
-        told = self.count(now) - unseen
-        return max(1 / self.entries, min(1.0, own / told) if told > 0 else 0.0)
+        reported = self.count(now) - unseen
+        return max(1 / self.entries, min(1.0, own / reported) if reported > 0 else 0.0)
 
-    def measure_arrivals(self, now: float) -> float:
+    def estimate_arrivals(self, now: float) -> float:
         """Return the requests that all entries send in the time between two loads.
 
         What is believed of a rank is up to a look of its agent and one of the leader
@@ -206,7 +208,7 @@
         for alone, and send to ranks that others have just filled.
         """
         unreported_s = 2 * get_poll_interval_s(self._ranks)
-        return self.count(now) * unreported_s / max(self._lasts_s, unreported_s)
+        return self.count(now) * unreported_s / max(self._mean_duration_s, unreported_s)
 
     def finish(self, now: float) -> None:
         """Take note that one of this entry's requests has left the group.
@@ -215,21 +217,21 @@
         """
         # Those of a replica's earlier start have ended unseen.
         own = sum(member.own for member in self.members.values())
-        while len(self._starts) > own + 1:
-            self._starts.popleft()
-        if self._starts:
-            lasted_s = now - self._starts.popleft()
-            self._ended += 1
-            weight = max(LASTS_WEIGHT, 1 / self._ended)
-            self._lasts_s += weight * (lasted_s - self._lasts_s)
+        while len(self._started_at) > own + 1:
+            self._started_at.popleft()
+        if self._started_at:
+            duration_s = now - self._started_at.popleft()
+            self._finished += 1
+            weight = max(DURATION_WEIGHT, 1 / self._finished)
+            self._mean_duration_s += weight * (duration_s - self._mean_duration_s)
 
     def take(self, prompt_tokens: int, *, now: float) -> None:
         """Count a place that this entry has taken."""
-        if self._is_tried(now):
-            self._refuses_until = now + TRY_AGAIN_S
-        self._starts.append(now)
-        self._taken += 1
-        self._read_left -= prompt_tokens
-
-    def _is_heard(self, now: float) -> bool:
-        return any(member.is_heard(now) for member in self.members.values())
+        if self._is_probing(now):
+            self._backs_off_until = now + PROBE_INTERVAL_S
+        self._started_at.append(now)
+        self._reserved += 1
+        self._prompt_budget -= prompt_tokens
+
+    def _has_fresh_load(self, now: float) -> bool:
+        return any(member.is_fresh(now) for member in self.members.values())
--- a/src/hyssopvane/_internal/policy/replica_choice.py
+++ b/src/hyssopvane/_internal/policy/replica_choice.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from hyssopvane._internal.policy.group_room import GroupRoom
+from hyssopvane._internal.policy.group_capacity import GroupCapacity
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
 from hyssopvane._internal.policy.level_choice import (
     REQUEST_COST,
@@ -53,20 +53,20 @@
         self._notices = notices
 
     def order_groups(
-        self, groups: list[GroupRoom], engine: EngineModel | None, now: float
-    ) -> list[GroupRoom]:
+        self, groups: list[GroupCapacity], engine: EngineModel | None, now: float
+    ) -> list[GroupCapacity]:
         """Return a group that is drawn, and then the others, the emptiest first.
 
         Made for several groups and many entries that see the same loads. With the
         emptiest first, all that comes until the next loads goes to one group and meets
         full ranks there, while the other groups are half empty.
         """
-        fullness = {id(one): one.measure_fullness(engine, now) for one in groups}
+        fullness = {id(one): one.get_utilization(engine, now) for one in groups}
         ordered = sorted(groups, key=lambda one: fullness[id(one)])
         if len(ordered) < 2 or engine is None:
             return ordered
         limits = [one.get_limit(engine) for one in ordered]
-        arrivals = max(1.0, sum(one.measure_arrivals(now) for one in ordered))
+        arrivals = max(1.0, sum(one.estimate_arrivals(now) for one in ordered))
         costs = [fullness[id(one)] for one in ordered]
         level = find_level(costs, arrivals, limits)
         weights = [
@@ -77,7 +77,7 @@
         return [first, *(one for one in ordered if one is not first)]
 
     def choose(
-        self, group: GroupRoom, avoid: frozenset[Incarnation], now: float
+        self, group: GroupCapacity, avoid: frozenset[Incarnation], now: float
     ) -> ReplicaLoad | None:
         """Return the replica of a group that gets a request, None where none may.
 
@@ -94,13 +94,15 @@
         # A rank reads one prompt after the other. Of two ranks with as many requests,
         # the one whose requests are writing already gives the next first event sooner.
         room = [
-            _Candidate(one, count + one.count_unread(), one.replica.slots - count)
+            _Candidate(
+                one, count + one.count_unread_prompts(), one.replica.slots - count
+            )
             for count, one in counts
             if count < one.replica.slots
         ]
         if not room:
             return None
-        return self._draw(room, group.measure_arrivals(now))
+        return self._draw(room, group.estimate_arrivals(now))
 
     def list_usable(
         self, members: Iterable[ReplicaLoad], now: float
--- a/src/hyssopvane/_internal/policy/replica_load.py
+++ b/src/hyssopvane/_internal/policy/replica_load.py
@@ -12,8 +12,8 @@
 away, and the replica's load is guessed from this entry's own requests.
 """
 
-UNHEARD_ENTRIES = 4
-REPLICAS_AN_ENTRY = 6
+MIN_ASSUMED_ENTRIES = 4
+REPLICAS_PER_ENTRY = 6
 """Entries that are assumed to send as much as this one while no agent tells better: so
 many at least, and one to so many replicas.
 
@@ -22,16 +22,16 @@
 long that all of them are late, and most would be refused by full replicas.
 """
 
-_SHOWS_AFTER_S = 0.01
+_REPORT_DELAY_S = 0.01
 """Time from sending a request until its replica's report counts it: two hops."""
 
 _FAILURE_WEIGHT = 0.2
 """Weight of the last request in a replica's share of failures."""
 
 
-def guess_entries(replicas: int) -> int:
+def estimate_entries(replicas: int) -> int:
     """Return the entries that are assumed to send to so many replicas."""
-    return max(UNHEARD_ENTRIES, replicas // REPLICAS_AN_ENTRY)
+    return max(MIN_ASSUMED_ENTRIES, replicas // REPLICAS_PER_ENTRY)
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
     sent_at: list[float] = field(default_factory=list)
     """Times of this entry's requests that a told load doesn't show yet."""
     load: RankLoad | None = None
-    heard_at: float = float("-inf")
+    observed_at: float = float("-inf")
     failures: float = 0.0
     full_until: float = float("-inf")
     """Time until which it gets nothing, as it has just said that it is full."""
@@ -61,13 +61,13 @@
         """Return the group that the replica was last heard to be in."""
         return "" if self.load is None else self.load.group
 
-    def is_heard(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Tell whether its agent told its load lately."""
-        return now - self.heard_at < FRESH_S
+        return now - self.observed_at < FRESH_S
 
     def is_open(self, now: float) -> bool:
         """Tell whether it serves requests, as far as known."""
-        return self.load is None or self.load.open or not self.is_heard(now)
+        return self.load is None or self.load.open or not self.is_fresh(now)
 
     def takes_requests(self, now: float) -> bool:
         """Tell whether it may get requests, as far as this entry's own ones show."""
@@ -75,53 +75,53 @@
 
     def is_slow(self, now: float) -> bool:
         """Tell whether the replica works far below its usual pace."""
-        if self.load is None or not self.is_heard(now):
+        if self.load is None or not self.is_fresh(now):
             return False
         return self.load.pace > SLOW_PACE
 
     def count(self, now: float, entries: int) -> int:
         """Return the requests that the replica is believed to have."""
-        if self.load is None or not self.is_heard(now):
+        if self.load is None or not self.is_fresh(now):
             return self.own * entries
         return self.load.active + self.load.queued + len(self.sent_at)
 
-    def count_unread(self) -> int:
+    def count_unread_prompts(self) -> int:
         """Return the requests whose prompts the replica has yet to read."""
         queued = 0 if self.load is None else self.load.queued
         return queued + len(self.sent_at)
 
     def register(self, replica: Replica) -> bool:
         """Take a newer registration; tell whether it names another start."""
-        named, self.registered_ms = self.registered_ms, replica.started_ms
-        if replica.started_ms == named:
+        previous_ms, self.registered_ms = self.registered_ms, replica.started_ms
+        if replica.started_ms == previous_ms:
             # Loads are newer than registrations: what they know of the start stays.
             self.replica = replace(replica, started_ms=self.replica.started_ms)
             return False
-        began = self._begin(replica.started_ms)
+        restarted = self._detect_restart(replica.started_ms)
         self.replica = replace(replica, started_ms=self.replica.started_ms)
-        if began and self.load is not None:
+        if restarted and self.load is not None:
             # It stays in its group until its agent tells another one.
             self.load = replace(self.load, active=0, queued=0)
-            self.heard_at = float("-inf")
-        return began
+            self.observed_at = float("-inf")
+        return restarted
 
     def observe(self, load: RankLoad, *, now: float) -> bool:
         """Take what its agent tells, unless something newer was told before.
 
         Tell whether the load is of another start of the replica.
         """
-        if now < self.heard_at:
+        if now < self.observed_at:
             return False
-        began = self._begin(load.started_ms)
+        restarted = self._detect_restart(load.started_ms)
         self.load = load
         # What was sent before the report was taken is in it; a send takes a few
         # milliseconds to show.
-        taken_at = now - _SHOWS_AFTER_S
+        taken_at = now - _REPORT_DELAY_S
         self.sent_at = [at for at in self.sent_at if at > taken_at]
-        self.heard_at = now
-        return began
+        self.observed_at = now
+        return restarted
 
-    def _begin(self, started_ms: int) -> bool:
+    def _detect_restart(self, started_ms: int) -> bool:
         """Forget what is believed of the start before, when this is another one.
 
         A replica that crashed may come back under its id and address within seconds,
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -5,7 +5,7 @@
 from math import inf
 from random import Random
 
-from hyssopvane._internal.policy.group_room import GroupRoom
+from hyssopvane._internal.policy.group_capacity import GroupCapacity
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
 from hyssopvane._internal.policy.limit_shares import EntryCensus
 from hyssopvane._internal.policy.limited_replicas import (
@@ -125,7 +125,7 @@
         self._waiting: dict[str, Waiting] = {}
         self._replicas: dict[str, ReplicaLoad] = {}
         self._by_address: dict[str, list[ReplicaLoad]] = {}
-        self._groups: dict[str, GroupRoom] = {}
+        self._groups: dict[str, GroupCapacity] = {}
         self._wrong: set[Incarnation] = set()
         """Replicas at whose address another one answered."""
         self._engine: EngineModel | None = None
@@ -310,7 +310,7 @@
             "limit": round(self.limit, 1),
             "waiting": len(self._waiting),
             "pass_ms": round(max(passes, default=0.0) * 1_000, 1),
-            "heard": sum(one.is_heard(now) for one in self._replicas.values()),
+            "heard": sum(one.is_fresh(now) for one in self._replicas.values()),
             "groups": len(groups),
         }
 
@@ -338,7 +338,7 @@
 
     def _join_group(self, one: ReplicaLoad) -> None:
         if one.group not in self._groups:
-            group = GroupRoom(random=self._random)
+            group = GroupCapacity(random=self._random)
             if self._pause_s:
                 group.passes.pause_s = self._pause_s
             self._groups[one.group] = group
@@ -361,7 +361,7 @@
         if not len(queue):
             return placed
         rooms = [
-            (group, group.count_room(self._engine, now, late=late))
+            (group, group.count_available(self._engine, now, late=late))
             for group in self._groups.values()
             if group.is_open(now)
         ]
@@ -370,7 +370,7 @@
             groups = [
                 group
                 for group, _ in rooms
-                if left.get(id(group)) and group.may_read(self._engine, now)
+                if left.get(id(group)) and group.allows_prompt(self._engine, now)
             ]
             found = self._place_next(queue, groups, now)
             if found is None:
@@ -384,8 +384,8 @@
         return placed
 
     def _place_next(
-        self, queue: FairQueue, groups: list[GroupRoom], now: float
-    ) -> tuple[Place, GroupRoom, int] | None:
+        self, queue: FairQueue, groups: list[GroupCapacity], now: float
+    ) -> tuple[Place, GroupCapacity, int] | None:
         item = queue.peek()
         assert item is not None
         waiting = self._waiting[item.request_id]
--- a/tests/unit/test_level_choice.py
+++ b/tests/unit/test_level_choice.py
@@ -123,7 +123,7 @@
         for place in list_places(gate.settle(10.0)):
             gate.finish(place.replica, failed=False, now=12.0)
     # Two of them end after two seconds each, so 126 that run make 63 a second.
-    assert room.measure_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
+    assert room.estimate_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
 
 
 def test_homes_of_a_zone_are_divided_and_move_little():
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -446,8 +446,8 @@
         for number in range(12):
             gate.observe_load(make_load(number, ranks=12, active=4, step=2), now=0.1)
         (group,) = gate._groups.values()
-        assert group.may_read(engine, 0.1)
-        parts.append(group._read_left)
+        assert group.allows_prompt(engine, 0.1)
+        parts.append(group._prompt_budget)
     assert parts[1] == pytest.approx(2 * parts[0])
 
 
@@ -496,7 +496,7 @@
     (group,) = gate._groups.values()
     group.take(100_000, now=0.0)
     tell_group(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
-    assert group.may_read(engine, 41 * pass_s)
+    assert group.allows_prompt(engine, 41 * pass_s)
 
 
 def test_callers_of_a_group_that_is_not_formed_yet_hear_at_once_when_to_return():
