--- a/src/hyssopvane/_internal/policy/map_actions.py
+++ b/src/hyssopvane/_internal/policy/map_actions.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Announce:
+class SendMapChange:
     """Tell the agents of all ranks what to bring about."""
 
     change: MapChange
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveOrder:
+class SendOrder:
     """Give an order to one rank directly."""
 
     replica: str
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAgent:
+class QueryAgent:
     """Let the agent beside a rank look at it now and tell what it sees."""
 
     agent: str
@@ -41,10 +41,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskRank:
+class QueryRank:
     """Read the report of a rank whose own agent is silent."""
 
     replica: str
 
 
-Action = Announce | GiveOrder | DelegateOrder | AskAgent | AskRank
+Action = SendMapChange | SendOrder | DelegateOrder | QueryAgent | QueryRank
--- a/src/hyssopvane/_internal/policy/map_changes.py
+++ b/src/hyssopvane/_internal/policy/map_changes.py
@@ -7,12 +7,12 @@
 
 
 @dataclass(slots=True)
-class HeardRank:
+class KnownRank:
     """Hold the state of a rank as it was told or read last."""
 
     state: RankState
-    at: float
-    as_of: float
+    received_at: float
+    valid_at: float
     """Time at which the rank was so, as far as known: reports from afar lag."""
 
 
@@ -31,13 +31,13 @@
     """Time at which the leader's own rank was armed, 0 before."""
     chosen_at: float = 0.0
     """Time at which the step was chosen."""
-    told_at: float = field(default=float("-inf"))
+    sent_at: float = field(default=float("-inf"))
     prepared_at: float = field(default=float("-inf"))
     """Time at which ranks with silent agents were ordered last to copy experts."""
     order: RankOrder | None = None
     """Last order to the rank that holds."""
     ordered_at: float = field(default=float("-inf"))
-    asked_at: float = field(default=float("-inf"))
+    queried_at: float = field(default=float("-inf"))
     """Time at which the rank that holds was read last."""
 
 
@@ -52,7 +52,7 @@
     )
 
 
-def is_told(state: RankState, change: Change, *, step: int) -> bool:
+def has_applied(state: RankState, change: Change, *, step: int) -> bool:
     """Tell whether a rank has done what an announcement asks for."""
     return is_armed(state, change) if step else state.prepared == change.version
 
@@ -64,6 +64,6 @@
     return state.armed_version == change.version and state.armed_step == change.step
 
 
-def is_overtaken(state: RankState, change: Change) -> bool:
+def is_superseded(state: RankState, change: Change) -> bool:
     """Tell whether a rank has newer copies and so can't be armed for a change."""
     return state.prepared > change.version and not is_armed(state, change)
--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -28,19 +28,19 @@
 
 from hyssopvane._internal.policy.map_actions import (
     Action,
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_changes import (
     Change,
-    HeardRank,
+    KnownRank,
     get_progress,
+    has_applied,
     is_armed,
-    is_overtaken,
-    is_told,
+    is_superseded,
 )
 from hyssopvane._internal.policy.map_search import MapSearch
 from hyssopvane._internal.policy.poll_intervals import (
@@ -59,13 +59,13 @@
 )
 from hyssopvane._internal.state.routing import ExpertLayout
 
-ALONE_S = 0.8
+LEADER_TIMEOUT_S = 0.8
 """Silence of the agents of lower ranks after which the next one leads."""
 
 DEPUTIES = 2
 """Ranks after the first whose agents tell all others often that they live."""
 
-FAR_ALONE_S = 5.0
+REMOTE_LEADER_TIMEOUT_S = 5.0
 """As above, for agents that hear of the lower ranks seldom."""
 
 MIN_LEAD_PASSES = 2
@@ -116,20 +116,20 @@
 REPORT_LAG_S = 0.3
 """Age of a report from another machine where the engine's figures don't name it."""
 
-_ASK_AGAIN_S = 0.02
+_QUERY_RETRY_S = 0.02
 """Time after which the rank that holds is read again: one call takes some 5 ms."""
 
-_ARM_AGAIN_S = 0.04
+_ARM_RETRY_S = 0.04
 """Time after which agents that have not told that their rank is armed are told again.
 
 All ranks of a large group have answered by then. A lost word stops the group, and all
 its streams pause, until it is told again.
 """
 
-_REPEAT_S = 0.08
+_ORDER_RETRY_S = 0.08
 """Time after which an order or an announcement without an effect is given again."""
 
-_RETELL_S = 0.3
+_MAP_RETRY_S = 0.3
 """As above, for a new map.
 
 It is the largest message, 2.4 KB with 16 sets on 24 ranks. Told again at each look it
@@ -139,7 +139,7 @@
 _COPY_SLACK_S = 1.0
 """Time beyond the copying itself after which a change is given up."""
 
-_DIRECT_AFTER_S = 0.3
+_AGENT_TIMEOUT_S = 0.3
 """Silence of an agent after which its rank gets its orders straight from the leader."""
 
 
@@ -162,15 +162,15 @@
         self.report_lag_s = REPORT_LAG_S
         """Age of what a rank's report says when it is read from another machine."""
         self.phase = Phase.IDLE
-        self._heard: dict[int, HeardRank] = {}
+        self._known_ranks: dict[int, KnownRank] = {}
         self.set_layout(layout)
-        self._agents_at: dict[int, float] = {}
+        self._agent_seen_at: dict[int, float] = {}
         """Time at which each rank's own agent was heard."""
-        self._listens_since: float | None = None
+        self._listening_since: float | None = None
         """Time of the first look since the start or a standstill."""
         self._search = MapSearch()
         self._change: Change | None = None
-        self._known: tuple[int, ExpertLists] | None = None
+        self._known_map: tuple[int, ExpertLists] | None = None
         """Version and experts of the last map that was told or brought into force."""
         self._group = ""
         self._epoch = 0
@@ -184,30 +184,30 @@
         self._pass_s = 0.0
         self.arming_s = FIRST_ARMING_S
         self._step_at = float("-inf")
-        self._asked_at = float("-inf")
+        self._queried_at = float("-inf")
         self.changes = 0
         """Maps that were brought into force since the start."""
 
     def observe(
-        self, state: RankState, *, now: float, own: bool = False, asked: bool = False
+        self, state: RankState, *, now: float, own: bool = False, queried: bool = False
     ) -> bool:
         """Take what a rank's agent tells, or what its rank said when asked.
 
         Tell whether the rank has come further with a change of maps.
         """
         if own:
-            if self._listens_since is None:
-                self._listens_since = now
+            if self._listening_since is None:
+                self._listening_since = now
             self._own = state.rank
             self._max_state_age_s = get_max_state_age_s(state.ranks)
             if (state.group, state.epoch) != (self._group, self._epoch):
                 self._begin_epoch(state)
         if state.group != self._group or state.epoch != self._epoch:
             return False
-        state = self._leave_out_unsound(state)
-        before = self._heard.get(state.rank)
-        as_of = now - self.report_lag_s if asked else now
-        if asked and before is not None and before.as_of > as_of:
+        state = self._drop_invalid(state)
+        before = self._known_ranks.get(state.rank)
+        valid_at = now - self.report_lag_s if queried else now
+        if queried and before is not None and before.valid_at > valid_at:
             # The agent beside the rank has told something newer. A leader that takes
             # back what it knows lets a held pass wait for it a second time.
             return False
@@ -222,12 +222,12 @@
                 state = replace(state, experts=before.state.experts)
         if state.counts:
             self._search.observe(state.counts, now=now)
-        if asked and before is not None:
+        if queried and before is not None:
             # The rank was asked straight; its agent is where it was.
             state = replace(state, messages=before.state.messages)
-        if not asked:
+        if not queried:
             self.note_agent(state.rank, now=now)
-        self._heard[state.rank] = HeardRank(state, now, as_of)
+        self._known_ranks[state.rank] = KnownRank(state, now, valid_at)
         return before is None or get_progress(before.state) != get_progress(state)
 
     def set_layout(self, layout: ExpertLayout | None) -> None:
@@ -235,8 +235,8 @@
         if layout == self.layout:
             return
         self.layout = layout
-        for one in self._heard.values():
-            one.state = self._leave_out_unsound(one.state)
+        for one in self._known_ranks.values():
+            one.state = self._drop_invalid(one.state)
         if layout is not None and layout.report_lag_s is not None:
             self.report_lag_s = layout.report_lag_s
 
@@ -248,16 +248,16 @@
         """
         if (change.group, change.epoch) == (self._group, self._epoch):
             if change.experts:
-                self._known = (change.version, change.experts)
+                self._known_map = (change.version, change.experts)
 
     def note_agent(self, rank: int, *, now: float) -> None:
         """Take note that a rank's agent lives."""
-        self._agents_at[rank] = now
+        self._agent_seen_at[rank] = now
 
     def _measure_silence(self, rank: int, now: float) -> float:
-        return now - self._agents_at.get(rank, float("-inf"))
+        return now - self._agent_seen_at.get(rank, float("-inf"))
 
-    def _leave_out_unsound(self, state: RankState) -> RankState:
+    def _drop_invalid(self, state: RankState) -> RankState:
         # Experts and counts are used as indices. One beyond the layout ends the process
         # that leads, and the next one that leads after it.
         layout = self.layout
@@ -277,7 +277,7 @@
         """Return what names the start of a rank's replica, 0 where it is unknown."""
         starts = (
             one.state.started_ms
-            for one in self._heard.values()
+            for one in self._known_ranks.values()
             if one.state.replica == replica
         )
         return next(starts, 0)
@@ -288,7 +288,7 @@
         Its agent tells the same at its next look, up to a pass later; until then a held
         group would stand still. What one start has done says nothing of the next.
         """
-        for one in self._heard.values():
+        for one in self._known_ranks.values():
             if one.state.replica != replica or one.state.epoch != order.epoch:
                 continue
             if one.state.started_ms != started_ms:
@@ -316,16 +316,16 @@
         """Tell whether the next word of a rank may be what a change waits for."""
         return self.phase in (Phase.PREPARING, Phase.HOLDING, Phase.ARMING)
 
-    def forget(self) -> None:
+    def discard_state(self) -> None:
         """Drop what was being done and heard: the process has stood still.
 
         Others may have gone on meanwhile. What was true before is not, and an order
         that follows from it could reach some ranks in time and others too late.
         """
         self._reset()
-        self._heard.clear()
-        self._agents_at.clear()
-        self._listens_since = None
+        self._known_ranks.clear()
+        self._agent_seen_at.clear()
+        self._listening_since = None
         self._search.clear()
 
     def leads(self, now: float) -> bool:
@@ -334,20 +334,22 @@
         Whoever has just begun to listen has heard nobody yet. An agent that led until
         it did would tell entries of a group with one member, its own rank.
         """
-        if self._own < 0 or self._listens_since is None:
+        if self._own < 0 or self._listening_since is None:
             return False
-        alone_s = ALONE_S if self._own <= DEPUTIES else FAR_ALONE_S
-        if self._own and now - self._listens_since <= alone_s:
+        timeout_s = (
+            LEADER_TIMEOUT_S if self._own <= DEPUTIES else REMOTE_LEADER_TIMEOUT_S
+        )
+        if self._own and now - self._listening_since <= timeout_s:
             return False
         return all(
-            now - at > alone_s
-            for rank, at in self._agents_at.items()
+            now - at > timeout_s
+            for rank, at in self._agent_seen_at.items()
             if rank < self._own
         )
 
     def decide(self, now: float) -> list[Action]:
         """Return what to do now."""
-        if self._own not in self._heard:
+        if self._own not in self._known_ranks:
             self._reset()
             return []
         if self.phase is not Phase.IDLE:
@@ -355,21 +357,21 @@
         if not self.leads(now):
             self._reset()
             return []
-        if not self._heard[self._own].state.open:
+        if not self._known_ranks[self._own].state.open:
             self._reset()
             return []
-        asked = self._ask_silent(now)
+        queries = self._query_silent(now)
         match self.phase:
             case Phase.IDLE:
-                return asked + self._begin(now)
+                return queries + self._begin(now)
             case Phase.PREPARING:
-                return asked + self._prepare(now)
+                return queries + self._prepare(now)
             case Phase.HOLDING:
-                return asked + self._hold(now)
+                return queries + self._hold(now)
             case Phase.ARMING:
-                return asked + self._arm(now)
+                return queries + self._arm(now)
             case Phase.RELEASING:
-                return asked + self._release(now)
+                return queries + self._release(now)
 
     def has_work(self) -> bool:
         """Tell whether a rank has requests, and its group makes passes.
@@ -377,12 +379,14 @@
         The own rank may have none for a while. Were that taken for an idle group, its
         passes would be unknown again and again while few requests run.
         """
-        states = (one.state for one in self._heard.values())
+        states = (one.state for one in self._known_ranks.values())
         return any(state.active or state.queued for state in states)
 
-    def list_heard(self, now: float) -> list[tuple[RankState, float]]:
+    def list_states(self, now: float) -> list[tuple[RankState, float]]:
         """Return the state of each rank that is known, and its age in seconds."""
-        return [(one.state, now - one.at) for one in self._heard.values()]
+        return [
+            (one.state, now - one.received_at) for one in self._known_ranks.values()
+        ]
 
     def measure_skews(self, now: float) -> list[float]:
         """Return the skew of each set by the map in use and the present demand."""
@@ -395,9 +399,10 @@
         """Return what the decisions go by, for the log."""
         return {
             "phase": self.phase.name.lower(),
-            "heard": len(self._heard),
+            "heard": len(self._known_ranks),
             "fresh": sum(
-                now - one.at < self._max_state_age_s for one in self._heard.values()
+                now - one.received_at < self._max_state_age_s
+                for one in self._known_ranks.values()
             ),
             "maps": ",".join(
                 str(v) for v in sorted({s.map_version for s in self._list_states()})
@@ -407,41 +412,41 @@
             "layout": self.layout is not None,
         }
 
-    def _ask_silent(self, now: float) -> list[Action]:
+    def _query_silent(self, now: float) -> list[Action]:
         """Read the ranks whose agents are silent.
 
         An agent may stand still for seconds while its rank works. Its rank is the only
         one then who knows whether it holds the group and which map it has; without it
         no map would follow the demand until the agent wakes.
         """
-        own = self._heard[self._own].state
+        own = self._known_ranks[self._own].state
         if own.step != self._step or not own.active:
             passed = own.step - self._step
             self._pass_s = (now - self._step_at) / passed if passed > 0 else 0.0
             self._step, self._step_at = own.step, now
         stalled = now - self._step_at > STALLED_S
-        if now - self._asked_at < (STALLED_S if stalled else self.report_lag_s):
+        if now - self._queried_at < (STALLED_S if stalled else self.report_lag_s):
             return []
-        silent = [rank for rank in self._heard if self._is_silent(rank, now)]
+        silent = [rank for rank in self._known_ranks if self._is_silent(rank, now)]
         most = min(MOST_SILENT, int(MOST_SILENT_SHARE * own.ranks))
         if not silent or (len(silent) > most and not stalled):
             return []
-        self._asked_at = now
-        return [AskRank(self._heard[rank].state.replica) for rank in silent]
+        self._queried_at = now
+        return [QueryRank(self._known_ranks[rank].state.replica) for rank in silent]
 
     def _is_silent(self, rank: int, now: float) -> bool:
         if rank == self._own:
             return False
         return self._measure_silence(rank, now) > max(
-            _DIRECT_AFTER_S, self._max_state_age_s
+            _AGENT_TIMEOUT_S, self._max_state_age_s
         )
 
     def _begin_epoch(self, state: RankState) -> None:
         # A group that was formed anew has map 0 and nothing prepared, armed or held.
         self._group, self._epoch = state.group, state.epoch
-        self._heard.clear()
+        self._known_ranks.clear()
         self._search.begin_epoch()
-        self._known = None
+        self._known_map = None
         self._reset()
 
     def _reset(self) -> None:
@@ -449,7 +454,7 @@
         self._change = None
 
     def _list_states(self) -> list[RankState]:
-        return [self._heard[rank].state for rank in sorted(self._heard)]
+        return [self._known_ranks[rank].state for rank in sorted(self._known_ranks)]
 
     def _list_paces(self) -> tuple[float, ...]:
         # A little slowness is noise; a map must not follow it.
@@ -457,9 +462,10 @@
         return tuple(pace if pace > SLOW_PACE else 1.0 for pace in paces)
 
     def _is_complete(self, now: float) -> bool:
-        ranks = self._heard[self._own].state.ranks
-        return len(self._heard) == ranks and all(
-            now - one.at < self._max_state_age_s for one in self._heard.values()
+        ranks = self._known_ranks[self._own].state.ranks
+        return len(self._known_ranks) == ranks and all(
+            now - one.received_at < self._max_state_age_s
+            for one in self._known_ranks.values()
         )
 
     def _begin(self, now: float) -> list[Action]:
@@ -500,8 +506,8 @@
         if not states or len(states) != states[0].ranks:
             return None
         versions = {state.map_version for state in states}
-        if self._known is not None and versions == {self._known[0]}:
-            return self._known[1]
+        if self._known_map is not None and versions == {self._known_map[0]}:
+            return self._known_map[1]
         if not all(state.experts for state in states):
             return None
         sets = len(states[0].experts)
@@ -512,7 +518,7 @@
     def _prepare(self, now: float) -> list[Action]:
         change = self._get_change()
         if self._all(lambda state: state.prepared == change.version):
-            own = self._heard[self._own].state
+            own = self._known_ranks[self._own].state
             if self._is_complete(now):
                 self.phase = Phase.HOLDING
                 change.step = self._choose_step(now)
@@ -520,22 +526,22 @@
                 change.holder = self._choose_holder(own, now)
                 # The next announcement says something new: it must not wait because
                 # the last one has just gone out.
-                change.told_at = float("-inf")
+                change.sent_at = float("-inf")
                 return self._hold(now)
         if now - change.started_at > change.copy_s + _COPY_SLACK_S:
             self._reset()
             return []
-        return self._tell(now, step=0) + self._prepare_silent(now)
+        return self._send_change(now, step=0) + self._prepare_silent(now)
 
     def _prepare_silent(self, now: float) -> list[Action]:
         change = self._get_change()
-        if now - change.prepared_at < _RETELL_S:
+        if now - change.prepared_at < _MAP_RETRY_S:
             return []
         change.prepared_at = now
         order = Prepare(self._epoch, change.version, change.experts)
         return [
-            GiveOrder(one.state.replica, order)
-            for rank, one in self._heard.items()
+            SendOrder(one.state.replica, order)
+            for rank, one in self._known_ranks.items()
             if self._is_silent(rank, now) and one.state.prepared != change.version
         ]
 
@@ -544,7 +550,7 @@
         if self._find(change.holder).held_step == change.step:
             self.phase = Phase.ARMING
             return self._arm(now)
-        if self._hold_answered and now - change.asked_at > _ASK_AGAIN_S:
+        if self._hold_answered and now - change.queried_at > _QUERY_RETRY_S:
             # Machines fail in the middle of what they do. Were the ranks armed in the
             # moment in which the hold is answered, a leader that stands still just then
             # would leave all ranks armed but its own, which nobody reaches: the group
@@ -552,9 +558,9 @@
             # leader that fails meanwhile has armed nobody, and the next one releases.
             # Its agent sees it as it is; what is read from afar is some tenths of a
             # second old, and counts where the agent is silent.
-            change.asked_at = now
+            change.queried_at = now
             agent = self._find(change.holder).messages
-            return [AskAgent(agent), AskRank(change.holder)]
+            return [QueryAgent(agent), QueryRank(change.holder)]
         if self._find_newest_step() >= change.step:
             # The pass has begun: the hold came too late, or never.
             change.step = self._choose_step(now)
@@ -571,18 +577,18 @@
             took_s = now - change.chosen_at
             self.arming_s = max(took_s, ARMING_FADE * self.arming_s)
             if change.experts:
-                self._known = (change.version, change.experts)
+                self._known_map = (change.version, change.experts)
             return self._release(now)
-        if self._all(lambda state: is_overtaken(state, change)):
+        if self._all(lambda state: is_superseded(state, change)):
             # Another leader has brought its copies to the ranks before they were
             # armed. None of them can be armed for this change any more, so the pass
             # may begin without it; waiting for them would hold the group for ever.
             self.phase = Phase.RELEASING
             return self._release(now)
-        if now - change.told_at < _ARM_AGAIN_S and not self._is_own_due(change):
+        if now - change.sent_at < _ARM_RETRY_S and not self._is_own_due(change):
             return []
         return (
-            self._tell(now, step=change.step)
+            self._send_change(now, step=change.step)
             + self._arm_silent(now)
             + self._arm_own(now)
         )
@@ -600,14 +606,14 @@
             return []
         change.own_ordered_at = now
         order = Arm(self._epoch, change.version, change.step)
-        return [GiveOrder(self._heard[self._own].state.replica, order)]
+        return [SendOrder(self._known_ranks[self._own].state.replica, order)]
 
     def _arm_silent(self, now: float) -> list[Action]:
         change = self._get_change()
         order = Arm(self._epoch, change.version, change.step)
         return [
-            GiveOrder(one.state.replica, order)
-            for rank, one in self._heard.items()
+            SendOrder(one.state.replica, order)
+            for rank, one in self._known_ranks.items()
             if self._is_silent(rank, now) and not is_armed(one.state, change)
         ]
 
@@ -621,7 +627,7 @@
 
     def _take_over(self, holder: RankState, now: float) -> list[Action]:
         """Go on with a hold that an earlier leader has left, or that came late."""
-        if len(self._heard) != holder.ranks:
+        if len(self._known_ranks) != holder.ranks:
             return []
         armed = [
             state.armed_version
@@ -646,14 +652,18 @@
         must have told lately that it is not armed; the leader that fell silent alone
         need not, since its own rank comes after all others.
         """
-        lower = [at for rank, at in self._agents_at.items() if rank < self._own]
-        told_at = max([self._active_at, *lower])
-        if now - told_at < ORPHAN_S:
+        lower = [
+            received_at
+            for rank, received_at in self._agent_seen_at.items()
+            if rank < self._own
+        ]
+        last_led_at = max([self._active_at, *lower])
+        if now - last_led_at < ORPHAN_S:
             return False
         stale = [
             rank
-            for rank, one in self._heard.items()
-            if now - one.at >= self._max_state_age_s
+            for rank, one in self._known_ranks.items()
+            if now - one.received_at >= self._max_state_age_s
         ]
         return len(stale) <= 1 and all(rank < self._own for rank in stale)
 
@@ -663,7 +673,9 @@
 
     def _find(self, replica: str) -> RankState:
         return next(
-            one.state for one in self._heard.values() if one.state.replica == replica
+            one.state
+            for one in self._known_ranks.values()
+            if one.state.replica == replica
         )
 
     def _choose_holder(self, own: RankState, now: float) -> str:
@@ -671,7 +683,7 @@
         others = [(own.rank + number) % own.ranks for number in range(1, own.ranks)]
         speaking = [rank for rank in others if not self._is_silent(rank, now)]
         chosen = (speaking or others or [own.rank])[0]
-        return self._heard[chosen].state.replica
+        return self._known_ranks[chosen].state.replica
 
     def _choose_step(self, now: float) -> int:
         self._get_change().chosen_at = now
@@ -683,27 +695,27 @@
         )
 
     def _find_newest_step(self) -> int:
-        return max(one.state.step for one in self._heard.values())
+        return max(one.state.step for one in self._known_ranks.values())
 
     def _all(self, holds: Callable[[RankState], bool]) -> bool:
-        ranks = self._heard[self._own].state.ranks
+        ranks = self._known_ranks[self._own].state.ranks
         states = self._list_states()
         return len(states) == ranks and all(holds(state) for state in states)
 
-    def _tell(self, now: float, *, step: int) -> list[Action]:
+    def _send_change(self, now: float, *, step: int) -> list[Action]:
         change = self._get_change()
-        if now - change.told_at < _RETELL_S and step == 0:
+        if now - change.sent_at < _MAP_RETRY_S and step == 0:
             return []
-        change.told_at = now
+        change.sent_at = now
         # Whoever is to be armed has the experts already.
         experts = () if step else change.experts
-        told = MapChange(self._group, self._epoch, change.version, experts, step)
+        message = MapChange(self._group, self._epoch, change.version, experts, step)
         to = tuple(
             state.messages
             for state in self._list_states()
-            if state.rank != self._own and not is_told(state, change, step=step)
+            if state.rank != self._own and not has_applied(state, change, step=step)
         )
-        return [Announce(told, to)]
+        return [SendMapChange(message, to)]
 
     def _order(self, now: float, order: Hold | Release) -> list[Action]:
         """Order the rank that holds, also by way of the agent beside it.
@@ -715,11 +727,11 @@
         machine wakes. A release does no harm on whichever machine it is given.
         """
         change = self._get_change()
-        if now - change.ordered_at < _REPEAT_S:
+        if now - change.ordered_at < _ORDER_RETRY_S:
             return []
         is_first = order != change.order
         change.order, change.ordered_at = order, now
-        direct = GiveOrder(change.holder, order)
+        direct = SendOrder(change.holder, order)
         if is_first and isinstance(order, Hold):
             return [direct]
         return [direct, DelegateOrder(self._find(change.holder).messages, order)]
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -24,11 +24,11 @@
 )
 from hyssopvane._internal.policy.load_publisher import LoadPublisher
 from hyssopvane._internal.policy.map_actions import (
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_changes import get_progress
 from hyssopvane._internal.policy.map_coordinator import MapCoordinator
@@ -439,8 +439,8 @@
         self._coordinator.observe(state, now=now, own=True)
         if self._coordinator.leads(now):
             if is_due:
-                heard = self._coordinator.list_heard(now)
-                await self._tell_load(report, heard, now)
+                states = self._coordinator.list_states(now)
+                await self._tell_load(report, states, now)
         progress = get_progress(state)
         if is_due or progress != self._told_progress:
             await self._tell_leaders(state, now)
@@ -524,7 +524,7 @@
         self._slept_s += slept_s
         paused_s, self._looked_at = now - self._looked_at, now
         if slept_s > STANDSTILL_S or paused_s > PAUSE_S:
-            self._coordinator.forget()
+            self._coordinator.discard_state()
             self._change = None
             log_event("warning", "stood-still", seconds=round(slept_s + paused_s, 2))
 
@@ -536,21 +536,21 @@
     async def _lead(self, now: float) -> None:
         self._notice_standstill()
         for action in self._coordinator.decide(now):
-            if isinstance(action, Announce):
+            if isinstance(action, SendMapChange):
                 if not action.change.step:
                     # The leader's own rank is armed after all others.
                     self._change = action.change
                     self._changed.set()
                 await self._announce(action)
-            elif isinstance(action, AskAgent):
+            elif isinstance(action, QueryAgent):
                 request = OrderRequest(self._group, self._coordinator.epoch)
                 await self._port.send(request, action.agent)
-            elif isinstance(action, AskRank):
+            elif isinstance(action, QueryRank):
                 assert self._nursery is not None
                 self._nursery.start_soon(self._ask_rank, action.replica)
             elif isinstance(action, DelegateOrder):
                 await self._delegate(action)
-            elif isinstance(action, GiveOrder):
+            elif isinstance(action, SendOrder):
                 assert self._nursery is not None
                 self._nursery.start_soon(self._give_order, action.replica, action.order)
         if self._coordinator.is_holding and not self._watches_hold:
@@ -567,7 +567,7 @@
         else:
             await self._port.send(request, action.agent)
 
-    async def _announce(self, action: Announce) -> None:
+    async def _announce(self, action: SendMapChange) -> None:
         """Tell agents of a change, a large one by way of a few of them."""
         # The leader's own rank must not be armed before all others, so its agent is
         # never told by message.
@@ -602,7 +602,7 @@
             return
         state = self._make_state(report, (), replica=replica)
         now = trio.current_time()
-        self._coordinator.observe(state, now=now, asked=True)
+        self._coordinator.observe(state, now=now, queried=True)
         self._changed.set()
         if self._coordinator.waits_for_ranks:
             await self._lead(now)
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -10,7 +10,7 @@
 from hyssopvane._internal.assembly import make_role
 from hyssopvane._internal.models.settings import RankAgentSettings
 from hyssopvane._internal.policy import map_spread
-from hyssopvane._internal.policy.map_actions import Announce
+from hyssopvane._internal.policy.map_actions import SendMapChange
 from hyssopvane._internal.roles.rank_agent import PAUSE_S
 from hyssopvane._internal.state.group import EntryState, MapChange
 from hyssopvane._internal.state.loads import GroupLoad, Roster
@@ -188,7 +188,7 @@
         agent._port.send = send
         own = agent._settings.messages
         change = MapChange("g", 1, 7, (), 12)
-        await agent._announce(Announce(change, ("127.0.0.9:1", own)))
+        await agent._announce(SendMapChange(change, ("127.0.0.9:1", own)))
         assert sent == ["127.0.0.9:1"]
         await agent.close()
 
--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -9,11 +9,11 @@
     PRESENCE_SENDERS,
 )
 from hyssopvane._internal.policy.map_actions import (
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_coordinator import (
     MapCoordinator,
@@ -263,7 +263,7 @@
             return
         if agent.stood_still:
             agent.stood_still = False
-            agent.coordinator.forget()
+            agent.coordinator.discard_state()
             agent.change = None
         state = replace(self._describe(number), counts=tuple(self.counts[number]))
         self.counts[number] = [0] * EXPERTS
@@ -277,21 +277,21 @@
             other.coordinator.note_agent(number, now=self.now)
         self._follow(number)
         for action in agent.coordinator.decide(self.now):
-            if isinstance(action, Announce):
+            if isinstance(action, SendMapChange):
                 self._announce(number, action)
-            elif isinstance(action, AskAgent):
+            elif isinstance(action, QueryAgent):
                 asked_agent = int(action.agent)
                 if self._list_reached(asked_agent, [asked_agent]):
                     told = self._describe(asked_agent)
                     agent.coordinator.observe(told, now=self.now)
-            elif isinstance(action, AskRank):
+            elif isinstance(action, QueryRank):
                 if self.now < self.agents[int(action.replica)].frozen_until:
                     continue
-                asked = self._read_remotely(int(action.replica))
-                agent.coordinator.observe(asked, now=self.now, asked=True)
+                queried = self._read_remotely(int(action.replica))
+                agent.coordinator.observe(queried, now=self.now, queried=True)
             elif isinstance(action, DelegateOrder):
                 self._delegate(action)
-            elif isinstance(action, GiveOrder):
+            elif isinstance(action, SendOrder):
                 if self._send(int(action.replica), action.order):
                     agent.coordinator.note_done(action.replica, action.order)
 
@@ -343,7 +343,7 @@
         if self._list_reached(number, [number]):
             self._send(number, action.order)
 
-    def _announce(self, number: int, action: Announce) -> None:
+    def _announce(self, number: int, action: SendMapChange) -> None:
         change = action.change
         for other, agent in enumerate(self.agents):
             if str(other) not in action.to and (other != number or change.step):
--- a/tests/unit/test_map_coordinator.py
+++ b/tests/unit/test_map_coordinator.py
@@ -7,11 +7,11 @@
 
 from hyssopvane._internal.policy import map_coordinator
 from hyssopvane._internal.policy.map_actions import (
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_coordinator import (
     MapCoordinator,
@@ -71,7 +71,7 @@
     # The machine of a rank that is armed already, or that holds, may stand still as
     # well: then only its waking helps, after four seconds at most in this model, and
     # the next agent waits until the leader has been silent for long enough.
-    assert model.longest_hold_s < 4.0 + map_coordinator.ALONE_S + 1.0
+    assert model.longest_hold_s < 4.0 + map_coordinator.LEADER_TIMEOUT_S + 1.0
 
 
 def find_break(faults):
@@ -95,7 +95,7 @@
         return [
             action
             for action in actions
-            if not (isinstance(action, GiveOrder) and isinstance(action.order, Hold))
+            if not (isinstance(action, SendOrder) and isinstance(action.order, Hold))
         ]
 
     monkeypatch.setattr(MapCoordinator, "decide", decide_without_hold)
@@ -108,7 +108,7 @@
     def arm_once(self, now):
         change = self._get_change()
         self.phase = Phase.RELEASING
-        return self._tell(now, step=change.step)
+        return self._send_change(now, step=change.step)
 
     monkeypatch.setattr(MapCoordinator, "_arm", arm_once)
     assert find_break(Faults(lost=0.3, late=0.3))
@@ -127,7 +127,8 @@
     model.agents[0].stood_still = True
     model.play(10.0)
     assert (
-        model.longest_hold_s < map_coordinator.ALONE_S + map_coordinator.ORPHAN_S + 0.5
+        model.longest_hold_s
+        < map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S + 0.5
     )
     assert model.passes > 100
 
@@ -145,15 +146,15 @@
         model.play(TICK_S)
     change = leader._get_change()
     # Only the answer has come back; the agent of that rank has told nothing yet.
-    holder = leader._heard[int(change.holder)]
+    holder = leader._known_ranks[int(change.holder)]
     holder.state = replace(holder.state, held_step=0)
     leader.note_done(change.holder, Hold(model.epoch, change.step))
-    asked = [AskAgent(change.holder), AskRank(change.holder)]
-    assert leader.decide(model.now) == asked
+    queries = [QueryAgent(change.holder), QueryRank(change.holder)]
+    assert leader.decide(model.now) == queries
     model.agents[0].frozen_until = model.now + 20.0
     model.agents[0].stood_still = True
     model.play(5.0)
-    assert model.longest_hold_s < map_coordinator.ALONE_S + 0.3
+    assert model.longest_hold_s < map_coordinator.LEADER_TIMEOUT_S + 0.3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -170,7 +171,7 @@
     assert model.agents[0].coordinator.arming_s < 4.5 * TICK_S
 
 
-def hear_all(coordinator, *, ranks, layout, now, round_number):
+def observe_all(coordinator, *, ranks, layout, now, round_number):
     """Let each agent of a group tell its state once, spread over one look."""
     interval_s = get_poll_interval_s(ranks)
     for rank in range(ranks):
@@ -214,7 +215,7 @@
     coordinator = MapCoordinator(nonce=1, layout=layout)
     now, phases = 0.0, set()
     for round_number in range(1, 6):
-        now = hear_all(
+        now = observe_all(
             coordinator, ranks=ranks, layout=layout, now=now, round_number=round_number
         )
         coordinator.decide(now)
@@ -245,10 +246,10 @@
     model.ranks[1].held = model.step + 2
     for rank in (1, 0, 2, 3):
         deputy.observe(model._describe(rank), now=0.0, own=rank == 1)
-    now = map_coordinator.ALONE_S + map_coordinator.ORPHAN_S
+    now = map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S
     for rank in {1, 2, 3, 0} - set(stale):
         deputy.observe(
-            model._describe(rank), now=now, own=rank == 1, asked=rank in {0, 2, 3}
+            model._describe(rank), now=now, own=rank == 1, queried=rank in {0, 2, 3}
         )
     deputy.decide(now)
     assert (deputy.phase is Phase.RELEASING) == expected
@@ -264,10 +265,10 @@
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.ARMING:
         model.play(TICK_S)
-    for one in leader._heard.values():
+    for one in leader._known_ranks.values():
         one.state = replace(one.state, armed_version=0, armed_step=0)
     leader._reset()
-    assert leader._heard[1].state.held_step
+    assert leader._known_ranks[1].state.held_step
     leader.decide(model.now)
     assert leader.phase is Phase.IDLE
 
@@ -286,8 +287,8 @@
     order = Hold(model.epoch, leader._get_change().step + 1)
     first = leader._order(model.now + 1.0, order)
     again = leader._order(model.now + 2.0, order)
-    assert [type(one) for one in first] == [GiveOrder]
-    assert [type(one) for one in again] == [GiveOrder, DelegateOrder]
+    assert [type(one) for one in first] == [SendOrder]
+    assert [type(one) for one in again] == [SendOrder, DelegateOrder]
 
 
 def test_only_those_who_have_not_told_that_they_are_armed_are_told_again():
@@ -302,13 +303,13 @@
         model.play(TICK_S)
     change = leader._get_change()
     for rank in (1, 3):
-        heard = leader._heard[rank]
-        heard.state = replace(
-            heard.state, armed_version=change.version, armed_step=change.step
+        known = leader._known_ranks[rank]
+        known.state = replace(
+            known.state, armed_version=change.version, armed_step=change.step
         )
-    later = model.now + map_coordinator._ARM_AGAIN_S
-    told = [one for one in leader.decide(later) if isinstance(one, Announce)]
-    assert [one.to for one in told] == [("2",)]
+    later = model.now + map_coordinator._ARM_RETRY_S
+    sent = [one for one in leader.decide(later) if isinstance(one, SendMapChange)]
+    assert [one.to for one in sent] == [("2",)]
 
 
 def test_older_report_does_not_undo_the_word_of_the_agent_beside_the_holder():
@@ -323,11 +324,11 @@
     while leader.phase is not Phase.HOLDING:
         model.play(TICK_S)
     change = leader._get_change()
-    before = leader._heard[int(change.holder)].state
+    before = leader._known_ranks[int(change.holder)].state
     holding = replace(before, held_step=change.step)
     leader.observe(holding, now=model.now)
     older = replace(before, held_step=0, messages="")
-    leader.observe(older, now=model.now + 0.001, asked=True)
+    leader.observe(older, now=model.now + 0.001, queried=True)
     leader.decide(model.now + 0.002)
     assert leader.phase is Phase.ARMING
 
@@ -338,11 +339,11 @@
     while leader.phase is not Phase.HOLDING:
         model.play(TICK_S)
     change = leader._get_change()
-    before = leader._heard[int(change.holder)]
+    before = leader._known_ranks[int(change.holder)]
     holding = replace(before.state, held_step=change.step)
-    later = before.at + leader.report_lag_s + 0.01
-    leader.observe(holding, now=later, asked=True)
-    assert leader._heard[int(change.holder)].state.held_step == change.step
+    later = before.received_at + leader.report_lag_s + 0.01
+    leader.observe(holding, now=later, queried=True)
+    assert leader._known_ranks[int(change.holder)].state.held_step == change.step
 
 
 def test_release_goes_both_ways_at_once():
@@ -357,7 +358,7 @@
         model.play(TICK_S)
     order = Release(model.epoch, leader._get_change().step)
     given = leader._order(model.now + 1.0, order)
-    assert {type(one) for one in given} == {GiveOrder, DelegateOrder}
+    assert {type(one) for one in given} == {SendOrder, DelegateOrder}
 
 
 @pytest.mark.parametrize("silent", [0, 2])
@@ -372,13 +373,16 @@
     model.play(6.0)
     model.agents[silent].down_until = model.now + 12.0
     model.agents[silent].stood_still = True
-    model.play(map_coordinator.ALONE_S + map_coordinator.ORPHAN_S + 0.5)
+    model.play(map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S + 0.5)
     before = model.changes
     for _ in range(4):
         model.hot = (model.hot + 3) % EXPERTS
         model.play(2.5)
     assert model.changes >= before + 2
-    assert model.longest_hold_s < map_coordinator.ALONE_S + map_coordinator.ORPHAN_S
+    assert (
+        model.longest_hold_s
+        < map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S
+    )
 
 
 def test_many_silent_agents_are_not_all_read_from_afar(monkeypatch):
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -134,6 +134,6 @@
     leader.observe(replace(model._describe(1), started_ms=AFTER), now=model.now)
     order = Arm(model.epoch, 77, model.step + 3)
     leader.note_done("1", order, started_ms=BEFORE)
-    assert leader._heard[1].state.armed_version == 0
+    assert leader._known_ranks[1].state.armed_version == 0
     leader.note_done("1", order, started_ms=AFTER)
-    assert leader._heard[1].state.armed_version == 77
+    assert leader._known_ranks[1].state.armed_version == 77
