--- a/src/hyssopvane/_internal/policy/expert_maps.py
+++ b/src/hyssopvane/_internal/policy/expert_maps.py
@@ -4,14 +4,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-_EVEN_ENOUGH = 1.02
+_EVEN_SKEW = 1.02
 """Largest load to the mean at which the improvement ends.
 
 Below this a move gains less than a hundredth of the time that tokens add to a step,
 and each copy that it needs is read from a store that all groups share.
 """
 
-_KEEP_BONUS = 1.02
+_KEEP_SKEW = 1.02
 """Load up to which an expert stays where it is rather than go to the emptiest rank."""
 
 
@@ -147,7 +147,7 @@
         self._current = current
         self._slots = slots
         self._keep = keep
-        self._limit = _KEEP_BONUS * sum(loads) / current.ranks
+        self._limit = _KEEP_SKEW * sum(loads) / current.ranks
         self._tokens = [0.0] * current.ranks
         self._used = [0] * current.ranks
         self._holders: list[set[int]] = [set() for _ in loads]
@@ -157,7 +157,7 @@
         order = sorted(range(len(self._shares)), key=lambda one: -self._shares[one])
         for expert in order:
             for _ in range(self._counts[expert]):
-                self._put(expert, self._choose_rank(expert))
+                self._add(expert, self._choose_rank(expert))
 
     def build(self) -> ExpertMap:
         """Return the map."""
@@ -171,7 +171,7 @@
             if used < self._slots and rank not in self._holders[expert]
         ]
         if not free:
-            return self._make_room(expert)
+            return self._free_slot(expert)
         emptiest = min(free, key=lambda rank: self._tokens[rank])
         if not self._keep:
             return emptiest
@@ -184,7 +184,7 @@
         filled = self._tokens[best] + self._shares[expert]
         return best if filled <= self._limit else emptiest
 
-    def _make_room(self, expert: int) -> int:
+    def _free_slot(self, expert: int) -> int:
         """Return a rank, after moving a lighter expert off it to a free slot."""
         spare = next(r for r, used in enumerate(self._used) if used < self._slots)
         for other in sorted(
@@ -193,17 +193,17 @@
             holders = self._holders[other]
             movable = sorted(holders - self._holders[expert])
             if movable and spare not in holders and other != expert:
-                self._take(other, movable[0])
-                self._put(other, spare)
+                self._remove(other, movable[0])
+                self._add(other, spare)
                 return movable[0]
         raise ValueError("the replicas do not fit in the slots")
 
-    def _put(self, expert: int, rank: int) -> None:
+    def _add(self, expert: int, rank: int) -> None:
         self._holders[expert].add(rank)
         self._used[rank] += 1
         self._tokens[rank] += self._shares[expert]
 
-    def _take(self, expert: int, rank: int) -> None:
+    def _remove(self, expert: int, rank: int) -> None:
         self._holders[expert].remove(rank)
         self._used[rank] -= 1
         self._tokens[rank] -= self._shares[expert]
@@ -244,13 +244,13 @@
     def improve_once(self) -> bool:
         """Carry out the best change; return false when none helps."""
         busiest = max(range(self._ranks), key=lambda rank: self._tokens[rank])
-        if self._tokens[busiest] <= _EVEN_ENOUGH * self._mean:
+        if self._tokens[busiest] <= _EVEN_SKEW * self._mean:
             return False
         changes = self._list_changes(busiest)
         best = min(changes, key=lambda one: (one.worst, one.copies), default=None)
         if best is None or best.worst >= self._tokens[busiest]:
             return False
-        self._carry_out(best)
+        self._apply(best)
         return True
 
     def _list_changes(self, busiest: int) -> list[_Change]:
@@ -304,7 +304,7 @@
                 changed[one] = tokens
         return _Change(max(changed.values()), copies, holders)
 
-    def _carry_out(self, change: _Change) -> None:
+    def _apply(self, change: _Change) -> None:
         for expert, after in change.holders:
             before = self._holders[expert]
             for rank in before:
--- a/src/hyssopvane/_internal/policy/expert_moves.py
+++ b/src/hyssopvane/_internal/policy/expert_moves.py
@@ -19,20 +19,20 @@
 busy, since no single copy eases both, whatever else may be copied.
 """
 
-EVEN = 1.2
+EVEN_SKEW = 1.2
 """Busiest rank against the mean from which on a set is left as it is.
 
 Until a map is in force demand has moved on by more than that, and the last tenth would
 take more copies than all the rest."""
 
-_LEAST_PART = 0.02
+_MIN_SAVING = 0.02
 """Part of the busiest rank's cost that a step must save."""
 
-_TRIED_BUSY = 3
+_MAX_BUSY_RANKS = 3
 """Busiest ranks that are eased where the first can't be."""
 
-_TRIED_EXPERTS = 3
-_TRIED_RANKS = 4
+_MAX_EXPERTS = 3
+_MAX_RECEIVING_RANKS = 4
 """Experts of a busy rank and partners of it that are tried in one step: the rest hardly
 ever helps, and a group of many ranks would take too long."""
 
@@ -114,7 +114,7 @@
             # A pass takes the sum over the sets of their busiest ranks: the worst set
             # has most to gain from the next copy.
             worst = max(open_sets, key=_SetLoad.measure_skew)
-            is_even = worst.measure_skew() <= EVEN
+            is_even = worst.measure_skew() <= EVEN_SKEW
             if is_even or not _improve(worst, self._budgets, self._bounds):
                 open_sets.remove(worst)
 
@@ -159,12 +159,12 @@
             for expert in experts:
                 self.holders[expert].append(rank)
         self.times = [
-            pace * sum(self.get_part(expert) for expert in experts)
+            pace * sum(self.get_share(expert) for expert in experts)
             for experts, pace in zip(ranks, self.paces, strict=True)
         ]
         """Time that each rank takes for its tokens, in tokens at the usual pace."""
 
-    def get_part(self, expert: int) -> float:
+    def get_share(self, expert: int) -> float:
         """Return the tokens of an expert that each of its holders gets."""
         return self.loads[expert] / len(self.holders[expert])
 
@@ -212,11 +212,11 @@
 def _improve(state: _SetLoad, budgets: list[int], bounds: MoveBounds) -> bool:
     """Take the step that eases one of the busiest ranks most, if there is one."""
     order = sorted(range(len(state.times)), key=state.times.__getitem__)
-    for busy in order[: -1 - _TRIED_BUSY : -1]:
+    for busy in order[: -1 - _MAX_BUSY_RANKS : -1]:
         best = _find_best(state, budgets, bounds, busy, order)
         if best is None:
             continue
-        _pay(state, budgets, best)
+        _update_budget(state, budgets, best)
         state.take(best)
         return True
     return False
@@ -231,7 +231,7 @@
 ) -> _Step | None:
     worst = max(state.times)
     # Costs are told against the busiest rank's, so that none is too large a number.
-    least = -_LEAST_PART * (state.times[busy] / worst) ** SMOOTHNESS
+    least = -_MIN_SAVING * (state.times[busy] / worst) ** SMOOTHNESS
     best: _Step | None = None
     for step in _list_steps(state, budgets, bounds, busy, order):
         cost = 0.0
@@ -255,9 +255,9 @@
     busy: int,
     order: list[int],
 ) -> list[_Step]:
-    hottest = sorted(state.held[busy], key=state.get_part, reverse=True)
+    hottest = sorted(state.held[busy], key=state.get_share, reverse=True)
     steps: list[_Step] = []
-    for expert in hottest[:_TRIED_EXPERTS]:
+    for expert in hottest[:_MAX_EXPERTS]:
         # Where another rank has the expert too, this one may do without it: that
         # costs no copy, and a slow rank is best rid of it.
         if len(state.holders[expert]) > 1:
@@ -266,7 +266,7 @@
             continue
         tried = 0
         for rank in order:
-            if tried == _TRIED_RANKS or rank == busy:
+            if tried == _MAX_RECEIVING_RANKS or rank == busy:
                 break
             if not _may_copy(state, budgets, bounds, expert, rank):
                 continue
@@ -290,7 +290,7 @@
     return budgets[rank] > 0 and state.count_new(rank) < bounds.new_in_set
 
 
-def _pay(state: _SetLoad, budgets: list[int], step: _Step) -> None:
+def _update_budget(state: _SetLoad, budgets: list[int], step: _Step) -> None:
     original = state.original[step.rank]
     if step.added is not None:
         budgets[step.rank] -= step.added not in original
@@ -304,4 +304,4 @@
     choices = [
         one for one in state.held[rank] if len(state.holders[one]) > 1 and one != expert
     ]
-    return min(choices, key=state.get_part, default=None)
+    return min(choices, key=state.get_share, default=None)
--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -490,7 +490,7 @@
         )
         if chosen is None:
             return []
-        self._search.note_begun(now)
+        self._search.note_started(now)
         version = self._make_version(states)
         self._change = Change(version, chosen.move.experts, now, chosen.copy_s)
         self.phase = Phase.PREPARING
@@ -653,9 +653,7 @@
         need not, since its own rank comes after all others.
         """
         lower = [
-            received_at
-            for rank, received_at in self._agent_seen_at.items()
-            if rank < self._own
+            seen_at for rank, seen_at in self._agent_seen_at.items() if rank < self._own
         ]
         last_led_at = max([self._active_at, *lower])
         if now - last_led_at < ORPHAN_S:
--- a/src/hyssopvane/_internal/policy/map_search.py
+++ b/src/hyssopvane/_internal/policy/map_search.py
@@ -2,12 +2,12 @@
 
 from hyssopvane._internal.policy.demand_window import DemandWindow
 from hyssopvane._internal.policy.expert_moves import measure_skew
-from hyssopvane._internal.policy.move_worth import WeighedMove, find_move
+from hyssopvane._internal.policy.move_worth import EvaluatedMove, find_move
 from hyssopvane._internal.state.group import Counts
 from hyssopvane._internal.state.ranks import ExpertLists
 from hyssopvane._internal.state.routing import ExpertLayout
 
-LEAST_GAIN = 0.25
+MIN_GAIN = 0.25
 """Part of a pass that a change must save.
 
 Copying slows passes by 15 in 100 for some tenths of a second. What costs more: demand
@@ -15,21 +15,21 @@
 as long.
 """
 
-FIRST_DEMAND_S = 3.0
+INITIAL_DEMAND_S = 3.0
 """Time that a demand is expected to last until it has been seen to move."""
 
 DEMAND_WEIGHT = 0.3
 """Weight of the last demand in the time that one is expected to last."""
 
-_CHOOSE_S = 0.12
-_CHOOSE_PART_S = 0.0004
+_SEARCH_INTERVAL_S = 0.12
+_SEARCH_INTERVAL_PER_LIST_S = 0.0004
 """Pause between two looks for a better map, and what each list of experts adds to it.
 
 One look takes 2 ms with 3 sets on 12 ranks and 40 ms with 12 sets on 64, and meanwhile
 the leader takes no word of a rank. Demand is counted about as often as the first.
 """
 
-_MOVED_ON = 1.15
+_SHIFT_RATIO = 1.15
 """Rise of the skew from its least since the last look for a better map, after which
 the next one is not put off: demand has moved on, and passes are long until a map
 follows."""
@@ -42,10 +42,10 @@
         self._demand = DemandWindow()
         self._in_force_at: float | None = None
         """Time at which the last change came into force."""
-        self._lasts_s = FIRST_DEMAND_S
+        self._expected_duration_s = INITIAL_DEMAND_S
         self.searched_at = float("-inf")
         """Time of the last look for a better map."""
-        self._least_skew = 1.0
+        self._min_skew = 1.0
         """Least mean skew of the sets since that look."""
 
     def clear(self) -> None:
@@ -65,11 +65,13 @@
         """Take note that a change has come into force."""
         self._in_force_at = now
 
-    def note_begun(self, now: float) -> None:
+    def note_started(self, now: float) -> None:
         """Learn how long the last demand has lasted: a change for another begins."""
         if self._in_force_at is not None:
-            lasted_s = now - self._in_force_at
-            self._lasts_s += DEMAND_WEIGHT * (lasted_s - self._lasts_s)
+            duration_s = now - self._in_force_at
+            self._expected_duration_s += DEMAND_WEIGHT * (
+                duration_s - self._expected_duration_s
+            )
 
     def measure_skews(
         self, current: ExpertLists, paces: tuple[float, ...], now: float
@@ -86,7 +88,7 @@
         paces: tuple[float, ...],
         arming_s: float,
         now: float,
-    ) -> WeighedMove | None:
+    ) -> EvaluatedMove | None:
         """Return a change that is worth its cost, if a look is due and finds one."""
         loads = self._demand.measure(sets=len(current), now=now)
         skews = _measure_skews(current, loads, paces)
@@ -95,16 +97,16 @@
         skew = sum(skews) / len(skews)
         if not self._is_due(skew, lists=layout.sets * len(current[0]), now=now):
             return None
-        self.searched_at, self._least_skew = now, skew
+        self.searched_at, self._min_skew = now, skew
         found = find_move(
             current,
             loads,
             layout,
             paces=paces,
-            lasts_s=self._measure_lasting(now),
+            lasts_s=self._estimate_duration(now),
             arming_s=arming_s,
         )
-        return found if found.saved >= LEAST_GAIN and found.worth_s > 0 else None
+        return found if found.saved >= MIN_GAIN and found.worth_s > 0 else None
 
     def _is_due(self, skew: float, *, lists: int, now: float) -> bool:
         """Tell whether to look for a better map.
@@ -112,21 +114,21 @@
         To see that demand has moved on takes a twentieth of the time of such a look,
         so a large group need not wait for its next one.
         """
-        self._least_skew = min(self._least_skew, skew)
+        self._min_skew = min(self._min_skew, skew)
         since_s = now - self.searched_at
-        if since_s >= _CHOOSE_S + _CHOOSE_PART_S * lists:
+        if since_s >= _SEARCH_INTERVAL_S + _SEARCH_INTERVAL_PER_LIST_S * lists:
             return True
-        return since_s >= _CHOOSE_S and skew > _MOVED_ON * self._least_skew
+        return since_s >= _SEARCH_INTERVAL_S and skew > _SHIFT_RATIO * self._min_skew
 
-    def _measure_lasting(self, now: float) -> float:
+    def _estimate_duration(self, now: float) -> float:
         """Return the time that the present demand is expected to last.
 
         It is the time from a map in force to the next one that is worth making. A
         demand that has stayed for longer is expected to stay as long again.
         """
         if self._in_force_at is None:
-            return self._lasts_s
-        return max(self._lasts_s, now - self._in_force_at)
+            return self._expected_duration_s
+        return max(self._expected_duration_s, now - self._in_force_at)
 
 
 def _measure_skews(
--- a/src/hyssopvane/_internal/policy/measures.py
+++ b/src/hyssopvane/_internal/policy/measures.py
@@ -12,7 +12,7 @@
 _ACTIVE_SHARE = 0.001
 # Tokens a second below which a customer's meter is dropped, so that memory follows the
 # customers of the last minute.
-_FORGOTTEN_RATE = 0.01
+_MIN_RATE = 0.01
 
 
 class RateMeter:
@@ -58,7 +58,7 @@
             flow = self.flows[customer] = _FlowMeter(weight)
         return flow
 
-    def review(self, *, now: float) -> None:
+    def refresh_active(self, *, now: float) -> None:
         least = self.rate.get_rate(now=now) * _ACTIVE_SHARE
         self.active_weight = 0.0
         for customer, flow in list(self.flows.items()):
@@ -66,7 +66,7 @@
             flow.active = rate > least
             if flow.active:
                 self.active_weight += flow.weight
-            elif rate < _FORGOTTEN_RATE:
+            elif rate < _MIN_RATE:
                 del self.flows[customer]
 
 
@@ -148,10 +148,10 @@
         share = weight / (one.active_weight + (0.0 if flow.active else weight))
         return max(left - others, left * share)
 
-    def review(self, *, now: float) -> None:
+    def refresh_active(self, *, now: float) -> None:
         """Find which customers took work of late; the others claim no share."""
         for one in self._classes.values():
-            one.review(now=now)
+            one.refresh_active(now=now)
 
     def _get_class(self, priority: int) -> _ClassMeter:
         one = self._classes.get(priority)
--- a/src/hyssopvane/_internal/policy/move_worth.py
+++ b/src/hyssopvane/_internal/policy/move_worth.py
@@ -6,7 +6,7 @@
 from hyssopvane._internal.state.ranks import ExpertLists
 from hyssopvane._internal.state.routing import ExpertLayout
 
-COPYING_SLOWS = 0.15
+COPY_SLOWDOWN = 0.15
 """Part by which passes take longer while a rank of the group copies experts: a figure
 of the engines."""
 
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WeighedMove:
+class EvaluatedMove:
     """Hold a new map, and what it is worth."""
 
     move: Move
@@ -34,7 +34,7 @@
     paces: tuple[float, ...],
     lasts_s: float,
     arming_s: float,
-) -> WeighedMove:
+) -> EvaluatedMove:
     """Return the map that is worth most while demand stays for so many seconds.
 
     More copies ease the ranks more and are there later: one takes from 5 to 40 ms by
@@ -45,16 +45,16 @@
     most = layout.sets * layout.new_copies
     bounds = MoveBounds(layout.places, most, layout.new_copies, paces)
     search = MoveSearch(current, loads, bounds)
-    best: WeighedMove | None = None
+    best: EvaluatedMove | None = None
     copies = 1
     while True:
         search.extend(copies)
         move = search.get_move()
         copy_s = move.most_new * one_copy_s
         saved = _measure_saved(move, layout.work_share)
-        worth_s = saved * (lasts_s - copy_s - arming_s) - COPYING_SLOWS * copy_s
+        worth_s = saved * (lasts_s - copy_s - arming_s) - COPY_SLOWDOWN * copy_s
         if best is None or worth_s > best.worth_s:
-            best = WeighedMove(move, saved, copy_s, worth_s)
+            best = EvaluatedMove(move, saved, copy_s, worth_s)
         if worth_s < best.worth_s or move.most_new < copies or copies >= most:
             return best
         copies = min(most, 2 * copies)
--- a/src/hyssopvane/_internal/policy/pass_meter.py
+++ b/src/hyssopvane/_internal/policy/pass_meter.py
@@ -5,7 +5,7 @@
 WINDOW_S = 0.6
 """Time over which passes are counted: a handful of them at the usual pace."""
 
-STANDSTILL = 4.0
+STALL_FACTOR = 4.0
 """Times the mean pass after which a group counts as standing still.
 
 Load makes a pass longer by some tenths, a shift of demand doubles it. A group that is
@@ -26,13 +26,13 @@
         if self._seen and step < self._seen[-1][1]:
             self._seen.clear()
         if not self._seen or step > self._seen[-1][1]:
-            if self._stands_still(now):
+            if self._is_stalled(now):
                 self._seen.clear()
             self._seen.append((now, step))
         while len(self._seen) > 2 and self._seen[0][0] < now - WINDOW_S:
             self._seen.popleft()
 
-    def rest(self) -> None:
+    def reset(self) -> None:
         """Forget the passes so far: an idle group makes none."""
         self._seen.clear()
 
@@ -43,13 +43,13 @@
         mean = self._measure_mean()
         # A pass that is overdue tells more than those before it.
         overdue = now - self._seen[-1][0]
-        return mean if self._stands_still(now) else max(mean, overdue)
+        return mean if self._is_stalled(now) else max(mean, overdue)
 
     def _measure_mean(self) -> float:
         (first_at, first), (last_at, last) = self._seen[0], self._seen[-1]
         return (last_at - first_at) / (last - first)
 
-    def _stands_still(self, now: float) -> bool:
+    def _is_stalled(self, now: float) -> bool:
         if len(self._seen) < 2:
             return False
-        return now - self._seen[-1][0] > STANDSTILL * self._measure_mean()
+        return now - self._seen[-1][0] > STALL_FACTOR * self._measure_mean()
--- a/src/hyssopvane/_internal/policy/pass_model.py
+++ b/src/hyssopvane/_internal/policy/pass_model.py
@@ -12,7 +12,7 @@
 its reader. The rest is room for that.
 """
 
-WORST_SHARE = 0.95
+WORST_PAUSE_SHARE = 0.95
 """Part of the allowed pause that a pass may take when demand has just moved on.
 
 A stream lasts for some two dozen passes, and one that is too long makes it late. Demand
@@ -20,14 +20,14 @@
 about twice as much, and what has been admitted by then can't be sent back.
 """
 
-MOVED_SKEW = 3.2
+SHIFTED_SKEW = 3.2
 """Busiest rank against the mean when demand has moved on: some of what the last map has
 spread is still of use."""
 
-OWN_SKEW = 1.5
+REQUEST_SKEW = 1.5
 """Requests of the fullest rank against the mean; arrivals are not even."""
 
-READ_SKEW = 3.0
+PROMPT_SKEW = 3.0
 """Prompt tokens of the rank that reads most in a pass against the mean: a pass reads
 about one prompt a rank, and entries place them without knowing of each other's."""
 
@@ -75,14 +75,14 @@
         passes are seen, and lets a small one stutter.
         """
         ranks = max(self._ranks, members)
-        moved_s = self._guess_moved(engine, ranks)
-        if not moved_s:
+        shifted_s = self._estimate_shifted(engine, ranks)
+        if not shifted_s:
             return inf
         fixed_s = engine.steps_per_pass * engine.step_s
-        added_s = self._measure_added(engine) or moved_s
-        now = (self.pause_s * PAUSE_SHARE - fixed_s) / added_s
-        moved_on = (self.pause_s * WORST_SHARE - fixed_s) / moved_s
-        return max(float(ranks), min(now, moved_on))
+        added_s = self._measure_added(engine) or shifted_s
+        current_limit = (self.pause_s * PAUSE_SHARE - fixed_s) / added_s
+        shifted_limit = (self.pause_s * WORST_PAUSE_SHARE - fixed_s) / shifted_s
+        return max(float(ranks), min(current_limit, shifted_limit))
 
     def measure_read_tokens(self, engine: EngineModel) -> float:
         """Return the prompt tokens that the group may begin to read in a pass.
@@ -101,27 +101,29 @@
         share = 0.0 if engine.layout is None else engine.layout.work_share
         # Prompts that come together go to different ranks, which read them side by
         # side: what a rank does alone counts for the fullest of them.
-        alone = (1 - share) * READ_SKEW
-        busiest = (alone + share * self._guess_skew(engine)) / self._ranks
+        alone = (1 - share) * PROMPT_SKEW
+        busiest = (alone + share * self._estimate_skew(engine)) / self._ranks
         fixed_s = engine.steps_per_pass * engine.step_s
-        left_s = self.pause_s * WORST_SHARE - max(self.pass_s, fixed_s)
+        left_s = self.pause_s * WORST_PAUSE_SHARE - max(self.pass_s, fixed_s)
         # A little is always read: passes grow shorter only as requests come and go.
-        left_s = max(left_s, self.pause_s * (1 - WORST_SHARE))
+        left_s = max(left_s, self.pause_s * (1 - WORST_PAUSE_SHARE))
         return left_s * engine.read_tokens_per_s / busiest
 
     def reset(self) -> None:
         """Forget the passes so far: the group was formed anew, with the first map."""
         self.pass_s = self._active = 0.0
 
-    def _guess_skew(self, engine: EngineModel) -> float:
+    def _estimate_skew(self, engine: EngineModel) -> float:
         """Return the skew that makes requests as dear as they are measured to be."""
         added_s = self._measure_added(engine)
         if added_s is None or engine.layout is None or not engine.per_request_s:
-            return MOVED_SKEW
+            return SHIFTED_SKEW
         share = engine.layout.work_share
         even_s = engine.steps_per_pass * engine.per_request_s / self._ranks
-        skew = (added_s / even_s - (1 - share) * OWN_SKEW) / max(share, _LEAST_SHARE)
-        return min(MOVED_SKEW, max(1.0, skew))
+        skew = (added_s / even_s - (1 - share) * REQUEST_SKEW) / max(
+            share, _LEAST_SHARE
+        )
+        return min(SHIFTED_SKEW, max(1.0, skew))
 
     def _measure_added(self, engine: EngineModel) -> float | None:
         fixed_s = engine.steps_per_pass * engine.step_s
@@ -129,8 +131,8 @@
             return None
         return (self.pass_s - fixed_s) / self._active
 
-    def _guess_moved(self, engine: EngineModel, ranks: int) -> float:
+    def _estimate_shifted(self, engine: EngineModel, ranks: int) -> float:
         """Return what a request adds while no map follows the demand."""
         share = 0.0 if engine.layout is None else engine.layout.work_share
-        busiest = (1 - share) * OWN_SKEW + share * MOVED_SKEW
+        busiest = (1 - share) * REQUEST_SKEW + share * SHIFTED_SKEW
         return engine.steps_per_pass * engine.per_request_s * busiest / ranks
--- a/src/hyssopvane/_internal/policy/rebalancing.py
+++ b/src/hyssopvane/_internal/policy/rebalancing.py
@@ -14,7 +14,7 @@
 _SECONDS_PER_HOUR = 3600.0
 _HOURS_PER_DAY = 24
 
-_FIRST_S = 1.0
+_FIRST_OBSERVATION_S = 1.0
 """Time that the first observation of an estimate counts for."""
 
 _SETTLED_WEIGHT = 0.25
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weighing:
+class MoveEvaluation:
     """Hold what speaks for and against one move."""
 
     map: ExpertMap
@@ -95,7 +95,9 @@
         """Take in the mean tokens a step of each expert since the last call."""
         # The first call covers an unknown time; were it given full weight, the noise
         # of that one sample would rule the estimate for a whole half-life.
-        last = now - _FIRST_S if self._updated_at is None else self._updated_at
+        last = (
+            now - _FIRST_OBSERVATION_S if self._updated_at is None else self._updated_at
+        )
         keep = 0.5 ** ((now - last) / self._half_life_s)
         self._updated_at = now
         take = 1.0 - keep
@@ -157,7 +159,7 @@
 
     def choose_move(
         self, loads: Sequence[float], rules: MoveRules, *, now: float, hour: int
-    ) -> Weighing | None:
+    ) -> MoveEvaluation | None:
         """Return the move to make now, or nothing."""
         if self._is_moving or not rules.allows_hour(hour % _HOURS_PER_DAY):
             return None
@@ -165,13 +167,15 @@
             return None
         if measure_step_skew(self._costs, self.current, loads) < self._limits.min_skew:
             return None
-        weighed = self.weigh_moves(loads, rules)
-        best = max(weighed, key=lambda one: one.gain - one.cost, default=None)
+        evaluated = self.evaluate_moves(loads, rules)
+        best = max(evaluated, key=lambda one: one.gain - one.cost, default=None)
         if best is None or best.gain <= self._limits.hysteresis * best.cost:
             return None
         return best
 
-    def weigh_moves(self, loads: Sequence[float], rules: MoveRules) -> list[Weighing]:
+    def evaluate_moves(
+        self, loads: Sequence[float], rules: MoveRules
+    ) -> list[MoveEvaluation]:
         """Return moves of growing size with gain and cost."""
         found = list_improvements(
             loads,
@@ -181,7 +185,7 @@
         )
         # Copy by copy the improvement can end at a map that no single change betters.
         found.append(choose_map(loads, slots=self._costs.slots, current=self.current))
-        return [self._weigh(one, loads, rules) for one in found]
+        return [self._evaluate(one, loads, rules) for one in found]
 
     def begin(self) -> None:
         """Take note that a move has begun; no other begins until it ends."""
@@ -197,9 +201,9 @@
         last = self._moved_at
         return last is not None and now - last < self._limits.min_interval_s
 
-    def _weigh(
+    def _evaluate(
         self, found: ExpertMap, loads: Sequence[float], rules: MoveRules
-    ) -> Weighing:
+    ) -> MoveEvaluation:
         costs = self._costs
         size = measure_move(self.current, found)
         bytes_moved = size.copies * costs.bytes_per_expert
@@ -210,7 +214,7 @@
         # A saving counts only after the weights have come.
         useful_s = max(0.0, self._limits.horizon_s - fetch_s)
         saved_s = useful_s * (before - after) / before
-        return Weighing(
+        return MoveEvaluation(
             map=found,
             size=size,
             gain=rules.skew_worth * saved_s,
--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -373,7 +373,7 @@
         if now - service.reviewed_at < _REVIEW_INTERVAL_S:
             return
         service.reviewed_at = now
-        service.meter.review(now=now)
+        service.meter.refresh_active(now=now)
         drains: dict[tuple[int, str], float | None] = {}
         for item, ahead in service.queue.predict_waits():
             flow = (item.priority, item.customer)
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -427,7 +427,7 @@
         if report.active or report.queued or self._coordinator.has_work():
             self._passes.observe(report.step, now=now)
         else:
-            self._passes.rest()
+            self._passes.reset()
         state = self._make_state(report, counts)
         is_due = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
         if is_due:
