--- a/src/hyssopvane/_internal/policy/entry_views.py
+++ b/src/hyssopvane/_internal/policy/entry_views.py
@@ -1,4 +1,4 @@
-"""Hold which entries one entry knows, and who aggregates a customer's demand."""
+"""Track the live entries and choose the aggregator of each customer's demand."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class EntryView:
-    """Hold the live entries and those that left of late."""
+    """Track the live entries and those that left recently."""
 
     def __init__(self, *, own_vm: str) -> None:
         self._own_vm = own_vm
@@ -20,9 +20,10 @@
         return len(self._seeds)
 
     def update(self, others: Iterable[str], *, now: float) -> bool:
-        """Apply a list of the other live entries; tell whether they changed."""
+        """Apply a list of the other live entries; return whether the set changed."""
         names = {self._own_vm, *others}
-        # Those that left were at work until now, however long ago they were listed.
+        # Entries that have just left count as seen until now, because they worked until
+        # this update, however long ago they were listed.
         self._seen_at.update(dict.fromkeys(names | self._seeds.keys(), now))
         if names == self._seeds.keys():
             return False
@@ -30,14 +31,14 @@
         return True
 
     def count_known(self, *, now: float) -> int:
-        """Return the number of entries that are or may still be at work."""
+        """Return the number of entries that are working or may still be working."""
         for name, seen_at in list(self._seen_at.items()):
             if name not in self._seeds and now - seen_at > KNOWN_S:
                 del self._seen_at[name]
         return max(1, len(self._seen_at))
 
     def find_aggregator(self, customer: str) -> str:
-        """Return the entry that gives out shares of a customer's limits."""
+        """Return the entry that distributes the shares of a customer's limits."""
         key = customer.encode()
         return max(
             self._seeds, key=lambda name: rendezvous.score(key, self._seeds[name])
--- a/src/hyssopvane/_internal/policy/expert_maps.py
+++ b/src/hyssopvane/_internal/policy/expert_maps.py
@@ -1,23 +1,27 @@
-"""Choose on which ranks of a group the experts are."""
+"""Assign the experts of a group to its ranks."""
 
 import heapq
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 _EVEN_SKEW = 1.02
-"""Largest load to the mean at which the improvement ends.
+"""Ratio of the busiest rank's load to the mean at which the improvement stops.
 
-Below this a move gains less than a hundredth of the time that tokens add to a step,
-and each copy that it needs is read from a store that all groups share.
+Below this ratio, a move saves less than a hundredth of the time that tokens add to a
+step, and each copy that it needs is read from a store that all groups share.
 """
 
 _KEEP_SKEW = 1.02
-"""Load up to which an expert stays where it is rather than go to the emptiest rank."""
+"""Ratio of a rank's load to the mean up to which an expert stays on the rank instead of
+moving to the least loaded one.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class ExpertMap:
-    """Tell on which ranks each expert is; replicas share its tokens evenly."""
+    """Assign each expert to its ranks; the replicas of an expert share its tokens
+    evenly.
+    """
 
     ranks: int
     ranks_by_expert: tuple[tuple[int, ...], ...]
@@ -46,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveSize:
-    """Tell how many copies of experts a change of maps brings."""
+    """Count the expert copies that a change of maps needs."""
 
     copies: int
     """New copies on all ranks together."""
     most_on_a_rank: int
-    """New copies on the rank that gets most; ranks fetch at the same time."""
+    """New copies on the rank that gets the most; ranks fetch in parallel."""
 
 
 def spread_evenly(*, ranks: int, experts: int) -> ExpertMap:
-    """Return the map that puts the experts on the ranks in turn."""
+    """Return a map that assigns the experts to the ranks in round-robin order."""
     return ExpertMap(ranks, tuple((expert % ranks,) for expert in range(experts)))
 
 
 def measure_move(old: ExpertMap, new: ExpertMap) -> MoveSize:
-    """Return what has to be fetched to go from one map to another."""
+    """Return the number of copies to fetch for a change from one map to another."""
     fetched = [0] * new.ranks
     pairs = zip(old.ranks_by_expert, new.ranks_by_expert, strict=True)
     for before, after in pairs:
@@ -72,12 +76,12 @@
 def choose_map(
     loads: Sequence[float], *, slots: int, current: ExpertMap, keep: bool = True
 ) -> ExpertMap:
-    """Return a map that spreads the loads over the ranks.
+    """Return a map that balances the loads over the ranks.
 
-    Made for expert popularity that drifts with seasons, deadlines and makes of cars:
-    a few experts get many times the mean, and the rank that holds two of them makes
-    every other rank wait in every step. `slots` bounds the copies on a rank by its
-    memory. With `keep` experts stay where they are if that costs little.
+    Expert popularity drifts with seasons, deadlines and makes of cars: a few experts
+    get many times the mean, and a rank that holds two of them delays every other rank
+    in every step. `slots` limits the copies on a rank by its memory. With `keep`,
+    experts stay where they are if that costs little.
     """
     counts = _count_replicas(loads, ranks=current.ranks, slots=slots)
     placement = _Placement(loads, counts, current, slots, keep=keep)
@@ -88,13 +92,14 @@
 def list_improvements(
     loads: Sequence[float], *, slots: int, current: ExpertMap, budgets: Sequence[int]
 ) -> list[ExpertMap]:
-    """Return maps with more and more new copies that ease the busiest ranks.
-
-    Made for small drifts: a whole new choice moves most experts even where two copies
-    would do. Each turn gives the busiest rank's experts one more replica, or swaps one
-    of them for a lighter expert, whichever lowers the maximum more. `budgets` are the
-    numbers of copies, in ascending order, at which a map is returned; a swap may
-    exceed one by a copy. The list is shorter when nothing helps any more.
+    """Return maps with increasing numbers of new copies that relieve the busiest ranks.
+
+    For small drifts this is cheaper than choosing a new map, which moves most experts
+    even where two copies would be enough. Each iteration adds a replica of one of the
+    busiest rank's experts, or swaps one of them for a lighter expert, whichever lowers
+    the maximum more. `budgets` are the numbers of copies, in ascending order, at which
+    a map is returned; a swap may exceed a budget by one copy. The list is shorter when
+    no further change helps.
     """
     improvement = _Improvement(loads, current, slots)
     found: list[ExpertMap] = []
@@ -108,7 +113,7 @@
 
 
 def _count_replicas(loads: Sequence[float], *, ranks: int, slots: int) -> list[int]:
-    """Give the free slots one after another to the expert with the largest share."""
+    """Assign the free slots one by one to the expert with the largest share."""
     counts = [1] * len(loads)
     free = ranks * slots - len(loads)
     if free < 0:
@@ -118,8 +123,8 @@
     heapq.heapify(shares)
     while free > 0 and shares:
         share, expert = heapq.heappop(shares)
-        # A share below half of a rank's mean fits anywhere; one more copy of it would
-        # only cost bytes.
+        # A share of at most half of a rank's mean fits on any rank; another copy of it
+        # would only cost bytes.
         if -share <= mean / 2:
             break
         if counts[expert] == ranks:
@@ -131,7 +136,7 @@
 
 
 class _Placement:
-    """Place replicas by longest processing time first."""
+    """Assign replicas in order of decreasing load (longest processing time first)."""
 
     def __init__(
         self,
@@ -153,14 +158,14 @@
         self._holders: list[set[int]] = [set() for _ in loads]
 
     def place_all(self) -> None:
-        """Place every replica, the heaviest first."""
+        """Place every replica, in order of decreasing load."""
         order = sorted(range(len(self._shares)), key=lambda one: -self._shares[one])
         for expert in order:
             for _ in range(self._counts[expert]):
                 self._add(expert, self._choose_rank(expert))
 
     def build(self) -> ExpertMap:
-        """Return the map."""
+        """Return the resulting map."""
         holders = tuple(tuple(sorted(ranks)) for ranks in self._holders)
         return ExpertMap(self._current.ranks, holders)
 
@@ -178,14 +183,14 @@
         kept = [rank for rank in self._current.ranks_by_expert[expert] if rank in free]
         if not kept:
             return emptiest
-        # A rank that already has the weights is taken as long as it stays near the
-        # mean: the copy saves bytes and the skew hardly changes.
+        # Keep a rank that already has the weights as long as its load stays near the
+        # mean: this saves the bytes of a copy and hardly changes the skew.
         best = min(kept, key=lambda rank: self._tokens[rank])
         filled = self._tokens[best] + self._shares[expert]
         return best if filled <= self._limit else emptiest
 
     def _free_slot(self, expert: int) -> int:
-        """Return a rank, after moving a lighter expert off it to a free slot."""
+        """Move a lighter expert from a rank to a free slot, and return that rank."""
         spare = next(r for r, used in enumerate(self._used) if used < self._slots)
         for other in sorted(
             range(len(self._shares)), key=lambda one: self._shares[one]
@@ -211,17 +216,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """Hold one change of a map and what it leads to."""
+    """Hold one change of a map and its result."""
 
     worst: float
-    """Tokens of the busier of the two ranks that are changed."""
+    """Tokens of the busier of the two changed ranks."""
     copies: int
     holders: tuple[tuple[int, frozenset[int]], ...]
-    """Experts with their new ranks."""
+    """Changed experts with their new ranks."""
 
 
 class _Improvement:
-    """Change a map copy by copy."""
+    """Improve a map by one change at a time."""
 
     def __init__(self, loads: Sequence[float], current: ExpertMap, slots: int) -> None:
         self.copies = 0
@@ -237,12 +242,12 @@
         self._mean = sum(loads) / current.ranks
 
     def build(self) -> ExpertMap:
-        """Return the map."""
+        """Return the resulting map."""
         holders = tuple(tuple(sorted(ranks)) for ranks in self._holders)
         return ExpertMap(self._ranks, holders)
 
     def improve_once(self) -> bool:
-        """Carry out the best change; return false when none helps."""
+        """Apply the best change; return false when no change helps."""
         busiest = max(range(self._ranks), key=lambda rank: self._tokens[rank])
         if self._tokens[busiest] <= _EVEN_SKEW * self._mean:
             return False
@@ -254,8 +259,8 @@
         return True
 
     def _list_changes(self, busiest: int) -> list[_Change]:
-        # The emptiest ranks take most; looking at all pairs of ranks would cost the
-        # square of the group's size and find hardly more.
+        # Only the least loaded ranks are tried as partners. Trying all pairs of ranks
+        # would cost the square of the group's size and hardly find a better change.
         order = sorted(range(self._ranks), key=lambda rank: self._tokens[rank])
         changes: list[_Change] = []
         for expert in sorted(self._held[busiest]):
@@ -275,7 +280,7 @@
         for other in sorted(self._held[rank]):
             ranks = self._holders[other]
             if len(ranks) > 1:
-                # A replica that is needed less makes room without a copy.
+                # Removing a replica of another expert frees a slot without a copy.
                 freed = (other, ranks - {rank})
                 replica = (expert, holders | {rank})
                 changes.append(self._measure(busiest, rank, 1, (replica, freed)))
@@ -318,4 +323,4 @@
 
 
 _MAX_PARTNERS = 8
-"""Ranks that are tried as partners of the busiest one."""
+"""Number of ranks that are tried as partners of the busiest one."""
--- a/src/hyssopvane/_internal/policy/expert_moves.py
+++ b/src/hyssopvane/_internal/policy/expert_moves.py
@@ -1,9 +1,9 @@
-"""Choose new copies of experts that ease the busiest ranks of a group.
+"""Choose new copies of experts that relieve the busiest ranks of a group.
 
-Made for demand that moves to other experts every few seconds. A map that is worked out
-anew needs seconds of copying and is out of date when it comes into force. A few new
-copies on each rank are there within tenths of a second, and since a few experts get
-most of the tokens, they take most of the load off the busiest ranks.
+Demand shifts to other experts every few seconds. A map that is computed from scratch
+needs seconds of copying and is out of date when it comes into force. A few new copies
+on each rank are available within tenths of a second. They take most of the load off the
+busiest ranks, since a few experts get most of the tokens.
 """
 
 from collections.abc import Sequence
@@ -13,59 +13,64 @@
 from hyssopvane._internal.state.ranks import ExpertLists
 
 SMOOTHNESS = 8
-"""Power of a rank's time in the cost of a set.
+"""Exponent of a rank's time in the cost of a set.
 
-With the busiest rank's time alone a search stops as soon as two ranks are equally
-busy, since no single copy eases both, whatever else may be copied.
+A search by the busiest rank's time alone stops as soon as two ranks are equally busy:
+no single copy relieves both, whatever other copies would help.
 """
 
 EVEN_SKEW = 1.2
-"""Busiest rank against the mean from which on a set is left as it is.
+"""Skew (busiest rank's time divided by the mean) up to which a set is left unchanged.
 
-Until a map is in force demand has moved on by more than that, and the last tenth would
-take more copies than all the rest."""
+Demand shifts by more than that before a map comes into force, and removing the last
+tenth would take more copies than everything before it.
+"""
 
 _MIN_SAVING = 0.02
-"""Part of the busiest rank's cost that a step must save."""
+"""Least saving of a step, as a fraction of the busiest rank's cost."""
 
 _MAX_BUSY_RANKS = 3
-"""Busiest ranks that are eased where the first can't be."""
+"""Number of busiest ranks that are tried in turn if the first can't be relieved."""
 
 _MAX_EXPERTS = 3
 _MAX_RECEIVING_RANKS = 4
-"""Experts of a busy rank and partners of it that are tried in one step: the rest hardly
-ever helps, and a group of many ranks would take too long."""
+"""Experts of a busy rank, and ranks to copy them to, that are tried in one step.
+Further ones hardly ever help, and would take too long in a group of many ranks.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveBounds:
-    """Bound one change of a map."""
+    """Limit one change of a map."""
 
     places: int
-    """Experts of a set that fit on a rank."""
+    """Experts of one set that fit on a rank."""
     new_copies: int
     """New experts that a rank may get, over all sets together.
 
-    A rank copies one after the other. Copies for different sets go to different ranks,
-    so that all sets gain in the time of one copy.
+    A rank copies them one after the other. Copies for different sets go to different
+    ranks, so that all sets gain within the time of one copy.
     """
     new_in_set: int
-    """New experts of one set that a rank may get: it has no room for more while the
-    old map is in use."""
+    """New experts of one set that a rank may get: there is no memory for more while the
+    old map is in use.
+    """
     paces: tuple[float, ...] = ()
-    """Time that each rank takes for a token against its usual one; empty: 1 for all."""
+    """Time that each rank takes for a token, relative to its usual time; empty means 1
+    for all ranks.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Hold a new map."""
+    """Hold a new map and its effect on the skew."""
 
     experts: ExpertLists
     skews_before: tuple[float, ...]
-    """Tokens of the busiest rank against the mean, by set."""
+    """Tokens of the busiest rank divided by the mean, by set."""
     skews_after: tuple[float, ...]
     most_new: int
-    """New experts on the rank that gets most."""
+    """New experts on the rank that gets the most."""
 
 
 def measure_skew(
@@ -73,21 +78,21 @@
     loads: Sequence[float],
     paces: Sequence[float] = (),
 ) -> float:
-    """Return the time of the busiest rank against an even spread at the usual pace."""
+    """Return the busiest rank's time relative to an even spread at the usual pace."""
     return _SetLoad(ranks, loads, paces).measure_skew()
 
 
 def choose_move(
     experts: ExpertLists, loads: Sequence[Sequence[float]], bounds: MoveBounds
 ) -> Move:
-    """Return the map that few new copies lead to, given each set's loads."""
+    """Return the map that results from a few new copies, given each set's loads."""
     search = MoveSearch(experts, loads, bounds)
     search.extend(bounds.new_copies)
     return search.get_move()
 
 
 class MoveSearch:
-    """Look for a better map, with more and more new copies on a rank."""
+    """Search for a better map with an increasing number of new copies on each rank."""
 
     def __init__(
         self,
@@ -105,21 +110,23 @@
         self._budgets = [0] * len(experts[0])
 
     def extend(self, new_copies: int) -> None:
-        """Go on until each rank has so many new copies, or nothing more helps."""
+        """Continue the search until each rank has `new_copies` new copies or none
+        helps.
+        """
         added = new_copies - self._new_copies
         self._new_copies = new_copies
         self._budgets = [budget + added for budget in self._budgets]
         open_sets = [state for state in self._states if state.total]
         while open_sets:
-            # A pass takes the sum over the sets of their busiest ranks: the worst set
-            # has most to gain from the next copy.
+            # The time of a pass is the sum over the sets of their busiest ranks' times,
+            # so the set with the largest skew gains the most from the next copy.
             worst = max(open_sets, key=_SetLoad.measure_skew)
             is_even = worst.measure_skew() <= EVEN_SKEW
             if is_even or not _improve(worst, self._budgets, self._bounds):
                 open_sets.remove(worst)
 
     def get_move(self) -> Move:
-        """Return the map that was found."""
+        """Return the map found so far."""
         return Move(
             experts=tuple(
                 tuple(tuple(sorted(held)) for held in state.held)
@@ -133,7 +140,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    """Name one change of a set: a new copy, a copy less on its rank, or both."""
+    """Describe one change of a set: a new copy, a removed copy on the same rank, or
+    both.
+    """
 
     added: int | None
     dropped: int | None
@@ -141,7 +150,7 @@
 
 
 class _SetLoad:
-    """Hold who has which experts of a set, and the time that each rank takes."""
+    """Track which ranks hold the experts of a set, and the time of each rank."""
 
     def __init__(
         self,
@@ -165,7 +174,7 @@
         """Time that each rank takes for its tokens, in tokens at the usual pace."""
 
     def get_share(self, expert: int) -> float:
-        """Return the tokens of an expert that each of its holders gets."""
+        """Return the tokens of an expert that each rank holding it gets."""
         return self.loads[expert] / len(self.holders[expert])
 
     def measure_skew(self) -> float:
@@ -175,7 +184,7 @@
         return len(self.held[rank] - self.original[rank])
 
     def measure(self, step: _Step) -> dict[int, float]:
-        """Return what a step adds to the time of each rank that it concerns."""
+        """Return the time that a step adds to each affected rank."""
         added: dict[int, float] = {}
         if step.added is not None:
             self._shift(added, step.added, step.rank, more=1)
@@ -184,7 +193,7 @@
         return added
 
     def take(self, step: _Step) -> None:
-        """Carry a step out."""
+        """Apply a step."""
         for rank, added in self.measure(step).items():
             self.times[rank] += added
         if step.added is not None:
@@ -210,7 +219,9 @@
 
 
 def _improve(state: _SetLoad, budgets: list[int], bounds: MoveBounds) -> bool:
-    """Take the step that eases one of the busiest ranks most, if there is one."""
+    """Apply the step that relieves one of the busiest ranks most; return false if none
+    does.
+    """
     order = sorted(range(len(state.times)), key=state.times.__getitem__)
     for busy in order[: -1 - _MAX_BUSY_RANKS : -1]:
         best = _find_best(state, budgets, bounds, busy, order)
@@ -230,7 +241,7 @@
     order: list[int],
 ) -> _Step | None:
     worst = max(state.times)
-    # Costs are told against the busiest rank's, so that none is too large a number.
+    # Costs are relative to the busiest rank's time, so that the powers stay small.
     least = -_MIN_SAVING * (state.times[busy] / worst) ** SMOOTHNESS
     best: _Step | None = None
     for step in _list_steps(state, budgets, bounds, busy, order):
@@ -258,8 +269,8 @@
     hottest = sorted(state.held[busy], key=state.get_share, reverse=True)
     steps: list[_Step] = []
     for expert in hottest[:_MAX_EXPERTS]:
-        # Where another rank has the expert too, this one may do without it: that
-        # costs no copy, and a slow rank is best rid of it.
+        # If another rank holds the expert too, it can be dropped from this rank: that
+        # costs no copy, and it helps most on a slow rank.
         if len(state.holders[expert]) > 1:
             steps.append(_Step(None, expert, busy))
         if state.paces[busy] > SLOW_PACE and len(state.holders[expert]) > 1:
@@ -295,12 +306,12 @@
     if step.added is not None:
         budgets[step.rank] -= step.added not in original
     if step.dropped is not None:
-        # A copy that was to be new need not be made.
+        # A planned copy that is dropped again need not be made.
         budgets[step.rank] += step.dropped not in original
 
 
 def _find_droppable(state: _SetLoad, rank: int, expert: int) -> int | None:
-    """Return the expert whose copy on a rank is needed least."""
+    """Return the expert whose copy on a rank has the smallest share of tokens."""
     choices = [
         one for one in state.held[rank] if len(state.holders[one]) > 1 and one != expert
     ]
