--- a/src/hyssopvane/_internal/policy/group_capacity.py
+++ b/src/hyssopvane/_internal/policy/group_capacity.py
@@ -1,4 +1,4 @@
-"""Count the room in one group of replicas that work in step."""
+"""Count the free capacity of one group of replicas that work in lockstep."""
 
 from collections import deque
 from random import Random
@@ -10,29 +10,31 @@
 from hyssopvane._internal.state.routing import EngineModel
 
 LATE_RESERVE = 0.1
-"""Part of the limit that requests which are late anyway leave free.
+"""Fraction of the limit that late requests leave free.
 
-A place that falls free is seen first by the entry that it falls free at. Without the
-reserve, those who wait there get it, late, and the next caller at another entry, who
-could have been served in time, begins to wait.
+The entry whose request ends sees the free place first. Without the reserve, late
+requests at this entry would take it, and the next caller at another entry, which could
+have been served in time, would have to wait.
 """
 
 
 PROBE_INTERVAL_S = 0.25
-"""Time after which a group that refused, and that nobody tells of, is tried again."""
+"""Time after which a group that refused a request, and that sends no load, is tried
+again.
+"""
 
 INITIAL_DURATION_S = 1.0
-"""Time for which a request runs while none has ended yet."""
+"""Assumed duration of a request until the first one has ended."""
 
 DURATION_WEIGHT = 0.1
-"""Weight of the last request in the mean time for which one runs."""
+"""Weight of the last request in the mean duration."""
 
 
 class GroupCapacity:
     """Limit the requests of one group, over all entries.
 
-    A service has one group or several; each makes passes of its own, so what one can
-    take says nothing about the others.
+    A service has one group or several. Each group makes its own passes, so the capacity
+    of one says nothing about the others.
     """
 
     def __init__(self, *, random: Random) -> None:
@@ -41,34 +43,38 @@
         self.members: dict[str, ReplicaLoad] = {}
         """Replicas by their id."""
         self._reported_entries = 0
-        """Entries that the leader hears; 0 where no load has come."""
+        """Number of entries that the leader receives messages from; 0 before the first
+        load.
+        """
         self._step = -1
         self._reserved = 0
-        """Places that this entry has taken since the last pass began."""
+        """Places that this entry has reserved since the last pass began."""
         self._draw = 0.0
         self._epoch = -1
         self._backs_off_until = float("-inf")
-        """Time until which a group that nobody tells of counts as broken."""
+        """Time until which a group that sends no load is considered broken."""
         self._has_served = False
-        """Whether a member has begun to answer since it last refused."""
+        """Whether a member has begun to answer a request since the last refusal."""
         self._ranks = 1
         self._started_at: deque[float] = deque()
-        """Times at which this entry took the places that it still has."""
+        """Times at which this entry reserved the places that it still holds."""
         self._mean_duration_s = INITIAL_DURATION_S
-        """Mean time for which a request runs."""
+        """Mean duration of a request."""
         self._finished = 0
         self._prompt_budget = 0.0
         """Prompt tokens that this entry may still send before the next pass."""
         self._is_prompt_budget_due = True
-        """Whether a pass has begun since the tokens were last worked out."""
+        """Whether a pass has begun since the prompt budget was last computed."""
 
     @property
     def entries(self) -> int:
-        """Return the entries that send to the group, guessed while none are told."""
+        """Return the number of entries that send to the group, estimated until
+        reported.
+        """
         return self._reported_entries or estimate_entries(len(self.members))
 
     def observe(self, load: RankLoad, *, now: float, members: int = 1) -> None:
-        """Take what a load tells of the group, and of how many members it was."""
+        """Apply the group's state from a load that covers `members` members."""
         self._reported_entries = max(1, load.entries)
         self._ranks = load.ranks
         if load.epoch != self._epoch:
@@ -88,25 +94,25 @@
             self._draw = self._random.random()
 
     def get_limit(self, engine: EngineModel | None) -> float:
-        """Return the requests that the group may have at once."""
+        """Return the maximum number of concurrent requests of the group."""
         slots = float(sum(member.replica.slots for member in self.members.values()))
         if engine is None:
             return slots
         return min(slots, self.passes.get_limit(engine, members=len(self.members)))
 
     def count(self, now: float) -> int:
-        """Return the requests that the group is believed to have."""
+        """Return the estimated number of requests in the group."""
         return sum(member.count(now, self.entries) for member in self.members.values())
 
     def is_open(self, now: float) -> bool:
-        """Tell whether a member serves requests, as far as known."""
+        """Return whether a member serves requests, as far as known."""
         reported = [member for member in self.members.values() if member.is_fresh(now)]
         if not reported:
             return now >= self._backs_off_until
         return any(member.is_open(now) for member in reported)
 
     def serves(self, now: float) -> bool | None:
-        """Tell whether it serves requests, None while nothing shows it."""
+        """Return whether the group serves requests, or None if it is unknown."""
         if self._has_fresh_load(now):
             return self.is_open(now)
         if now < self._backs_off_until + PROBE_INTERVAL_S:
@@ -114,37 +120,37 @@
         return True if self._has_served else None
 
     def note_refusal(self, now: float) -> None:
-        """Take note that a member has turned a request away.
+        """Record that a member has refused a request.
 
-        Made for the seconds after everything has lost power: entries are back before
-        the group is formed and before an agent tells them that it is not. Callers
-        would be sent to two ranks, refused by both, asked back within 0.3 s and refused
-        again. One request in a while shows whether the group serves again, and all
-        others hear at once when to come back.
+        After a power loss, entries are back seconds before the group is formed and
+        before an agent reports that it is not. Callers would be sent to two ranks,
+        refused by both, retried within 0.3 s and refused again. Instead, one request at
+        each probe interval shows whether the group serves again, and all others are
+        told at once when to come back.
         """
         if not self._has_fresh_load(now):
             self._backs_off_until = now + PROBE_INTERVAL_S
             self._has_served = False
 
     def note_served(self) -> None:
-        """Take note that a member has begun to answer a request."""
+        """Record that a member has begun to answer a request."""
         self._backs_off_until = float("-inf")
         self._has_served = True
 
     def get_utilization(self, engine: EngineModel | None, now: float) -> float:
-        """Return the part of the limit that is used."""
+        """Return the fraction of the limit that is in use."""
         return self.count(now) / max(1.0, self.get_limit(engine))
 
     def count_available(
         self, engine: EngineModel | None, now: float, *, late: bool
     ) -> int:
-        """Return the places that this entry may take now.
+        """Return the number of places that this entry may reserve now.
 
-        Made for a full group at which several entries wait. All of them see the same
-        free places; were each to take them, or its part again and again before the
-        next reports show what the others took, the group would get twice its limit and
-        all of its streams would stutter. So each takes its part once in a pass. Where
-        fewer places than entries are free, a draw decides who takes one.
+        When several entries wait for a full group, all of them see the same free
+        places. If each took all of them, or took its share repeatedly before the next
+        reports show what the others took, the group would get twice its limit and all
+        of its streams would stall. So each entry takes its share once per pass. If
+        fewer places than entries are free, a random draw decides which entry takes one.
         """
         if self._is_probing(now):
             return 1
@@ -159,24 +165,25 @@
         return max(0, int(share + self._draw) - self._reserved)
 
     def _is_probing(self, now: float) -> bool:
-        """Tell whether one request shows whether a group that refused serves again.
+        """Return whether a single request probes whether a group that refused serves
+        again.
 
-        All who wait would be sent at once else, and be refused together.
+        Otherwise all waiting requests would be sent at once and refused together.
         """
         refused = self._backs_off_until > float("-inf")
         return refused and not self._has_fresh_load(now)
 
     def allows_prompt(self, engine: EngineModel | None, now: float) -> bool:
-        """Tell whether one more prompt fits in the next pass.
+        """Return whether one more prompt fits in the next pass.
 
-        A prompt is never split: the one that goes beyond this entry's part is paid for
-        by the passes after it, so large ones get their turn like small ones.
+        A prompt is never split. One that exceeds this entry's share is charged to the
+        passes after it, so that large prompts get their turn like small ones.
         """
         if engine is None or not self._has_fresh_load(now):
             return True
         if not self._is_prompt_budget_due and not self.count(now):
-            # Nothing runs whose readers would wait, and an idle group makes no passes
-            # that could pay for what was sent before.
+            # No running stream would be delayed, and an idle group makes no passes to
+            # which tokens that were sent before could be charged.
             self._prompt_budget = 0.0
             return True
         if self._is_prompt_budget_due:
@@ -186,12 +193,13 @@
         return self._prompt_budget > 0
 
     def _measure_share(self, now: float) -> float:
-        """Return this entry's part of what all entries may send.
+        """Return this entry's share of the prompt tokens that all entries may send.
 
-        Callers spread unevenly over many entries. With an even part the busiest of 13
-        entries lets its callers wait for what others leave unused; so the part follows
-        its requests, and is an even one at least. What the loads don't show yet is left
-        out: of others' requests just as new nothing is known either.
+        Callers are spread unevenly over many entries. With an even share, the busiest
+        of 13 entries keeps its callers waiting for capacity that others leave unused.
+        So the share follows the entry's requests, and is at least an even one. Requests
+        that the loads don't include yet are left out, since equally recent requests of
+        other entries are unknown too.
         """
         unseen = sum(len(member.sent_at) for member in self.members.values())
         own = sum(member.own for member in self.members.values()) - unseen
@@ -199,23 +207,25 @@
         return max(1 / self.entries, min(1.0, own / reported) if reported > 0 else 0.0)
 
     def estimate_arrivals(self, now: float) -> float:
-        """Return the requests that all entries send in the time between two loads.
-
-        What is believed of a rank is up to a look of its agent and one of the leader
-        old. As many requests come in a time as leave in it, so their number follows
-        from those that run and how long they last. What one entry sends in that time is
-        too little to tell by: with its own rate each entry of a zone would take itself
-        for alone, and send to ranks that others have just filled.
+        """Return the number of requests that all entries send in the time between two
+        loads.
+
+        The known state of a rank is up to one poll of its agent plus one of the leader
+        old. Requests arrive at the rate at which they finish, so their number follows
+        from those that run and their mean duration. The requests of one entry in that
+        time are too few for an estimate: by its own rate, each entry of a zone would
+        assume that it is the only one, and send to ranks that others have just filled.
         """
         unreported_s = 2 * get_poll_interval_s(self._ranks)
         return self.count(now) * unreported_s / max(self._mean_duration_s, unreported_s)
 
     def finish(self, now: float) -> None:
-        """Take note that one of this entry's requests has left the group.
+        """Record that one of this entry's requests has left the group.
 
-        Which one it was does not matter for the mean time that they last.
+        The mean duration doesn't depend on which request it was.
         """
-        # Those of a replica's earlier start have ended unseen.
+        # Requests to an earlier start of a replica have ended without a call to this
+        # method.
         own = sum(member.own for member in self.members.values())
         while len(self._started_at) > own + 1:
             self._started_at.popleft()
@@ -226,7 +236,7 @@
             self._mean_duration_s += weight * (duration_s - self._mean_duration_s)
 
     def take(self, prompt_tokens: int, *, now: float) -> None:
-        """Count a place that this entry has taken."""
+        """Reserve a place for a request of this entry."""
         if self._is_probing(now):
             self._backs_off_until = now + PROBE_INTERVAL_S
         self._started_at.append(now)
--- a/src/hyssopvane/_internal/policy/group_presence.py
+++ b/src/hyssopvane/_internal/policy/group_presence.py
@@ -1,8 +1,8 @@
-"""Decide which agents of a group tell that they live, and to whom.
+"""Decide which agents of a group send presence messages, and to which agents.
 
-Only the agents of the three lowest ranks that live speak to others than their leader.
-Were all of them to, 192 agents that have to find each other would send 18,000 messages
-a second, more than a third of what their links bear.
+Only the agents of the three lowest live ranks send messages to agents other than their
+leader. If all of them did, 192 agents that discover each other would send 18,000
+messages a second, more than a third of what their links carry.
 """
 
 from collections.abc import Sequence
@@ -12,55 +12,66 @@
 from hyssopvane._internal.state.group import RankState
 
 PRESENCE_SENDERS = DEPUTIES + 1
-"""Agents that tell others that they live: the leader and those that lead after it."""
+"""Number of agents that send presence messages: the leader and its deputies."""
 
 PRESENCE_INTERVAL_S = 0.25
-"""Pause between two words among these: the next one leads after 0.8 s of silence."""
+"""Interval of presence messages among these agents: the next one leads after 0.8 s of
+silence.
+"""
 
 LEADER_BROADCAST_ROUNDS = 2
 DEPUTY_BROADCAST_ROUNDS = 4
-"""Such pauses between two words to all agents of the group, by what the agent is."""
+"""Number of such intervals between two presence messages to all agents of the group,
+for the leader and for a deputy.
+"""
 
 LEADER_SILENCE_S = 1.3
-"""Silence after which an agent is no longer taken for the leader: the words of the
-next one come each second."""
+"""Silence after which an agent is no longer considered the leader: its deputies send
+presence messages to all agents once a second.
+"""
 
 MEMBER_SILENCE_S = 3.0
-"""Silence after which a member is looked for among the agents that are not known: its
-replica may have been replaced by one on another machine."""
+"""Silence after which a member is searched for among the unknown agents: its replica
+may have been replaced by one on another machine.
+"""
 
 LEADER_CLAIM_S = 0.6
-"""Silence of the lower ranks after which an agent that says that it leads is believed.
+"""Silence of the lower ranks after which an agent's claim to lead is accepted.
 
-It has not heard of them for 0.8 s, and a leader tells all that it lives each 0.5 s.
-Were the ranks to wait for the whole time above, a pass that the leader held when it
-failed would stand still for half a second more.
+The claiming agent has received nothing from them for 0.8 s, and a leader sends its
+presence to all agents every 0.5 s. If the ranks waited for `LEADER_SILENCE_S`, a pass
+that the failed leader held would stay blocked for half a second longer.
 """
 
 PEER_EXPIRY_S = 6.0
-"""Silence after which an agent is told nothing more: full states come each 2 s."""
+"""Silence after which an agent is sent nothing more; full states come every 2 s."""
 
 BACKUP_DELAY_S = 4.0
 BACKUP_STAGGER_S = 0.05
-"""Time from its group's forming until an agent that has heard nobody speaks to all, for
-ranks that don't lead and aren't next, and what each rank adds. The others don't wait.
+"""Delay before a rank other than the three lowest sends presence messages to all agents
+when it has received none, and the additional delay for each rank. The three lowest
+ranks don't wait.
 
-All agents may start in the same moment. The lowest ranks read the store and speak to
-two hundred agents within two seconds; the others would follow the store for nothing.
+All agents may start at the same moment. The lowest ranks read the store and reach two
+hundred agents within two seconds; following the store would be wasted work for the
+others.
 """
 
 UNKNOWN_AGENTS_PER_S = 400
-"""Agents outside the group that is known which are told, while members are missing.
+"""Rate of messages to agents outside the known group while members are missing.
 
-They are told in turn, so the cost does not grow with the fleet: 19 KB a second. After a
-loss of power no map follows the demand until the group is complete.
+Each round goes to the next of them in turn, so the cost does not grow with the fleet:
+19 KB a second. After a power loss, no map follows the demand until the group is
+complete.
 """
 
 FULL_STATE_INTERVAL_S = 2.0
-"""Pause between two full states to those that lead or may lead next."""
+"""Interval of full states to the agents that lead or may lead next."""
 
 FULL_STATE_REPEATS = 2
-"""Full states at first: until one has arrived, the short ones say nothing."""
+"""Number of full states that are sent first: short states are unusable until a full one
+has arrived.
+"""
 
 
 @dataclass(slots=True)
@@ -72,7 +83,7 @@
 
 
 class GroupPresence:
-    """Know the agents of the own group that were heard."""
+    """Track the agents of this agent's group by the messages received from them."""
 
     def __init__(self) -> None:
         self._peers: dict[str, _Peer] = {}
@@ -81,22 +92,22 @@
         self._was_leading = False
         self._next_unknown = 0
         self._full_state_subject: tuple[object, ...] = ()
-        """What the last full states were about."""
+        """Receivers and identity that the last full states were sent for."""
         self._full_state_count = 0
         self._full_state_sent_at = float("-inf")
 
     def remove(self, address: str) -> None:
-        """Drop an agent that belongs to another group."""
+        """Remove an agent that belongs to another group."""
         self._peers.pop(address, None)
 
     def clear(self) -> None:
-        """Drop all agents: the rank belongs to another group now."""
+        """Remove all agents because the rank now belongs to another group."""
         self._peers.clear()
 
     def observe(
         self, address: str, rank: int, *, now: float, leads: bool = False
     ) -> None:
-        """Take note that an agent lives, and whether it says that it leads."""
+        """Record that an agent is alive, and whether it claims to lead."""
         if leads:
             for lower in self._peers.values():
                 if lower.rank < rank and now - lower.seen_at > LEADER_CLAIM_S:
@@ -105,7 +116,8 @@
         if peer is not None and peer.rank == rank:
             peer.seen_at = now
             return
-        # Another machine has the rank now: whoever had it is no member any more.
+        # Another machine has the rank now, so its previous holder is no longer a
+        # member.
         for other, known in list(self._peers.items()):
             if known.rank == rank:
                 del self._peers[other]
@@ -114,10 +126,10 @@
     def complete_state(
         self, state: RankState, sender: str, *, now: float
     ) -> RankState | None:
-        """Return a state with what short ones leave out; None where it is not known.
+        """Fill in the fields that a short state omits; return None if they are unknown.
 
-        A short state of another start or epoch than the last full one is not completed:
-        the address of its replica might be another's by now.
+        A short state of another start or epoch than the last full one is rejected: the
+        address of its replica may belong to another one by now.
         """
         if state.replica:
             self.observe(state.messages, state.rank, now=now)
@@ -142,12 +154,12 @@
         )
 
     def find_leader(self, rank: int, now: float) -> str | None:
-        """Return the agent of the lowest rank that lives, unless it is this one."""
+        """Return the agent of the lowest live rank, or None if that is this agent."""
         lower = self._list_lower(rank, now)
         return lower[0] if lower else None
 
     def sends_presence(self, rank: int, now: float) -> bool:
-        """Tell whether this agent speaks to all others of its group."""
+        """Return whether this agent sends presence messages to the whole group."""
         if self._first_asked_at is None:
             self._first_asked_at = now
         waits_s = (
@@ -160,7 +172,7 @@
     def choose_presence_receivers(
         self, rank: int, ranks: int, agents: Sequence[str], now: float, *, leads: bool
     ) -> list[str]:
-        """Return the agents that are told now that this one lives."""
+        """Return the agents to send this agent's presence to in this round."""
         self._remove_expired(now)
         self._round += 1
         lowest = sorted(self._peers, key=lambda one: self._peers[one].rank)
@@ -180,10 +192,11 @@
     def choose_state_receivers(
         self, state: RankState, rank: int, now: float
     ) -> tuple[list[str], bool]:
-        """Return the agents that are told a state now, and whether it is a full one.
+        """Return the agents to send a state to, and whether it is a full state.
 
-        The leader's state goes to those that lead after it: without it they can't tell
-        whether a group that it holds may go on.
+        The full state goes to the leader and to the agents that lead next: without the
+        leader's own state, its successors can't decide whether a group that it holds
+        may continue.
         """
         lower = self._list_lower(rank, now)
         leaders = self._list_live(now)[:PRESENCE_SENDERS]
