--- a/src/hyssopvane/_internal/policy/load_inbox.py
+++ b/src/hyssopvane/_internal/policy/load_inbox.py
@@ -1,4 +1,4 @@
-"""Follow the loads that groups tell one entry, and whom to ask when they stop."""
+"""Receive the loads that groups publish, and choose agents to query for missing ones."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -6,31 +6,36 @@
 from hyssopvane._internal.state.loads import EntryContact, GroupLoad, Member, Roster
 
 LOAD_TIMEOUT_S = 0.35
-"""Silence after which an entry complains: loads come eight times a second, and now and
-then one is lost."""
+"""Silence after which an entry queries for a missing load: loads come eight times a
+second, and one may be lost.
+"""
 
 MIN_QUERY_PAUSE_S = 0.25
 MAX_QUERY_PAUSE_S = 2.0
-"""Pause between two complaints of one silence, which doubles.
+"""Limits of the pause between two queries during one silence; the pause doubles.
 
-The first ones replace a relay that has failed. Later ones find a group that nobody
-leads, or a network that is full, where more messages would lose what still arrives.
+The first queries replace a relay that has failed. Later ones meet a group without a
+leader or a congested network, where more messages would cause the loss of those that
+still arrive.
 """
 
 CONTACTS_PER_GROUP = 3
-"""Ranks of a group that an entry speaks to, from the lowest: its leader and those that
-lead after it."""
+"""Ranks of a group that an entry sends messages to, from the lowest: its leader and
+those that lead next.
+"""
 
 ROSTER_EXPIRY_S = 10.0
-"""Time that a roster is kept after it was last told or used: it is told each 2 s."""
+"""Time after the last receipt or use of a roster at which it expires; rosters come
+every 2 s.
+"""
 
 MAX_SOURCES = 4
-"""Leaders of a group whose last number is kept."""
+"""Number of leaders of a group whose last sequence number is kept."""
 
 MAX_QUERIES = 8
-"""Agents that are asked in one look for replicas that no group's roster names.
+"""Number of agents that are queried at once for replicas that no group's roster names.
 
-Any agent passes the question on to its leader, so one answer brings a whole group.
+Any agent forwards the query to its leader, so one answer covers a whole group.
 """
 
 
@@ -39,25 +44,25 @@
     roster: Roster
     received_at: float
     sequences: dict[int, int] = field(default_factory=dict)
-    """Last number by the process that told it."""
+    """Last sequence number by the process that sent it."""
     next_query_at: float = 0.0
     pause_s: float = MIN_QUERY_PAUSE_S
 
 
 class LoadInbox:
-    """Resolve loads by their rosters, each once and in order."""
+    """Resolve loads by their rosters; accept each load once and in order."""
 
     def __init__(self, *, random: Random) -> None:
         self._random = random
         self._rosters: dict[int, Roster] = {}
         self._used_at: dict[int, float] = {}
         self._groups: dict[str, _Group] = {}
-        """By the group's name, or the address of a replica in none."""
+        """By the name of the group, or by the address of a replica without a group."""
         self._next_query_at = float("-inf")
         self._query_pause_s = MIN_QUERY_PAUSE_S
 
     def add_roster(self, roster: Roster, *, now: float) -> None:
-        """Learn the members of a group."""
+        """Store the members of a group."""
         if not roster.members:
             return
         self._rosters[roster.number] = roster
@@ -66,11 +71,12 @@
         self._remove_expired(now)
 
     def take(self, load: GroupLoad, *, now: float) -> Roster | None:
-        """Return the roster that a load is to be read by, if it is new and readable.
+        """Return the roster of a load, or None if the load is outdated or can't be
+        resolved.
 
-        Relays and two leaders at a time bring loads twice, and networks bring them late
-        and out of order. An older one would set back what is believed of each member,
-        and a start that has ended would be counted as running again.
+        Relays and two simultaneous leaders deliver loads twice, and networks deliver
+        them late and out of order. An outdated load would revert the state of each
+        member, and a start that has ended would count as running again.
         """
         roster = self._rosters.get(load.roster)
         if roster is None or len(roster.members) != len(load.members):
@@ -90,7 +96,7 @@
         return roster
 
     def list_contacts(self) -> list[str]:
-        """Return the replicas whose agents are told that this entry lives."""
+        """Return the replicas to whose agents this entry sends its state."""
         return [
             member.address
             for group in self._groups.values()
@@ -104,7 +110,7 @@
         )
 
     def list_silent(self, now: float) -> frozenset[str]:
-        """Return the groups whose load has not come lately, by their names."""
+        """Return the names of the groups whose load is overdue."""
         return frozenset(
             name
             for name, group in self._groups.items()
@@ -112,7 +118,7 @@
         )
 
     def choose_load_queries(self, now: float) -> list[str]:
-        """Return the replicas whose agents are told now that a load is missing."""
+        """Return the replicas whose agents are queried now for a missing load."""
         chosen: list[str] = []
         for group in self._groups.values():
             if now - group.received_at < LOAD_TIMEOUT_S or now < group.next_query_at:
@@ -120,7 +126,7 @@
             group.next_query_at = now + group.pause_s
             group.pause_s = min(MAX_QUERY_PAUSE_S, 2 * group.pause_s)
             members = group.roster.members
-            # Beside those that should lead, one of the others: it knows who does.
+            # Also query one of the other ranks, which knows the current leader.
             others: tuple[Member, ...] = members[CONTACTS_PER_GROUP:]
             receivers = [*members[:CONTACTS_PER_GROUP]]
             if others:
@@ -129,7 +135,7 @@
         return chosen
 
     def choose_replica_queries(self, replicas: list[str], now: float) -> list[str]:
-        """Return some of the replicas that no roster names, to be asked now."""
+        """Return replicas that no roster names and whose agents are queried now."""
         named = {
             member.address
             for group in self._groups.values()
--- a/src/hyssopvane/_internal/policy/load_publisher.py
+++ b/src/hyssopvane/_internal/policy/load_publisher.py
@@ -1,4 +1,4 @@
-"""Decide what an agent that leads sends to entries, and to which."""
+"""Build the messages that a leading agent sends to entries."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -17,28 +17,30 @@
 from hyssopvane._internal.state.ranks import RankReport
 
 ROSTER_INTERVAL_S = 2.0
-"""Pause between two rosters to a relay while nothing changes: entries come and go."""
+"""Interval of rosters to a relay while nothing changes: entries may join or leave."""
 
 ROSTER_REPEATS = 3
-"""Loads that a new roster goes along with.
+"""Number of loads that a new roster accompanies.
 
-An entry can't use a load before it has the roster, and now and then a message is lost.
+An entry can't use a load before it has the roster, and a message may be lost.
 """
 
 ROSTER_RETRY_S = 0.5
-"""Pause between two rosters to a zone whose entries complain.
+"""Interval of rosters to a zone whose entries report missing loads.
 
-A roster has four times the size of a load. Told again with each load that is lost, it
-would fill the link that loses them.
+A roster is four times the size of a load. Sending it with each lost load would fill the
+link that loses them.
 """
 
 REMOTE_CONTACTS = 2
-"""Entries of other zones that a roster names: beliefs spread to other zones by them."""
+"""Number of entries of other zones that a roster names; beliefs spread to other zones
+through them.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """Send one message to some addresses."""
+    """Hold a message and its receivers."""
 
     message: GroupLoad | Roster
     to: tuple[str, ...]
@@ -46,20 +48,20 @@
 
 @dataclass(slots=True)
 class _SentRoster:
-    """Hold what was told to one zone last."""
+    """Track the last roster that was sent to one zone."""
 
     number: int
     sent_count: int = 0
     sent_at: float = float("-inf")
     is_requested: bool = False
-    """Whether an entry of the zone may lack it."""
+    """Whether an entry of the zone may lack the roster."""
 
 
 class LoadPublisher:
-    """Turn what a leader knows of its group into messages to relays.
+    """Build messages to relays from the leader's state of its group.
 
-    What is sent grows with the zones and with the members of the one group, not with
-    members times entries.
+    The traffic grows with the number of zones and with the members of the one group,
+    not with members times entries.
     """
 
     def __init__(self, *, source: int, key: str) -> None:
@@ -70,11 +72,11 @@
         self.relays = LoadRelays(key=key)
 
     def observe(self, state: EntryState, *, now: float) -> bool:
-        """Take an entry's word; tell whether the entry is new."""
+        """Apply an entry's state; return whether the entry is new."""
         is_new = self.relays.observe(state, now=now)
         sent = self._sent_rosters.get(state.availability_zone)
         if sent is not None and (is_new or state.unheard):
-            # It may lack the roster: a load says nothing without it.
+            # The entry may lack the roster, without which a load is unusable.
             sent.is_requested = True
         return is_new
 
@@ -86,7 +88,7 @@
         pass_s: float,
         now: float,
     ) -> list[OutgoingMessage]:
-        """Return the messages that tell the load of the ranks heard of."""
+        """Return the messages that publish the loads of the known ranks."""
         relays = self.relays.choose(now)
         zones = {relay.availability_zone for relay in relays}
         for gone in self._sent_rosters.keys() - zones:
@@ -162,7 +164,7 @@
 
 
 def digest_members(group: str, members: Sequence[Member]) -> int:
-    """Return the number that stands for a group and its members, 64 bits."""
+    """Return a 64-bit digest that identifies a group and its members."""
     digest = xxhash.xxh3_64(group.encode())
     for member in members:
         digest.update(f"\0{member.address}\0{member.started_ms}".encode())
--- a/src/hyssopvane/_internal/policy/load_relays.py
+++ b/src/hyssopvane/_internal/policy/load_relays.py
@@ -1,10 +1,11 @@
-"""Choose the entries by way of which a leader tells its group's load.
-
-A leader of 64 ranks that tells each of 35 entries sends 35 copies of each load over a
-link of 3 Mbit/s that keeps 12 KB waiting. It sends one to each zone instead, to an
-entry, which passes it on inside the zone. An entry that hears nothing says so, and is
-the next relay of its zone: whoever complains lives and reaches the leader, so a relay
-that has died, stands still or is cut off is replaced without a detector of its own.
+"""Choose the entries through which a leader publishes its group's load.
+
+A leader of 64 ranks that sends to each of 35 entries sends 35 copies of each load over
+a link of 3 Mbit/s with a queue of 12 KB. Instead it sends one copy to each zone, to an
+entry that forwards it within the zone. An entry that receives no load reports this and
+becomes the next relay of its zone: an entry that reports is alive and reaches the
+leader, so a relay that has failed, is stalled or is cut off is replaced without a
+failure detector.
 """
 
 from collections import deque
@@ -15,38 +16,41 @@
 from hyssopvane._internal.state.loads import EntryContact
 
 RELAY_TIMEOUT_S = 2.5
-"""Silence after which an entry is no relay: it speaks each second, and now and then a
-message is lost."""
+"""Silence after which an entry is no longer used as a relay: it sends its state every
+second, and a message may be lost.
+"""
 
 ENTRY_EXPIRY_S = 5.0
 """Silence after which an entry no longer counts as one that sends requests."""
 
 MIN_SWITCH_INTERVAL_S = 0.3
-"""Time that a new relay gets before a complaint replaces it.
+"""Time that a new relay gets before another report of a missing load replaces it.
 
-Loads come eight times a second, and an entry complains after 0.35 s without one.
+Loads come eight times a second, and an entry reports after 0.35 s without one.
 """
 
 MAX_RELAYS = 2
-"""Relays of one zone at a time.
+"""Maximum number of relays in one zone.
 
-The one before stays beside the newest: where a single entry can't be reached from the
-leader, taking the zone's only relay away for it would cut off all others. More would
-let complaints raise what a leader sends, just when messages are lost.
+The previous relay stays beside the newest one: if the leader can't reach a single entry
+and moved the zone's only relay there, all other entries would be cut off. With more
+relays, reports of missing loads would increase the leader's traffic just when messages
+are lost.
 """
 
 SECOND_RELAY_S = 5.0
-"""Time without a complaint after which a zone is told by way of one relay again."""
+"""Time without a report of a missing load after which a zone has one relay again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """Name an entry that passes loads on, and how it is reached."""
+    """Name an entry that forwards loads, and how to reach it."""
 
     entry: str
     availability_zone: str
     via: str = ""
-    """Agent that sends loads on to the entry; empty where the leader sends them."""
+    """Agent that forwards loads to the entry; empty if the leader sends them directly.
+    """
 
 
 @dataclass(slots=True)
@@ -54,19 +58,19 @@
     availability_zone: str
     seen_at: float
     via: str = ""
-    """Agent that passed the entry's last complaint on."""
+    """Agent that forwarded the entry's last report of a missing load."""
 
 
 @dataclass(slots=True)
 class _Zone:
     relays: deque[Relay] = field(default_factory=lambda: deque(maxlen=MAX_RELAYS))
-    """The newest first."""
+    """Newest first."""
     switched_at: float = float("-inf")
     load_missing_at: float = float("-inf")
 
 
 class LoadRelays:
-    """Know the entries, and choose one relay in each zone, two where one fails."""
+    """Track the entries, and choose one relay in each zone, or two if one fails."""
 
     def __init__(self, *, key: str) -> None:
         self._key = key.encode()
@@ -74,7 +78,7 @@
         self._zones: dict[str, _Zone] = {}
 
     def observe(self, state: EntryState, *, now: float) -> bool:
-        """Take an entry's word; tell whether the entry is new."""
+        """Apply an entry's state; return whether the entry is new."""
         zone = state.availability_zone
         known = self._entries.get(state.address)
         is_new = known is None
@@ -112,7 +116,7 @@
         )
 
     def list_entries(self, now: float) -> list[EntryContact]:
-        """Return the entries that were heard lately."""
+        """Return the entries whose state was received recently."""
         self._remove_expired(now)
         return [
             EntryContact(address, known.availability_zone)
@@ -128,8 +132,8 @@
             return
         relay = Relay(address, known.availability_zone)
         if relay in zone.relays:
-            # What the leader sends does not arrive there. Without another agent that
-            # the entry reaches there is no other way to it.
+            # The leader's messages do not reach this entry. The only other path is
+            # through another agent that the entry reaches.
             if not known.via:
                 return
             relay = Relay(address, known.availability_zone, known.via)
@@ -146,7 +150,7 @@
         if zone.relays:
             return
         seeds = {name: rendezvous.hash_name(name) for name in addresses}
-        # Each group has its own order, so that one entry is not the relay of all.
+        # The order differs by group, so that no entry is the relay of all groups.
         first = rendezvous.rank(self._key, seeds, count=1)[0]
         known = self._entries[first]
         zone.relays.appendleft(Relay(first, known.availability_zone))
