--- a/src/hyssopvane/_internal/policy/map_actions.py
+++ b/src/hyssopvane/_internal/policy/map_actions.py
@@ -1,4 +1,4 @@
-"""Name what an agent that leads a group may do next."""
+"""Define the actions of an agent that leads a group."""
 
 from dataclasses import dataclass
 
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMapChange:
-    """Tell the agents of all ranks what to bring about."""
+    """Send a change of maps to agents of the group."""
 
     change: MapChange
     to: tuple[str, ...]
-    """Addresses of the agents that are told."""
+    """Addresses of the receiving agents."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Give an order to one rank directly."""
+    """Send an order to one rank directly."""
 
     replica: str
     order: RankOrder
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelegateOrder:
-    """Let the agent beside a rank give it an order."""
+    """Have the agent on a rank's machine give the order."""
 
     agent: str
     """Address of the agent."""
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryAgent:
-    """Let the agent beside a rank look at it now and tell what it sees."""
+    """Have the agent on a rank's machine poll the rank now and send its state."""
 
     agent: str
     """Address of the agent."""
--- a/src/hyssopvane/_internal/policy/map_changes.py
+++ b/src/hyssopvane/_internal/policy/map_changes.py
@@ -1,4 +1,4 @@
-"""Hold what a leader knows of the change of maps that it brings about."""
+"""Hold a leader's state of a change of maps."""
 
 from dataclasses import dataclass, field
 
@@ -8,17 +8,19 @@
 
 @dataclass(slots=True)
 class KnownRank:
-    """Hold the state of a rank as it was told or read last."""
+    """Hold the last received or queried state of a rank."""
 
     state: RankState
     received_at: float
     valid_at: float
-    """Time at which the rank was so, as far as known: reports from afar lag."""
+    """Time at which the state was valid, as far as known: reports from other machines
+    lag.
+    """
 
 
 @dataclass(slots=True)
 class Change:
-    """Hold a change of maps and how far it has come."""
+    """Hold a change of maps and its progress."""
 
     version: int
     experts: ExpertLists
@@ -26,23 +28,23 @@
     copy_s: float
     step: int = 0
     holder: str = ""
-    """Address of the replica whose rank holds the group."""
+    """Address of the replica whose rank holds the pass."""
     own_ordered_at: float = 0.0
-    """Time at which the leader's own rank was armed, 0 before."""
+    """Time at which the leader's own rank was ordered to arm, 0 before."""
     chosen_at: float = 0.0
     """Time at which the step was chosen."""
     sent_at: float = field(default=float("-inf"))
     prepared_at: float = field(default=float("-inf"))
-    """Time at which ranks with silent agents were ordered last to copy experts."""
+    """Time of the last order to copy experts to ranks with silent agents."""
     order: RankOrder | None = None
-    """Last order to the rank that holds."""
+    """Last order to the rank that holds the pass."""
     ordered_at: float = field(default=float("-inf"))
     queried_at: float = field(default=float("-inf"))
-    """Time at which the rank that holds was read last."""
+    """Time at which the rank that holds the pass was last queried."""
 
 
 def get_progress(state: RankState) -> tuple[int, ...]:
-    """Return what a rank's part in a change of maps depends on."""
+    """Return the fields of a state that show a rank's progress in a change of maps."""
     return (
         state.map_version,
         state.prepared,
@@ -53,17 +55,17 @@
 
 
 def has_applied(state: RankState, change: Change, *, step: int) -> bool:
-    """Tell whether a rank has done what an announcement asks for."""
+    """Return whether a rank has done what a sent change asks for: prepare, or arm."""
     return is_armed(state, change) if step else state.prepared == change.version
 
 
 def is_armed(state: RankState, change: Change) -> bool:
-    """Tell whether a rank uses the change's map from its step on."""
+    """Return whether a rank uses the change's map from the change's step on."""
     if state.map_version == change.version:
         return True
     return state.armed_version == change.version and state.armed_step == change.step
 
 
 def is_superseded(state: RankState, change: Change) -> bool:
-    """Tell whether a rank has newer copies and so can't be armed for a change."""
+    """Return whether a rank has newer copies and so can't be armed for a change."""
     return state.prepared > change.version and not is_armed(state, change)
