--- a/src/hyssopvane/_internal/policy/map_search.py
+++ b/src/hyssopvane/_internal/policy/map_search.py
@@ -1,4 +1,4 @@
-"""Follow a group's demand, and decide when a better map is worth a change."""
+"""Track a group's demand, and decide when a better map is worth a change."""
 
 from hyssopvane._internal.policy.demand_window import DemandWindow
 from hyssopvane._internal.policy.expert_moves import measure_skew
@@ -8,35 +8,36 @@
 from hyssopvane._internal.state.routing import ExpertLayout
 
 MIN_GAIN = 0.25
-"""Part of a pass that a change must save.
+"""Fraction of a pass that a change must save.
 
-Copying slows passes by 15 in 100 for some tenths of a second. What costs more: demand
-that moves on while a change is under way waits for its end, in passes that take twice
-as long.
+Copying lengthens passes by 15 percent for some tenths of a second. The larger cost: if
+demand shifts during a change, it has to wait for the end of the change, in passes that
+take twice as long.
 """
 
 INITIAL_DEMAND_S = 3.0
-"""Time that a demand is expected to last until it has been seen to move."""
+"""Expected duration of a demand until the first shift has been observed."""
 
 DEMAND_WEIGHT = 0.3
-"""Weight of the last demand in the time that one is expected to last."""
+"""Weight of the last demand in the expected duration of a demand."""
 
 _SEARCH_INTERVAL_S = 0.12
 _SEARCH_INTERVAL_PER_LIST_S = 0.0004
-"""Pause between two looks for a better map, and what each list of experts adds to it.
+"""Interval of searches for a better map, and its increase with each list of experts.
 
-One look takes 2 ms with 3 sets on 12 ranks and 40 ms with 12 sets on 64, and meanwhile
-the leader takes no word of a rank. Demand is counted about as often as the first.
+A search takes 2 ms with 3 sets on 12 ranks and 40 ms with 12 sets on 64, and the leader
+processes no message of a rank meanwhile. Demand is counted about as often as the base
+interval.
 """
 
 _SHIFT_RATIO = 1.15
-"""Rise of the skew from its least since the last look for a better map, after which
-the next one is not put off: demand has moved on, and passes are long until a map
-follows."""
+"""Ratio of the skew to its minimum since the last search above which the next search is
+not delayed: demand has shifted, and passes are long until a map follows.
+"""
 
 
 class MapSearch:
-    """Know what a group's requests choose, and look for a map that fits it."""
+    """Track which experts a group's requests choose, and search for a map that fits."""
 
     def __init__(self) -> None:
         self._demand = DemandWindow()
@@ -44,29 +45,29 @@
         """Time at which the last change came into force."""
         self._expected_duration_s = INITIAL_DEMAND_S
         self.searched_at = float("-inf")
-        """Time of the last look for a better map."""
+        """Time of the last search for a better map."""
         self._min_skew = 1.0
-        """Least mean skew of the sets since that look."""
+        """Minimum of the mean skew of the sets since the last search."""
 
     def clear(self) -> None:
-        """Forget what was in demand."""
+        """Discard the observed demand."""
         self._demand.clear()
 
     def begin_epoch(self) -> None:
-        """Begin anew with the first map: the group was formed."""
+        """Start over with the first map, because the group was formed anew."""
         self._demand.clear()
         self._in_force_at = None
 
     def observe(self, counts: Counts, *, now: float) -> None:
-        """Take what the requests of one rank chose since its last word."""
+        """Add the expert choices of one rank's requests since its last message."""
         self._demand.observe(counts, now=now)
 
     def note_in_force(self, now: float) -> None:
-        """Take note that a change has come into force."""
+        """Record that a change has come into force."""
         self._in_force_at = now
 
     def note_started(self, now: float) -> None:
-        """Learn how long the last demand has lasted: a change for another begins."""
+        """Record the start of a change, and learn how long the last demand lasted."""
         if self._in_force_at is not None:
             duration_s = now - self._in_force_at
             self._expected_duration_s += DEMAND_WEIGHT * (
@@ -76,7 +77,7 @@
     def measure_skews(
         self, current: ExpertLists, paces: tuple[float, ...], now: float
     ) -> list[float]:
-        """Return the busiest rank's time against the mean, by set of experts."""
+        """Return the busiest rank's time divided by the mean, by set of experts."""
         loads = self._demand.measure(sets=len(current), now=now)
         return _measure_skews(current, loads, paces)
 
@@ -89,7 +90,9 @@
         arming_s: float,
         now: float,
     ) -> EvaluatedMove | None:
-        """Return a change that is worth its cost, if a look is due and finds one."""
+        """Return a change that is worth its cost, or None if no search is due or none
+        is found.
+        """
         loads = self._demand.measure(sets=len(current), now=now)
         skews = _measure_skews(current, loads, paces)
         if not skews:
@@ -109,10 +112,10 @@
         return found if found.saved >= MIN_GAIN and found.worth_s > 0 else None
 
     def _is_due(self, skew: float, *, lists: int, now: float) -> bool:
-        """Tell whether to look for a better map.
+        """Return whether a search for a better map is due.
 
-        To see that demand has moved on takes a twentieth of the time of such a look,
-        so a large group need not wait for its next one.
+        Detecting a shift of demand takes a twentieth of the time of a search, so a
+        large group need not wait for its next one.
         """
         self._min_skew = min(self._min_skew, skew)
         since_s = now - self.searched_at
@@ -121,10 +124,10 @@
         return since_s >= _SEARCH_INTERVAL_S and skew > _SHIFT_RATIO * self._min_skew
 
     def _estimate_duration(self, now: float) -> float:
-        """Return the time that the present demand is expected to last.
+        """Return the expected duration of the current demand.
 
         It is the time from a map in force to the next one that is worth making. A
-        demand that has stayed for longer is expected to stay as long again.
+        demand that has already lasted longer is expected to last as long again.
         """
         if self._in_force_at is None:
             return self._expected_duration_s
--- a/src/hyssopvane/_internal/policy/move_worth.py
+++ b/src/hyssopvane/_internal/policy/move_worth.py
@@ -1,4 +1,4 @@
-"""Weigh what a change of a map saves against what it costs."""
+"""Weigh the savings of a map change against its cost."""
 
 from dataclasses import dataclass
 
@@ -7,23 +7,24 @@
 from hyssopvane._internal.state.routing import ExpertLayout
 
 COPY_SLOWDOWN = 0.15
-"""Part by which passes take longer while a rank of the group copies experts: a figure
-of the engines."""
+"""Fraction by which passes take longer while a rank of the group copies experts. The
+engines specify this figure.
+"""
 
 _BITS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class EvaluatedMove:
-    """Hold a new map, and what it is worth."""
+    """Hold a new map and its worth."""
 
     move: Move
     saved: float
-    """Part of a pass that it saves."""
+    """Fraction of a pass that the map saves."""
     copy_s: float
-    """Time of copying on the rank that gets most."""
+    """Copying time of the rank that gets the most copies."""
     worth_s: float
-    """Time that the group's passes are shorter in all, less what the change costs."""
+    """Total reduction of the group's pass times, less the cost of the change."""
 
 
 def find_move(
@@ -35,11 +36,12 @@
     lasts_s: float,
     arming_s: float,
 ) -> EvaluatedMove:
-    """Return the map that is worth most while demand stays for so many seconds.
+    """Return the map with the highest worth if demand lasts for `lasts_s` seconds.
 
-    More copies ease the ranks more and are there later: one takes from 5 to 40 ms by
-    the engines' links. So their number doubles for as long as what it saves, over the
-    time that is left of the demand, grows by more than what copying costs.
+    More copies relieve the ranks more, but take longer: one takes from 5 to 40 ms,
+    depending on the engines' links. The number of copies is doubled as long as the
+    saving, over the remaining time of the demand, grows by more than the cost of
+    copying.
     """
     one_copy_s = layout.expert_mb * _BITS / layout.link_mbps
     most = layout.sets * layout.new_copies
@@ -61,7 +63,7 @@
 
 
 def _measure_saved(move: Move, share: float) -> float:
-    """Return the part of the work in a pass that a map saves."""
+    """Return the fraction of the work in a pass that a map saves."""
     sets = len(move.skews_before)
     before = sum(move.skews_before) / sets
     after = sum(move.skews_after) / sets
--- a/src/hyssopvane/_internal/policy/rebalancing.py
+++ b/src/hyssopvane/_internal/policy/rebalancing.py
@@ -1,4 +1,4 @@
-"""Decide whether the experts of a group are moved now."""
+"""Decide whether to move the experts of a group now."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,62 +15,66 @@
 _HOURS_PER_DAY = 24
 
 _FIRST_OBSERVATION_S = 1.0
-"""Time that the first observation of an estimate counts for."""
+"""Time that the first observation of an estimate is assumed to cover."""
 
 _SETTLED_WEIGHT = 0.25
-"""Weight of an estimate after less than half of its half-life."""
+"""Weight at which an estimate counts as settled; reached after less than half of its
+half-life.
+"""
 
 COPY_BUDGETS = (2, 4, 8, 16, 32, 64, 128)
-"""Sizes of move that are weighed; the best by gain less cost is taken."""
+"""Numbers of copies for which moves are evaluated; the move with the largest difference
+of gain and cost is taken.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupCosts:
-    """Describe what a move costs and what a step lasts in one group."""
+    """Describe the costs of a move and of a step in one group."""
 
     slots: int
     """Experts that fit on a rank."""
     bytes_per_expert: int
-    """Weights of one expert on all layers."""
+    """Weights of one expert in all layers."""
     store_bytes_per_s: float
     """Rate at which the weight store serves the whole group."""
     base_step_s: float
     """Time of a step without tokens."""
     s_per_token: float
-    """Time that a token on the busiest rank adds to the step."""
+    """Time that a token on the busiest rank adds to a step."""
     disturbed_share: float = 0.1
-    """Slowing of steps while weights are fetched, from 0 to 1."""
+    """Slowdown of steps while weights are fetched, from 0 to 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class MoveRules:
-    """Hold the cells of a service's row that say when experts move."""
+    """Hold the cells of a service's table row that decide when experts move."""
 
     skew_worth: float
-    """Worth of a second of step time saved in an hour of steps."""
+    """Worth of one second of step time saved per hour of steps."""
     move_cost: float
-    """Cost of a second of step time lost to a move."""
+    """Cost of one second of step time lost to a move."""
     from_hour: int = 0
     to_hour: int = 24
 
     def allows_hour(self, hour: int) -> bool:
-        """Tell whether moves are allowed in an hour of the day, in UTC."""
+        """Return whether moves are allowed in an hour of the day, in UTC."""
         if self.from_hour <= self.to_hour:
             return self.from_hour <= hour < self.to_hour
-        # From 22 to 4 goes over midnight.
+        # The range wraps around midnight, for example from 22 to 4.
         return hour >= self.from_hour or hour < self.to_hour
 
 
 @dataclass(frozen=True, slots=True)
 class MoveEvaluation:
-    """Hold what speaks for and against one move."""
+    """Hold the gain and the cost of one move."""
 
     map: ExpertMap
     size: MoveSize
     gain: float
-    """Worth of the step time that is saved until loads have drifted away."""
+    """Worth of the step time saved until the loads have drifted."""
     cost: float
-    """Cost of the step time that is lost while weights are fetched."""
+    """Cost of the step time lost while weights are fetched."""
     skew_before: float
     skew_after: float
     bytes_moved: int
@@ -78,11 +82,11 @@
 
 
 class LoadEstimate:
-    """Estimate tokens of each expert in a step by decayed averages.
+    """Estimate the tokens of each expert in a step by decayed averages.
 
-    One step's tokens are noise of the requests that happen to run; a move after each
-    of its jumps would fetch weights without end. The half-life is much longer than a
-    request and much shorter than a season or a sale.
+    The tokens of a single step are noise of the requests that happen to run. A move
+    after each fluctuation would fetch weights continuously. The half-life is much
+    longer than a request and much shorter than a season or a sale.
     """
 
     def __init__(self, experts: int, *, half_life_s: float) -> None:
@@ -92,9 +96,9 @@
         self._weight = 0.0
 
     def observe(self, loads: Sequence[float], now: float) -> None:
-        """Take in the mean tokens a step of each expert since the last call."""
-        # The first call covers an unknown time; were it given full weight, the noise
-        # of that one sample would rule the estimate for a whole half-life.
+        """Add the mean tokens per step of each expert since the last call."""
+        # The first call covers an unknown time. With full weight, the noise of that one
+        # sample would dominate the estimate for a whole half-life.
         last = (
             now - _FIRST_OBSERVATION_S if self._updated_at is None else self._updated_at
         )
@@ -108,7 +112,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether enough was observed to move experts by it."""
+        """Return whether enough was observed to base a move on the estimate."""
         return self._weight >= _SETTLED_WEIGHT
 
     @property
@@ -121,27 +125,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RebalancerLimits:
-    """Bound how eagerly experts move."""
+    """Limit how often experts move."""
 
     hysteresis: float = 1.5
-    """Times by which the gain must exceed the cost.
+    """Factor by which the gain must exceed the cost.
 
-    Near a tie, noise alone would move experts to and fro.
+    If they are nearly equal, noise alone would move experts back and forth.
     """
     horizon_s: float = 900.0
-    """Time for which a gain is counted; loads have drifted by then."""
+    """Time over which a gain is counted; loads have drifted after that."""
     min_interval_s: float = 120.0
-    """Time from one move to the next, in which its effect becomes visible."""
+    """Least time between two moves, in which the effect of a move becomes visible."""
     min_skew: float = 1.03
-    """Step-time skew below which no move is weighed."""
+    """Step-time skew below which no move is evaluated."""
 
 
 class Rebalancer:
     """Decide when one group moves its experts, and to which map.
 
-    Made for the drift of popularity under steady load. Moving too late leaves a slow
-    rank that holds back every step; moving too often spends the weight store's rate,
-    which all groups share, and slows the steps that it is meant to speed up.
+    Popularity drifts under steady load. A late move leaves a slow rank that delays
+    every step. Frequent moves use up the bandwidth of the weight store, which all
+    groups share, and slow down the steps that they should speed up.
     """
 
     def __init__(
@@ -160,7 +164,7 @@
     def choose_move(
         self, loads: Sequence[float], rules: MoveRules, *, now: float, hour: int
     ) -> MoveEvaluation | None:
-        """Return the move to make now, or nothing."""
+        """Return the move to make now, or None."""
         if self._is_moving or not rules.allows_hour(hour % _HOURS_PER_DAY):
             return None
         if rules.skew_worth <= 0 or self._moved_lately(now):
@@ -176,23 +180,23 @@
     def evaluate_moves(
         self, loads: Sequence[float], rules: MoveRules
     ) -> list[MoveEvaluation]:
-        """Return moves of growing size with gain and cost."""
+        """Evaluate moves of increasing size."""
         found = list_improvements(
             loads,
             slots=self._costs.slots,
             current=self.current,
             budgets=COPY_BUDGETS,
         )
-        # Copy by copy the improvement can end at a map that no single change betters.
+        # Improvement by single changes can end at a map that no single change improves.
         found.append(choose_map(loads, slots=self._costs.slots, current=self.current))
         return [self._evaluate(one, loads, rules) for one in found]
 
     def begin(self) -> None:
-        """Take note that a move has begun; no other begins until it ends."""
+        """Record that a move has begun; no other move begins until it ends."""
         self._is_moving = True
 
     def end(self, used: ExpertMap, *, now: float) -> None:
-        """Take note that a move has ended, with the map in use."""
+        """Record that a move has ended, and the map in use."""
         self._is_moving = False
         self._moved_at = now
         self.current = used
@@ -211,7 +215,7 @@
         after = measure_step_s(costs, found, loads)
         fetch_s = bytes_moved / costs.store_bytes_per_s
         lost_s = fetch_s * costs.disturbed_share
-        # A saving counts only after the weights have come.
+        # The saving starts only after the weights have arrived.
         useful_s = max(0.0, self._limits.horizon_s - fetch_s)
         saved_s = useful_s * (before - after) / before
         return MoveEvaluation(
@@ -227,13 +231,13 @@
 
 
 def measure_step_s(costs: GroupCosts, used: ExpertMap, loads: Sequence[float]) -> float:
-    """Return the time of a step, which is that of the busiest rank."""
+    """Return the time of a step in seconds, which is that of the busiest rank."""
     return costs.base_step_s + costs.s_per_token * max(used.measure_ranks(loads))
 
 
 def measure_step_skew(
     costs: GroupCosts, used: ExpertMap, loads: Sequence[float]
 ) -> float:
-    """Return the step time of the busiest rank divided by the mean of the ranks."""
+    """Return the step time of the busiest rank divided by the mean over the ranks."""
     mean = costs.base_step_s + costs.s_per_token * sum(loads) / used.ranks
     return measure_step_s(costs, used, loads) / mean
