--- a/src/hyssopvane/_internal/policy/load_inbox.py
+++ b/src/hyssopvane/_internal/policy/load_inbox.py
@@ -1,4 +1,4 @@
-"""Receive the loads that groups publish, and choose agents to query for missing ones."""
+"""Receive published loads, and choose agents to query for missing ones."""
 
 from dataclasses import dataclass, field
 from random import Random
--- a/src/hyssopvane/_internal/policy/load_relays.py
+++ b/src/hyssopvane/_internal/policy/load_relays.py
@@ -49,8 +49,7 @@
     entry: str
     availability_zone: str
     via: str = ""
-    """Agent that forwards loads to the entry; empty if the leader sends them directly.
-    """
+    """Agent that forwards loads to the entry; empty if the leader sends to it."""
 
 
 @dataclass(slots=True)
--- a/src/hyssopvane/_internal/policy/measures.py
+++ b/src/hyssopvane/_internal/policy/measures.py
@@ -1,22 +1,22 @@
-"""Measure how fast a service takes work, to predict how long a new request waits."""
+"""Measure the throughput of a service, to predict how long a new request waits."""
 
 import math
 
-# Long enough to see past the mix of long and short, short enough that the loss of half
-# of the targets shows in the predictions within seconds.
+# The window is long enough to average over a mix of long and short requests, and short
+# enough that the loss of half of the targets shows in the predictions within seconds.
 _RATE_WINDOW_S = 5.0
-# Weight of the past at each end of an attempt: about the last fifty count.
+# Decay of the past at the end of each attempt: about the last fifty attempts count.
 _PAST_WEIGHT = 0.98
 
-# A customer that takes less than this part of its class claims no share in predictions.
+# Fraction of its class's rate below which a customer claims no share in predictions.
 _ACTIVE_SHARE = 0.001
-# Tokens a second below which a customer's meter is dropped, so that memory follows the
-# customers of the last minute.
+# Tokens a second below which a customer's meter is dropped, so that memory grows only
+# with the customers of the last minute.
 _MIN_RATE = 0.01
 
 
 class RateMeter:
-    """Measure tokens a second, with the past fading."""
+    """Measure a rate in tokens a second, with exponential decay."""
 
     __slots__ = ("_at", "_sum")
 
@@ -25,12 +25,12 @@
         self._at = 0.0
 
     def add(self, amount: float, *, now: float) -> None:
-        """Count an amount."""
+        """Add an amount."""
         self._sum = self._sum * self._fade(now) + amount
         self._at = now
 
     def get_rate(self, *, now: float) -> float:
-        """Return the amount a second."""
+        """Return the amount per second."""
         return self._sum * self._fade(now) / _RATE_WINDOW_S
 
     def _fade(self, now: float) -> float:
@@ -73,10 +73,10 @@
 class ServiceMeter:
     """Measure one service from the attempts that this entry has sent.
 
-    Tokens in flight ÷ mean time that a token is held is the rate at which places come
-    free (Little's law). Unlike a count of completions it follows at once when targets
-    go: what was in flight there is gone from the first factor. And it needs no word
-    from the targets, whose reports lag.
+    By Little's law, tokens in flight divided by the mean time that a token is held is
+    the rate at which places become free. Unlike a count of completions, it reacts at
+    once when targets are lost: the tokens in flight there drop out of the first factor.
+    It also needs no reports from the targets, which lag.
     """
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
     def count_start(
         self, tokens: int, *, priority: int, customer: str, weight: float, now: float
     ) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt when it is sent."""
         self.tokens_in_flight += tokens
         self.requests_in_flight += 1
         one = self._get_class(priority)
@@ -99,7 +99,7 @@
         one.get_flow(customer, weight).rate.add(tokens, now=now)
 
     def count_end(self, tokens: int, *, held_s: float | None) -> None:
-        """Count an attempt's end; None when its time tells nothing."""
+        """Count the end of an attempt; `held_s` is None if its time is meaningless."""
         self.tokens_in_flight -= tokens
         self.requests_in_flight -= 1
         if held_s is None:
@@ -110,15 +110,15 @@
         self._requests = self._requests * _PAST_WEIGHT + 1
 
     def predict_run_s(self, tokens: int) -> float:
-        """Return how long a request will hold its place; 0 while nothing is known."""
+        """Return for how many seconds a request will hold its place; 0 while unknown."""
         return tokens * self._held / self._tokens if self._tokens else 0.0
 
     def predict_hold_s(self) -> float:
-        """Return how long a request of average size holds its place."""
+        """Return how long a request of average size holds its place, in seconds."""
         return self._held / self._requests if self._requests else 0.0
 
     def measure_drain(self) -> float | None:
-        """Return the tokens a second that get a place; None when unknown."""
+        """Return the tokens a second that get a place, or None if unknown."""
         if not self._token_seconds or not self.tokens_in_flight:
             return None
         return self.tokens_in_flight * self._tokens / self._token_seconds
@@ -126,12 +126,13 @@
     def measure_flow_drain(
         self, priority: int, customer: str, *, weight: float, floor: float, now: float
     ) -> float | None:
-        """Return the tokens a second that a customer can count on; None when unknown.
+        """Return the tokens a second that a customer can rely on, or None if unknown.
 
-        It is what nobody else takes, but at least its share of its class. What more
-        urgent classes took of late is lost to the class, but for the floor that it is
-        promised. The share alone would be too little for a customer whose neighbours
-        are modest, and the whole too much: they are served before it.
+        This is what other customers leave unused, but at least the customer's share of
+        its class. The recent rate of more urgent classes is not available to the class,
+        except for the class's guaranteed floor. The share alone would be too little for
+        a customer whose neighbors use less than theirs, and the whole rate too much,
+        since the neighbors are served before it.
         """
         total = self.measure_drain()
         if total is None:
@@ -149,7 +150,7 @@
         return max(left - others, left * share)
 
     def refresh_active(self, *, now: float) -> None:
-        """Find which customers took work of late; the others claim no share."""
+        """Find the customers with recent work; the others claim no share."""
         for one in self._classes.values():
             one.refresh_active(now=now)
 
