--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -1,24 +1,25 @@
 """Bring the ranks of a group from one expert map to the next, all in the same pass.
 
-Two ranks that begin a pass with different maps compute garbage, and nobody else would
-notice. A rank switches by itself when the pass comes for which it was armed, and an
-order may be lost, doubled, or carried out seconds later. So:
+Two ranks that begin a pass with different maps compute garbage without any error. A
+rank switches by itself at the pass for which it was armed, and an order may be lost,
+duplicated, or carried out seconds later. The procedure is therefore:
 
 1. Every rank copies the new experts (prepare).
-2. One rank holds the group before a pass that is not far ahead. From now on that pass
-   does not begin. It is not the leader's own rank: a machine that stands still takes
-   its agent and its rank with it, and nobody could release the group.
-3. Every rank is armed for that pass, the leader's own after all others. An arming that
-   comes late finds the pass begun and is refused, so it does no harm; one that is
-   uncertain is sent again.
-4. When each rank itself has told that it is armed, the pass is released.
-
-No arming is taken back, so two agents that believe that they lead do the same. A hold
-whose leader is silent is found by the next agent that leads. Where a rank is armed, it
-goes on with step 3. Where none is, neither is the silent leader's, which comes last,
-and the pass is released without a change. A leader that stood still forgets what it
-was doing before it acts again. Versions are never used twice, since each process mixes
-its own random number into them: two maps with one version would pass for one.
+2. One rank holds the group before a pass that is not far ahead: from now on that pass
+   does not begin. It is not the leader's own rank: if the leader's machine stalls, its
+   agent and its rank stall together, and no other agent could release the group.
+3. Every rank is armed for that pass, the leader's own after all others. An order to arm
+   that arrives late finds the pass begun and is refused, so it does no harm; one
+   without a known outcome is sent again.
+4. When every rank itself has reported that it is armed, the pass is released.
+
+No order to arm is withdrawn, so two agents that both believe that they lead act alike.
+If the leader of a hold is silent, the next agent that leads finds the hold. If any rank
+is armed, it continues with step 3. If none is, then the silent leader's rank isn't
+either, since it is armed last, and the pass is released without a change. A leader that
+was stalled discards its state before it acts again. Versions are never reused, because
+each process mixes its own random number into them: two maps with one version would be
+taken for the same map.
 """
 
 from collections.abc import Callable
@@ -63,88 +64,99 @@
 """Silence of the agents of lower ranks after which the next one leads."""
 
 DEPUTIES = 2
-"""Ranks after the first whose agents tell all others often that they live."""
+"""Number of ranks after the first whose agents often send presence messages to all."""
 
 REMOTE_LEADER_TIMEOUT_S = 5.0
-"""As above, for agents that hear of the lower ranks seldom."""
+"""The same for agents that rarely receive messages from the lower ranks."""
 
 MIN_LEAD_PASSES = 2
 MAX_LEAD_PASSES = 12
-"""Passes between the one that runs and the one that is held.
+"""Limits of the number of passes between the one that runs and the one that is held.
 
-As many as arming all ranks took lately. With too few the group stands still at each
-change, which every stream sees as a longer pause; with too many the change comes late.
+The number covers the time that arming all ranks took recently. With too few passes, the
+group stalls at each change, which every stream sees as a longer pause. With too many,
+the change comes late.
 """
 
 FIRST_ARMING_S = 0.1
-"""Time for arming all ranks until it has been measured."""
+"""Assumed time for arming all ranks until it has been measured."""
 
 ARMING_FADE = 0.8
-"""Part of the longest arming so far that still counts at the next change."""
+"""Decay of the longest arming time from one change to the next."""
 
 USUAL_PASS_S = 0.06
-"""Time of a pass while none was seen lately."""
+"""Assumed time of a pass while none was measured recently."""
 
 ORPHAN_S = 0.5
-"""Time for which nobody has led a change before its hold is released without it.
+"""Time without a leader of the change after which its hold is released without the
+change.
 
-Agents that were told to arm do so within a tenth of a second, also where their first
+Agents that were ordered to arm do so within a tenth of a second, even if their first
 order was lost.
 """
 
 STALLED_S = 0.3
-"""Time without a new pass, though requests run, after which all silent ranks are read:
-one of them may hold the group."""
+"""Time without a new pass, while requests run, after which all silent ranks are
+queried: one of them may hold the group.
+"""
 
 MOST_SILENT = 8
-"""Ranks with silent agents that a leader reads and orders itself, from afar.
+"""Maximum number of ranks with silent agents that a leader queries and orders itself,
+from another machine.
 
-Each costs it some milliseconds five times a second, and its map takes a fortieth of a
-second of its link.
+Each takes some milliseconds of its time five times a second, and the map for it takes a
+fortieth of a second of its link.
 """
 
 MOST_SILENT_SHARE = 0.25
-"""As above, as a part of the group's ranks.
+"""The same maximum, as a fraction of the group's ranks.
 
-A leader that is heard by few of them may be cut off, and another one may lead. Two that
-change maps at a time undo each other's copies, and the group stays held.
+A leader that receives messages from few ranks may be cut off, and another one may lead.
+Two leaders that change maps at the same time undo each other's copies, and the group
+stays held.
 """
 
 NONCE_BITS = 20
-"""Room in a version for the number of the process that chose it."""
+"""Number of bits in a version for the random number of the process that chose it."""
 
 REPORT_LAG_S = 0.3
-"""Age of a report from another machine where the engine's figures don't name it."""
+"""Assumed age of a report from another machine if the engine's figures don't specify
+it.
+"""
 
 _QUERY_RETRY_S = 0.02
-"""Time after which the rank that holds is read again: one call takes some 5 ms."""
+"""Time after which the rank that holds the pass is queried again: one call takes some 5
+ms.
+"""
 
 _ARM_RETRY_S = 0.04
-"""Time after which agents that have not told that their rank is armed are told again.
+"""Time after which agents that have not reported their rank as armed are sent the order
+again.
 
-All ranks of a large group have answered by then. A lost word stops the group, and all
-its streams pause, until it is told again.
+All ranks of a large group have answered by then. A lost message stops the group, and
+all its streams pause, until it is sent again.
 """
 
 _ORDER_RETRY_S = 0.08
-"""Time after which an order or an announcement without an effect is given again."""
+"""Time after which an order or a message without an effect is sent again."""
 
 _MAP_RETRY_S = 0.3
-"""As above, for a new map.
+"""The same for a new map.
 
-It is the largest message, 2.4 KB with 16 sets on 24 ranks. Told again at each look it
-fills the leader's link, and no state of a rank comes through in time for a change.
+It is the largest message, 2.4 KB with 16 sets on 24 ranks. If it were sent at each
+poll, it would fill the leader's link, and no state of a rank would arrive in time for a
+change.
 """
 
 _COPY_SLACK_S = 1.0
-"""Time beyond the copying itself after which a change is given up."""
+"""Time beyond the estimated copying time after which a change is abandoned."""
 
 _AGENT_TIMEOUT_S = 0.3
-"""Silence of an agent after which its rank gets its orders straight from the leader."""
+"""Silence of an agent after which the leader sends orders to its rank directly."""
 
 
 class Phase(Enum):
-    """Name what a leader is doing."""
+    """Name the phase of a change of maps."""
 
     IDLE = auto()
     PREPARING = auto()
@@ -154,46 +166,47 @@
 
 
 class MapCoordinator:
-    """Decide what the agent that leads a group does next."""
+    """Decide the next actions of the agent that leads a group."""
 
     def __init__(self, *, nonce: int, layout: ExpertLayout | None = None) -> None:
         self._nonce = nonce % 2**NONCE_BITS
         self.layout: ExpertLayout | None = None
         self.report_lag_s = REPORT_LAG_S
-        """Age of what a rank's report says when it is read from another machine."""
+        """Age of a rank's report that is read from another machine."""
         self.phase = Phase.IDLE
         self._known_ranks: dict[int, KnownRank] = {}
         self.set_layout(layout)
         self._agent_seen_at: dict[int, float] = {}
-        """Time at which each rank's own agent was heard."""
+        """Time of the last message from each rank's own agent."""
         self._listening_since: float | None = None
-        """Time of the first look since the start or a standstill."""
+        """Time of the first poll since the start or a stall."""
         self._search = MapSearch()
         self._change: Change | None = None
         self._known_map: tuple[int, ExpertLists] | None = None
-        """Version and experts of the last map that was told or brought into force."""
+        """Version and experts of the last map that was received or brought into force.
+        """
         self._group = ""
         self._epoch = 0
         self._own = -1
         self._max_state_age_s = MAX_STATE_AGE_S
         self._hold_answered = False
-        """Whether the rank that is to hold the group has answered that it does."""
+        """Whether the rank that is to hold the group has confirmed the order."""
         self._active_at = float("-inf")
-        """Time at which this agent was last bringing about a change."""
+        """Last time at which this agent was working on a change."""
         self._step = -1
         self._pass_s = 0.0
         self.arming_s = FIRST_ARMING_S
         self._step_at = float("-inf")
         self._queried_at = float("-inf")
         self.changes = 0
-        """Maps that were brought into force since the start."""
+        """Number of maps brought into force since the start."""
 
     def observe(
         self, state: RankState, *, now: float, own: bool = False, queried: bool = False
     ) -> bool:
-        """Take what a rank's agent tells, or what its rank said when asked.
+        """Apply a rank's state, sent by its agent or queried from the rank (`queried`).
 
-        Tell whether the rank has come further with a change of maps.
+        Return whether the rank has advanced in a change of maps.
         """
         if own:
             if self._listening_since is None:
@@ -208,22 +221,23 @@
         before = self._known_ranks.get(state.rank)
         valid_at = now - self.report_lag_s if queried else now
         if queried and before is not None and before.valid_at > valid_at:
-            # The agent beside the rank has told something newer. A leader that takes
-            # back what it knows lets a held pass wait for it a second time.
+            # The agent on the rank's machine has sent a newer state. If the leader
+            # reverted to the older one, a held pass would wait for the same state
+            # again.
             return False
         if before is not None and before.state.started_ms != state.started_ms:
-            # The rank has started anew and holds nothing: neither the copies nor the
-            # arming that a change relies on. Its counts begin at zero.
+            # The rank has restarted and has neither the copies nor the armed map that a
+            # change relies on. Its counts begin at zero.
             before = None
             self._reset()
         if not state.experts and before is not None:
-            # Most messages leave the experts out; they change with the version only.
+            # Most messages omit the experts, which change only with the version.
             if before.state.map_version == state.map_version:
                 state = replace(state, experts=before.state.experts)
         if state.counts:
             self._search.observe(state.counts, now=now)
         if queried and before is not None:
-            # The rank was asked straight; its agent is where it was.
+            # The rank was queried directly; the address of its agent is unchanged.
             state = replace(state, messages=before.state.messages)
         if not queried:
             self.note_agent(state.rank, now=now)
@@ -231,7 +245,7 @@
         return before is None or get_progress(before.state) != get_progress(state)
 
     def set_layout(self, layout: ExpertLayout | None) -> None:
-        """Learn the engine's figures."""
+        """Set the engine's figures."""
         if layout == self.layout:
             return
         self.layout = layout
@@ -241,30 +255,30 @@
             self.report_lag_s = layout.report_lag_s
 
     def note_map(self, change: MapChange) -> None:
-        """Take the map that a leader tells.
+        """Store the map that a leader sends.
 
-        Whoever leads next knows then what the ranks have, also that of a rank whose
-        agent is silent: a report doesn't name the experts.
+        The next leader then knows what the ranks have, including a rank whose agent is
+        silent: a report does not name the experts.
         """
         if (change.group, change.epoch) == (self._group, self._epoch):
             if change.experts:
                 self._known_map = (change.version, change.experts)
 
     def note_agent(self, rank: int, *, now: float) -> None:
-        """Take note that a rank's agent lives."""
+        """Record that a rank's agent is alive."""
         self._agent_seen_at[rank] = now
 
     def _measure_silence(self, rank: int, now: float) -> float:
         return now - self._agent_seen_at.get(rank, float("-inf"))
 
     def _drop_invalid(self, state: RankState) -> RankState:
-        # Experts and counts are used as indices. One beyond the layout ends the process
-        # that leads, and the next one that leads after it.
+        # Experts and counts are used as indices. One beyond the layout would crash the
+        # leading process, and then the next one that leads.
         layout = self.layout
         if layout is None:
-            # Nothing is done with the experts before the layout is known. Ranks name
-            # them again after seconds only: were they dropped, a group that has just
-            # been formed would keep its first map for as long.
+            # The experts are not used before the layout is known, but must be kept:
+            # ranks name them again only after seconds, and a newly formed group would
+            # keep its first map until then.
             return replace(state, counts=())
         if len(state.counts) != layout.sets * layout.experts:
             state = replace(state, counts=())
@@ -274,7 +288,7 @@
         return state if sound else replace(state, experts=())
 
     def find_start(self, replica: str) -> int:
-        """Return what names the start of a rank's replica, 0 where it is unknown."""
+        """Return the start time of a rank's replica, or 0 if unknown."""
         starts = (
             one.state.started_ms
             for one in self._known_ranks.values()
@@ -283,10 +297,11 @@
         return next(starts, 0)
 
     def note_done(self, replica: str, order: RankOrder, *, started_ms: int = 0) -> None:
-        """Take a rank's own answer that it has carried an order out.
+        """Record a rank's own confirmation that it has carried out an order.
 
-        Its agent tells the same at its next look, up to a pass later; until then a held
-        group would stand still. What one start has done says nothing of the next.
+        Its agent reports the same at its next poll, up to a pass later; a held group
+        would stall until then. Confirmations of another start of the replica are
+        ignored.
         """
         for one in self._known_ranks.values():
             if one.state.replica != replica or one.state.epoch != order.epoch:
@@ -308,19 +323,19 @@
 
     @property
     def is_holding(self) -> bool:
-        """Tell whether a pass may be waiting for what is done next."""
+        """Return whether a pass may be waiting for the next action."""
         return self.phase in (Phase.HOLDING, Phase.ARMING, Phase.RELEASING)
 
     @property
     def waits_for_ranks(self) -> bool:
-        """Tell whether the next word of a rank may be what a change waits for."""
+        """Return whether a change may be waiting for the next message of a rank."""
         return self.phase in (Phase.PREPARING, Phase.HOLDING, Phase.ARMING)
 
     def discard_state(self) -> None:
-        """Drop what was being done and heard: the process has stood still.
+        """Discard the current change and all states, because the process was stalled.
 
-        Others may have gone on meanwhile. What was true before is not, and an order
-        that follows from it could reach some ranks in time and others too late.
+        Other agents may have continued meanwhile. The states are outdated, and an order
+        based on them could reach some ranks in time and others too late.
         """
         self._reset()
         self._known_ranks.clear()
@@ -329,10 +344,11 @@
         self._search.clear()
 
     def leads(self, now: float) -> bool:
-        """Tell whether no agent of a lower rank lives.
+        """Return whether no agent of a lower rank is alive.
 
-        Whoever has just begun to listen has heard nobody yet. An agent that led until
-        it did would tell entries of a group with one member, its own rank.
+        An agent that has just started has not received any message yet. If it led
+        before it has, it would publish to entries a group with one member, its own
+        rank.
         """
         if self._own < 0 or self._listening_since is None:
             return False
@@ -348,7 +364,7 @@
         )
 
     def decide(self, now: float) -> list[Action]:
-        """Return what to do now."""
+        """Return the actions to take now."""
         if self._own not in self._known_ranks:
             self._reset()
             return []
@@ -374,29 +390,29 @@
                 return queries + self._release(now)
 
     def has_work(self) -> bool:
-        """Tell whether a rank has requests, and its group makes passes.
+        """Return whether any rank has requests, so that the group makes passes.
 
-        The own rank may have none for a while. Were that taken for an idle group, its
-        passes would be unknown again and again while few requests run.
+        This agent's rank may have none for a while. If the group were considered idle
+        then, its pass time would be unknown whenever few requests run.
         """
         states = (one.state for one in self._known_ranks.values())
         return any(state.active or state.queued for state in states)
 
     def list_states(self, now: float) -> list[tuple[RankState, float]]:
-        """Return the state of each rank that is known, and its age in seconds."""
+        """Return the state of each known rank, and its age in seconds."""
         return [
             (one.state, now - one.received_at) for one in self._known_ranks.values()
         ]
 
     def measure_skews(self, now: float) -> list[float]:
-        """Return the skew of each set by the map in use and the present demand."""
+        """Return the skew of each set under the current map and demand."""
         current = self._get_map()
         if current is None:
             return []
         return self._search.measure_skews(current, self._list_paces(), now)
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return what the decisions go by, for the log."""
+        """Return the inputs of the decisions, for the log."""
         return {
             "phase": self.phase.name.lower(),
             "heard": len(self._known_ranks),
@@ -413,11 +429,11 @@
         }
 
     def _query_silent(self, now: float) -> list[Action]:
-        """Read the ranks whose agents are silent.
+        """Query the ranks whose agents are silent.
 
-        An agent may stand still for seconds while its rank works. Its rank is the only
-        one then who knows whether it holds the group and which map it has; without it
-        no map would follow the demand until the agent wakes.
+        An agent may be stalled for seconds while its rank works. Only its rank knows
+        then whether it holds the group and which map it has; without its state, no map
+        would follow the demand until the agent resumes.
         """
         own = self._known_ranks[self._own].state
         if own.step != self._step or not own.active:
@@ -442,7 +458,7 @@
         )
 
     def _begin_epoch(self, state: RankState) -> None:
-        # A group that was formed anew has map 0 and nothing prepared, armed or held.
+        # A newly formed group has map 0 and nothing prepared, armed or held.
         self._group, self._epoch = state.group, state.epoch
         self._known_ranks.clear()
         self._search.begin_epoch()
@@ -457,7 +473,7 @@
         return [self._known_ranks[rank].state for rank in sorted(self._known_ranks)]
 
     def _list_paces(self) -> tuple[float, ...]:
-        # A little slowness is noise; a map must not follow it.
+        # Small slowdowns are noise, which a map must not follow.
         paces = (state.pace for state in self._list_states())
         return tuple(pace if pace > SLOW_PACE else 1.0 for pace in paces)
 
@@ -524,8 +540,8 @@
                 change.step = self._choose_step(now)
                 self._hold_answered = False
                 change.holder = self._choose_holder(own, now)
-                # The next announcement says something new: it must not wait because
-                # the last one has just gone out.
+                # The next message has new content and must not be delayed by the last
+                # one.
                 change.sent_at = float("-inf")
                 return self._hold(now)
         if now - change.started_at > change.copy_s + _COPY_SLACK_S:
@@ -551,18 +567,19 @@
             self.phase = Phase.ARMING
             return self._arm(now)
         if self._hold_answered and now - change.queried_at > _QUERY_RETRY_S:
-            # Machines fail in the middle of what they do. Were the ranks armed in the
-            # moment in which the hold is answered, a leader that stands still just then
-            # would leave all ranks armed but its own, which nobody reaches: the group
-            # stood still for as long, 4 s. So the rank that holds is read first. A
-            # leader that fails meanwhile has armed nobody, and the next one releases.
-            # Its agent sees it as it is; what is read from afar is some tenths of a
-            # second old, and counts where the agent is silent.
+            # A machine may fail at any moment. If the ranks were armed as soon as the
+            # hold is confirmed, a leader that stalls at that moment would leave all
+            # ranks armed except its own, which can't be reached: the group stalled
+            # until the leader resumed, for 4 s. So the rank that holds the pass is
+            # queried first. If the leader fails meanwhile, no rank is armed, and the
+            # next leader releases the pass. The agent of the holding rank reports its
+            # current state; a report read from another machine is some tenths of a
+            # second old, and counts only if the agent is silent.
             change.queried_at = now
             agent = self._find(change.holder).messages
             return [QueryAgent(agent), QueryRank(change.holder)]
         if self._find_newest_step() >= change.step:
-            # The pass has begun: the hold came too late, or never.
+            # The pass has begun: the hold arrived too late or never.
             change.step = self._choose_step(now)
             change.ordered_at = float("-inf")
             self._hold_answered = False
@@ -580,9 +597,9 @@
                 self._known_map = (change.version, change.experts)
             return self._release(now)
         if self._all(lambda state: is_superseded(state, change)):
-            # Another leader has brought its copies to the ranks before they were
-            # armed. None of them can be armed for this change any more, so the pass
-            # may begin without it; waiting for them would hold the group for ever.
+            # Another leader has brought its copies to the ranks before they were armed.
+            # No rank can be armed for this change any more, so the pass may begin
+            # without it; waiting would hold the group forever.
             self.phase = Phase.RELEASING
             return self._release(now)
         if now - change.sent_at < _ARM_RETRY_S and not self._is_own_due(change):
@@ -626,7 +643,7 @@
         return self._order(now, Release(self._epoch, change.step))
 
     def _take_over(self, holder: RankState, now: float) -> list[Action]:
-        """Go on with a hold that an earlier leader has left, or that came late."""
+        """Continue with a hold that an earlier leader has left, or that arrived late."""
         if len(self._known_ranks) != holder.ranks:
             return []
         armed = [
@@ -644,13 +661,14 @@
         return self._arm(now) if armed else self._release(now)
 
     def _is_orphan(self, now: float) -> bool:
-        """Tell whether nobody is armed or will be for a hold that is in force.
-
-        Released too early, the pass would begin while some ranks switch and others do
-        not. Whoever was told to arm has done so when the agent that told it has been
-        silent for long enough, or has given the change up for as long. Then each rank
-        must have told lately that it is not armed; the leader that fell silent alone
-        need not, since its own rank comes after all others.
+        """Return whether no rank is armed, or will be, for the hold that is in force.
+
+        After a premature release, the pass would begin while some ranks switch and
+        others do not. Every agent that was ordered to arm has done so once the agent
+        that sent the order has been silent, or has abandoned the change, for long
+        enough. Then each rank must have reported recently that it is not armed. Only
+        the rank of the leader that fell silent need not, since it is armed after all
+        others.
         """
         lower = [
             seen_at for rank, seen_at in self._agent_seen_at.items() if rank < self._own
@@ -677,7 +695,9 @@
         )
 
     def _choose_holder(self, own: RankState, now: float) -> str:
-        """Return the rank after the own one whose agent speaks, to order it as well."""
+        """Return the next rank after this one whose agent is not silent, so that the
+        agent can give orders too.
+        """
         others = [(own.rank + number) % own.ranks for number in range(1, own.ranks)]
         speaking = [rank for rank in others if not self._is_silent(rank, now)]
         chosen = (speaking or others or [own.rank])[0]
@@ -686,7 +706,7 @@
     def _choose_step(self, now: float) -> int:
         self._get_change().chosen_at = now
         pass_s = self._pass_s or USUAL_PASS_S
-        # The pass that runs now began half a pass ago, on the mean.
+        # On average, the current pass began half a pass ago.
         lead = ceil(self.arming_s / pass_s + 0.5)
         return self._find_newest_step() + min(
             MAX_LEAD_PASSES, max(MIN_LEAD_PASSES, lead)
@@ -705,7 +725,7 @@
         if now - change.sent_at < _MAP_RETRY_S and step == 0:
             return []
         change.sent_at = now
-        # Whoever is to be armed has the experts already.
+        # Ranks that are to be armed already have the experts.
         experts = () if step else change.experts
         message = MapChange(self._group, self._epoch, change.version, experts, step)
         to = tuple(
@@ -716,13 +736,15 @@
         return [SendMapChange(message, to)]
 
     def _order(self, now: float, order: Hold | Release) -> list[Action]:
-        """Order the rank that holds, also by way of the agent beside it.
+        """Send an order to the rank that holds the pass, directly and through its
+        agent.
 
         Orders from another machine may be lost seven times in a row while the agent's
-        are answered in 2 ms, and all streams pause meanwhile. With a hold the agent
-        comes second: a machine that fails right after it has given an order must not
-        be the one that holds the group, since nobody could let it go on until the
-        machine wakes. A release does no harm on whichever machine it is given.
+        orders are answered in 2 ms, and all streams pause meanwhile. For a hold, the
+        agent is used only after the first attempt: a machine that fails right after it
+        has given the order must not be the one that holds the group, since the group
+        could not continue until that machine resumes. A release does no harm, whichever
+        machine sends it.
         """
         change = self._get_change()
         if now - change.ordered_at < _ORDER_RETRY_S:
