--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -346,9 +346,8 @@
     def leads(self, now: float) -> bool:
         """Return whether no agent of a lower rank is alive.
 
-        An agent that has just started has not received any message yet. If it led
-        before it has, it would publish to entries a group with one member, its own
-        rank.
+        An agent that has just started has not received any message yet. If it led at
+        once, it would publish to entries a group with one member, its own rank.
         """
         if self._own < 0 or self._listening_since is None:
             return False
@@ -643,7 +642,7 @@
         return self._order(now, Release(self._epoch, change.step))
 
     def _take_over(self, holder: RankState, now: float) -> list[Action]:
-        """Continue with a hold that an earlier leader has left, or that arrived late."""
+        """Continue with a hold that an earlier leader left, or that arrived late."""
         if len(self._known_ranks) != holder.ranks:
             return []
         armed = [
--- a/src/hyssopvane/_internal/policy/measures.py
+++ b/src/hyssopvane/_internal/policy/measures.py
@@ -110,7 +110,7 @@
         self._requests = self._requests * _PAST_WEIGHT + 1
 
     def predict_run_s(self, tokens: int) -> float:
-        """Return for how many seconds a request will hold its place; 0 while unknown."""
+        """Return how many seconds a request will hold its place; 0 while unknown."""
         return tokens * self._held / self._tokens if self._tokens else 0.0
 
     def predict_hold_s(self) -> float:
