--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -110,11 +110,11 @@
     """Stand beside a rank and drive a coordinator."""
 
     coordinator: MapCoordinator
-    frozen_until: float = float("-inf")
+    stalled_until: float = float("-inf")
     """Time until which its machine stands still; nobody reaches its rank meanwhile."""
     down_until: float = float("-inf")
     """Time until which its process starts anew; its rank is reached meanwhile."""
-    stood_still: bool = False
+    was_stalled: bool = False
     change: MapChange | None = None
     ordered: RankOrder | None = None
     ordered_at: float = float("-inf")
@@ -133,7 +133,7 @@
     lost: float = 0.0
     late: float = 0.0
     doubled: float = 0.0
-    freezes: float = 0.0
+    stalls: float = 0.0
     restarts: float = 0.0
     broken: float = 0.0
     silences: float = 0.0
@@ -157,8 +157,8 @@
     """Part of the agents' messages to each other that is lost."""
     ranks: list[ModelRank] = field(default_factory=list)
     agents: list[ModelAgent] = field(default_factory=list)
-    later: list[tuple[float, int, RankOrder]] = field(default_factory=list)
-    past: list[deque[tuple[float, RankState]]] = field(
+    delayed: list[tuple[float, int, RankOrder]] = field(default_factory=list)
+    past_states: list[deque[tuple[float, RankState]]] = field(
         default_factory=lambda: [deque(maxlen=KEPT_TICKS) for _ in range(RANKS)]
     )
     """What each rank's report said at the last ticks."""
@@ -179,9 +179,9 @@
             self.now += TICK_S
             self._deliver_late()
             self.begin_passes()
-            self._break_things()
+            self._inject_faults()
             for number in range(RANKS):
-                self.past[number].append((self.now, self._describe(number)))
+                self.past_states[number].append((self.now, self._describe(number)))
             for number in range(RANKS):
                 self._run_agent(number)
 
@@ -240,11 +240,11 @@
             for expert in range(EXPERTS):
                 counts[expert] += 40 if expert == self.hot else 5
 
-    def _break_things(self) -> None:
-        if self.random.random() < self.faults.freezes * TICK_S:
+    def _inject_faults(self) -> None:
+        if self.random.random() < self.faults.stalls * TICK_S:
             agent = self.random.choice(self.agents)
-            agent.frozen_until = self.now + self.random.uniform(0.3, 4.0)
-            agent.stood_still = True
+            agent.stalled_until = self.now + self.random.uniform(0.3, 4.0)
+            agent.was_stalled = True
         if self.random.random() < self.faults.restarts * TICK_S:
             number = self.random.randrange(RANKS)
             self.agents[number] = self._make_agent()
@@ -252,17 +252,17 @@
         if self.random.random() < self.faults.silences * TICK_S:
             agent = self.random.choice(self.agents)
             agent.down_until = self.now + self.random.uniform(0.3, 4.0)
-            agent.stood_still = True
+            agent.was_stalled = True
         if self.random.random() < self.faults.broken * TICK_S:
             self.epoch += 1
             self.begin_epoch()
 
     def _run_agent(self, number: int) -> None:
         agent = self.agents[number]
-        if self.now < max(agent.frozen_until, agent.down_until):
+        if self.now < max(agent.stalled_until, agent.down_until):
             return
-        if agent.stood_still:
-            agent.stood_still = False
+        if agent.was_stalled:
+            agent.was_stalled = False
             agent.coordinator.discard_state()
             agent.change = None
         state = replace(self._describe(number), counts=tuple(self.counts[number]))
@@ -285,7 +285,7 @@
                     told = self._describe(asked_agent)
                     agent.coordinator.observe(told, now=self.now)
             elif isinstance(action, QueryRank):
-                if self.now < self.agents[int(action.replica)].frozen_until:
+                if self.now < self.agents[int(action.replica)].stalled_until:
                     continue
                 queried = self._read_remotely(int(action.replica))
                 agent.coordinator.observe(queried, now=self.now, queried=True)
@@ -297,15 +297,17 @@
 
     def _read_remotely(self, number: int) -> RankState:
         """Return what a report says that is read from another machine."""
-        past = [state for at, state in self.past[number] if at <= self.now - LAG_S]
-        return past[-1] if past else self._describe(number)
+        past_states = [
+            state for at, state in self.past_states[number] if at <= self.now - LAG_S
+        ]
+        return past_states[-1] if past_states else self._describe(number)
 
     def _list_reached(self, number: int, receivers: list[int]) -> list[ModelAgent]:
         return [
             self.agents[one]
             for one in receivers
             if self.now
-            >= max(self.agents[one].frozen_until, self.agents[one].down_until)
+            >= max(self.agents[one].stalled_until, self.agents[one].down_until)
             and self.random.random() >= self.message_loss
         ]
 
@@ -349,7 +351,7 @@
             if str(other) not in action.to and (other != number or change.step):
                 continue
             if (
-                self.now >= agent.frozen_until
+                self.now >= agent.stalled_until
                 and self.random.random() >= self.message_loss
             ):
                 agent.change = change
@@ -376,17 +378,17 @@
 
     def _send(self, number: int, order: RankOrder) -> bool:
         """Give an order; tell whether the rank answered that it carried it out."""
-        if self.now < self.agents[number].frozen_until:
+        if self.now < self.agents[number].stalled_until:
             return False
         draw = self.random.random()
         if draw < self.faults.lost:
             return False
         if draw < self.faults.lost + self.faults.late:
             at = self.now + self.random.uniform(0.3, 12.0)
-            self.later.append((at, number, order))
+            self.delayed.append((at, number, order))
             return False
         if self.random.random() < self.faults.doubled:
-            self.later.append((self.now + 0.05, number, order))
+            self.delayed.append((self.now + 0.05, number, order))
         return self._take(number, order)
 
     def _take(self, number: int, order: RankOrder) -> bool:
@@ -394,8 +396,8 @@
         return rank.take(order, step=self.step, epoch=self.epoch, now=self.now)
 
     def _deliver_late(self) -> None:
-        due = [one for one in self.later if one[0] <= self.now]
-        self.later = [one for one in self.later if one[0] > self.now]
+        due = [one for one in self.delayed if one[0] <= self.now]
+        self.delayed = [one for one in self.delayed if one[0] > self.now]
         for _, number, order in due:
             self._take(number, order)
 
--- a/tests/unit/test_expert_maps.py
+++ b/tests/unit/test_expert_maps.py
@@ -49,7 +49,7 @@
 
 @given(groups(), st.integers(1, 40), st.booleans())
 @settings(derandomize=True, max_examples=300, deadline=None)
-def test_map_keeps_to_the_slots(group, max_copies, keep):
+def test_map_respects_the_slots(group, max_copies, keep):
     ranks, experts, slots, loads = group
     current = spread_evenly(ranks=ranks, experts=experts)
     chosen = choose_map(loads, slots=slots, current=current, keep=keep)
@@ -102,7 +102,7 @@
         pytest.param(HOT, MoveRules(10.0, 1.0, 5, 5), 5, False, id="no hour"),
     ],
 )
-def test_cells_decide_whether_experts_move(loads, rules, hour, moves):
+def test_row_of_the_service_decides_whether_experts_move(loads, rules, hour, moves):
     rebalancer = Rebalancer(COSTS, spread_evenly(ranks=8, experts=16))
     move = rebalancer.choose_move(loads, rules, now=0.0, hour=hour)
     assert (move is not None) is moves
--- a/tests/unit/test_expert_moves.py
+++ b/tests/unit/test_expert_moves.py
@@ -28,7 +28,7 @@
 
 
 @given(make_case())
-def test_every_expert_stays_and_no_bound_is_passed(case):
+def test_every_expert_keeps_a_rank_and_no_bound_is_exceeded(case):
     ranks, experts, loads, bounds = case
     before = spread(ranks, experts)
     for _ in range(4):
@@ -50,7 +50,7 @@
         before = move.experts[0]
 
 
-def test_one_hot_expert_is_spread_by_one_copy_a_rank():
+def test_one_hot_expert_is_spread_by_one_copy_per_rank():
     """One expert in ninety-six gets a quarter of all tokens from one moment on.
 
     Its rank works three times as long as the others, and every pause of every stream
--- a/tests/unit/test_group_presence.py
+++ b/tests/unit/test_group_presence.py
@@ -68,7 +68,7 @@
         (40, (50, 51, 52), True),
     ],
 )
-def test_only_the_lowest_ranks_that_live_speak_to_all(own, heard, expected):
+def test_only_the_lowest_live_ranks_send_presence_to_all(own, heard, expected):
     presence = make_presence(heard)
     presence.sends_presence(own, 0.0)
     later = BACKUP_DELAY_S + RANKS * BACKUP_STAGGER_S
@@ -77,69 +77,69 @@
     assert presence.sends_presence(own, later) == expected
 
 
-def test_all_agents_start_at_once_and_few_speak():
+def test_only_the_lowest_ranks_send_presence_when_all_start_at_once():
     """Everything lost power, and all agents of a group come back in the same moment.
 
     Were each to speak to all others before it has heard one, thousands of messages
     would fill the links that callers wait for.
     """
     agents = {rank: GroupPresence() for rank in range(RANKS)}
-    spoke = set()
+    senders = set()
     for tick in range(150):
         now = tick * 0.1
         for rank, presence in agents.items():
             if not presence.sends_presence(rank, now):
                 continue
-            spoke.add(rank)
+            senders.add(rank)
             # It learns the others one after the other, and takes two seconds for that.
             reached = int(RANKS * min(1.0, now / 2.0))
             for number in range(reached):
                 if number != rank:
                     agents[number].observe(make_address(rank), rank, now=now)
-    assert spoke == set(range(PRESENCE_SENDERS))
+    assert senders == set(range(PRESENCE_SENDERS))
 
 
-def count_words(presence, seconds, *, leads, ranks=RANKS, agents=()):
-    told = 0
+def count_messages(presence, seconds, *, leads, ranks=RANKS, agents=()):
+    sent = 0
     for tick in range(int(seconds / PRESENCE_INTERVAL_S)):
         now = tick * PRESENCE_INTERVAL_S
         for rank in range(1, RANKS):
             presence.observe(make_address(rank), rank, now=now)
-        told += len(
+        sent += len(
             presence.choose_presence_receivers(0, ranks, agents, now, leads=leads)
         )
-    return told
+    return sent
 
 
-def test_words_grow_with_the_group_and_not_with_the_fleet():
-    strangers = [f"10.1.{n // 200}.{n % 200}:7001" for n in range(10_000)]
-    few = count_words(make_presence(()), 10.0, leads=True)
-    many = count_words(make_presence(()), 10.0, leads=True, agents=strangers)
+def test_messages_grow_with_the_group_and_not_with_the_fleet():
+    unknown_agents = [f"10.1.{n // 200}.{n % 200}:7001" for n in range(10_000)]
+    few = count_messages(make_presence(()), 10.0, leads=True)
+    many = count_messages(make_presence(()), 10.0, leads=True, agents=unknown_agents)
     assert few == many
-    missing = count_words(
-        make_presence(()), 10.0, leads=True, ranks=RANKS + 1, agents=strangers
+    missing = count_messages(
+        make_presence(()), 10.0, leads=True, ranks=RANKS + 1, agents=unknown_agents
     )
     assert missing - few <= 10 * UNKNOWN_AGENTS_PER_S
 
 
-def test_member_that_was_replaced_is_looked_for():
+def test_replaced_member_is_searched_for():
     """A replica is replaced by one on another machine, whose agent nobody knows."""
     presence = make_presence(range(1, RANKS))
-    stranger = "10.9.9.9:7001"
-    told = set()
+    unknown = "10.9.9.9:7001"
+    receivers = set()
     for tick in range(int((MEMBER_SILENCE_S + 1.0) / PRESENCE_INTERVAL_S)):
         now = tick * PRESENCE_INTERVAL_S
         for rank in range(1, RANKS - 1):
             presence.observe(make_address(rank), rank, now=now)
-        told.update(
-            presence.choose_presence_receivers(0, RANKS, [stranger], now, leads=True)
+        receivers.update(
+            presence.choose_presence_receivers(0, RANKS, [unknown], now, leads=True)
         )
-    assert stranger in told
-    presence.observe(stranger, RANKS - 1, now=MEMBER_SILENCE_S + 1.0)
-    told = presence.choose_presence_receivers(
+    assert unknown in receivers
+    presence.observe(unknown, RANKS - 1, now=MEMBER_SILENCE_S + 1.0)
+    receivers = presence.choose_presence_receivers(
         0, RANKS, [], MEMBER_SILENCE_S + 1.0, leads=True
     )
-    assert make_address(RANKS - 1) not in told
+    assert make_address(RANKS - 1) not in receivers
 
 
 @pytest.mark.parametrize(
@@ -167,7 +167,7 @@
     assert presence.complete_state(short, sender, now=0.2) is None
 
 
-def test_full_states_come_first_and_then_now_and_then():
+def test_full_states_come_first_and_then_periodically():
     presence = make_presence((0, 1, 2))
     full = []
     for tick in range(100):
@@ -182,7 +182,7 @@
     assert sum(full) <= FULL_STATE_REPEATS + 10.0 / FULL_STATE_INTERVAL_S
 
 
-def test_next_rank_is_told_when_the_leader_is_silent():
+def test_state_goes_to_the_next_rank_when_the_leader_is_silent():
     presence = make_presence((0, 1, 2))
     assert presence.find_leader(9, 0.0) == make_address(0)
     presence.observe(make_address(1), 1, now=LEADER_SILENCE_S + 0.1)
@@ -193,7 +193,7 @@
     assert (to[0], is_full) == (make_address(1), True)
 
 
-def test_agent_that_left_is_forgotten():
+def test_agent_that_left_expires():
     presence = make_presence(range(1, 4))
     assert (
         len(
@@ -208,9 +208,7 @@
 @pytest.mark.parametrize(
     ("silent_s", "believed"), [(0.1, False), (0.5, False), (0.7, True), (1.2, True)]
 )
-def test_agent_that_says_it_leads_is_believed_when_the_leader_is_silent(
-    silent_s, believed
-):
+def test_claim_to_lead_is_accepted_when_the_leader_is_silent(silent_s, believed):
     """The leader fails while it holds its group, and the next agent takes over.
 
     Until the ranks tell it where they are, it can't let the pass go on, and all streams
@@ -225,7 +223,7 @@
     assert presence.find_leader(9, silent_s + 0.1) == make_address(0)
 
 
-def test_agent_that_begins_to_lead_tells_all_at_once():
+def test_new_leader_sends_presence_to_all_at_once():
     presence = make_presence(range(2, RANKS))
     for _ in range(3):
         presence.choose_presence_receivers(1, RANKS, [], 0.0, leads=False)
--- a/tests/unit/test_load_publishing.py
+++ b/tests/unit/test_load_publishing.py
@@ -15,7 +15,7 @@
 from tests.lib.publishing_model import PublishingModel
 
 FRESH_S = 0.25
-ROUTED_ROUND_S = 1.0
+MAX_REPLACEMENT_S = 1.0
 LEADER_BYTES_PER_S = 40_000
 
 
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("ranks", "zones", "by_zone"), [(12, 3, 2), (24, 3, 5), (63, 3, 5), (64, 5, 7)]
 )
-def test_beliefs_are_fresh_while_nothing_fails(ranks, zones, by_zone):
+def test_loads_are_fresh_while_nothing_fails(ranks, zones, by_zone):
     """Many entries listen to one group whose leader has a narrow link."""
     model = make_model(ranks=ranks, zones=zones, entries_by_zone=by_zone)
     sent = model.leaders[0].sent_bytes
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_dead_relay_is_routed_round_within_a_second(seed):
+def test_failed_relay_is_replaced_within_a_second(seed):
     """The entry by way of which its zone hears of the group loses power.
 
     The other entries of the zone would guess the load of 64 ranks, and refuse callers
@@ -61,12 +61,12 @@
     model = make_model(seed=seed)
     relay = find_relays(model)[0]
     get_entry(model, relay).down_until = model.now + 100.0
-    model.play(ROUTED_ROUND_S)
+    model.play(MAX_REPLACEMENT_S)
     assert max(model.list_ages()) <= FRESH_S + 0.15
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_entry_that_the_relay_does_not_reach_is_told_by_another(seed):
+def test_entry_that_the_relay_does_not_reach_gets_loads_from_another(seed):
     """The link from the relay to one entry of its zone is cut, and nothing else."""
     model = make_model(seed=seed)
     relay = find_relays(model)[0]
@@ -85,7 +85,7 @@
     assert max(worst) <= FRESH_S + 0.15
 
 
-def test_leader_that_is_cut_off_from_all_entries_tells_them_by_way_of_an_agent():
+def test_leader_cut_off_from_all_entries_publishes_through_an_agent():
     """The leader's machine reaches the other ranks and no entry.
 
     It still leads, so no other agent would tell the load in its place.
@@ -104,7 +104,7 @@
     assert max(model.list_ages()) <= 2 * FRESH_S
 
 
-def test_load_of_messages_falls_while_most_of_them_are_lost():
+def test_message_rate_falls_while_most_messages_are_lost():
     """A link drops nine messages of ten for a minute.
 
     Were each missing load asked for again and again, the questions and their answers
@@ -127,7 +127,7 @@
     return model.messages - before
 
 
-def test_complaints_of_all_entries_raise_what_a_leader_sends_by_a_bounded_part():
+def test_queries_of_all_entries_increase_leader_traffic_by_a_bounded_factor():
     """Entries of all zones say that they hear nothing, whatever they are sent."""
     model = make_model()
     calm = model.leaders[0].sent_bytes
@@ -140,7 +140,7 @@
     assert model.leaders[0].sent_bytes - before <= (MAX_RELAYS + 1.5) * calm
 
 
-def test_next_leader_is_heard_as_soon_as_it_tells():
+def test_loads_of_the_next_leader_are_accepted_at_once():
     """The leader dies, and the agent of the next rank takes over."""
     model = make_model()
     model.leaders[0].down_until = model.now + 100.0
@@ -160,7 +160,7 @@
         st.sampled_from(["rebirth", "epoch", "leaders", "relay", "calm"]), max_size=8
     ),
 )
-def test_no_start_and_no_epoch_is_believed_again_after_a_newer_one(
+def test_no_older_start_or_epoch_is_accepted_after_a_newer_one(
     seed, loss, late, doubled, events
 ):
     """Words are lost, doubled and late while ranks start anew and leaders change.
@@ -248,23 +248,25 @@
     assert (inbox.take(load, now=0.2) is not None) == used
 
 
-def test_complaints_about_one_silence_become_rare():
+def test_queries_during_one_silence_become_rare():
     inbox = LoadInbox(random=Random(1))
     inbox.add_roster(make_roster(), now=0.0)
     inbox.take(make_load(1), now=0.0)
-    asked = [at / 10 for at in range(200) if inbox.choose_load_queries(at / 10)]
-    assert load_inbox.LOAD_TIMEOUT_S < asked[0] < load_inbox.LOAD_TIMEOUT_S + 0.2
-    assert len(asked) <= 14
+    queried_at = [at / 10 for at in range(200) if inbox.choose_load_queries(at / 10)]
+    assert load_inbox.LOAD_TIMEOUT_S < queried_at[0] < load_inbox.LOAD_TIMEOUT_S + 0.2
+    assert len(queried_at) <= 14
 
 
-def test_replicas_that_no_roster_names_are_asked_for_a_few_at_a_time():
+def test_replicas_that_no_roster_names_are_queried_a_few_at_a_time():
     inbox = LoadInbox(random=Random(1))
     inbox.add_roster(make_roster(), now=0.0)
     replicas = [f"10.0.0.{number}:80" for number in range(1, 101)]
-    asked = [inbox.choose_replica_queries(replicas, at / 10) for at in range(100)]
-    assert max(len(some) for some in asked) == load_inbox.MAX_QUERIES
-    assert sum(len(some) for some in asked) < 10 * load_inbox.MAX_QUERIES
-    assert not {"10.0.0.1:80", "10.0.0.2:80"} & {one for some in asked for one in some}
+    queried = [inbox.choose_replica_queries(replicas, at / 10) for at in range(100)]
+    assert max(len(some) for some in queried) == load_inbox.MAX_QUERIES
+    assert sum(len(some) for some in queried) < 10 * load_inbox.MAX_QUERIES
+    assert not {"10.0.0.1:80", "10.0.0.2:80"} & {
+        one for some in queried for one in some
+    }
 
 
 def make_entry_state(number, **changes):
@@ -272,7 +274,7 @@
     return replace(state, **changes)
 
 
-def test_zone_without_complaints_has_one_relay_and_a_silent_one_is_replaced():
+def test_zone_without_missing_loads_has_one_relay_and_a_silent_one_is_replaced():
     relays = LoadRelays(key="g")
     for number in range(1, 6):
         relays.observe(make_entry_state(number), now=0.0)
@@ -285,7 +287,7 @@
     assert relays.choose(later) != first
 
 
-def test_complaints_move_the_relay_at_most_every_few_loads():
+def test_missing_loads_switch_the_relay_at_most_every_few_loads():
     relays = LoadRelays(key="g")
     for number in range(1, 8):
         relays.observe(make_entry_state(number), now=0.0)
--- a/tests/unit/test_map_coordinator.py
+++ b/tests/unit/test_map_coordinator.py
@@ -25,12 +25,12 @@
 
 SEEDS = range(6)
 
-TROUBLES = {
+FAULT_CASES = {
     "calm": Faults(),
     "lost": Faults(lost=0.3),
     "late": Faults(late=0.35),
     "doubled": Faults(doubled=0.5),
-    "frozen leaders": Faults(freezes=0.8),
+    "frozen leaders": Faults(stalls=0.8),
     "restarted agents": Faults(restarts=0.8),
     "broken groups": Faults(broken=0.3),
     "silent agents": Faults(lost=0.1, late=0.15, silences=0.8),
@@ -39,7 +39,7 @@
 }
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("trouble", FAULT_CASES)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_ranks_never_begin_a_pass_with_different_maps(trouble, seed):
     """Orders get no answer and are carried out seconds later, agents freeze and wake.
@@ -47,26 +47,26 @@
     Two ranks with different maps would send tokens to experts that are not there, and
     every caller of the group would get nonsense without any error.
     """
-    model = GroupModel(Random(f"{trouble}/{seed}"), TROUBLES[trouble])
+    model = GroupModel(Random(f"{trouble}/{seed}"), FAULT_CASES[trouble])
     model.play(12.0)
     assert model.passes > 50
 
 
 @pytest.mark.parametrize("trouble", ["calm", "lost", "late", "doubled"])
-def test_maps_change_under_trouble(trouble):
-    model = GroupModel(Random(7), TROUBLES[trouble])
+def test_maps_change_despite_faults(trouble):
+    model = GroupModel(Random(7), FAULT_CASES[trouble])
     model.play(30.0)
     assert model.changes >= 3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_group_goes_on_after_its_leader_froze(seed):
+def test_group_continues_after_its_leader_stalled(seed):
     """The leader's machine stands still for seconds while it holds the group.
 
     No rank begins a pass until the hold is released, and every stream of the group
     would stand still for as long. The agent of the next rank goes on for it.
     """
-    model = GroupModel(Random(seed), Faults(freezes=0.3, restarts=0.3))
+    model = GroupModel(Random(seed), Faults(stalls=0.3, restarts=0.3))
     model.play(30.0)
     # The machine of a rank that is armed already, or that holds, may stand still as
     # well: then only its waking helps, after four seconds at most in this model, and
@@ -74,7 +74,7 @@
     assert model.longest_hold_s < 4.0 + map_coordinator.LEADER_TIMEOUT_S + 1.0
 
 
-def find_break(faults):
+def find_split(faults):
     for seed in range(20):
         model = GroupModel(Random(seed), faults)
         try:
@@ -99,7 +99,7 @@
         ]
 
     monkeypatch.setattr(MapCoordinator, "decide", decide_without_hold)
-    assert find_break(Faults(lost=0.3, late=0.3))
+    assert find_split(Faults(lost=0.3, late=0.3))
 
 
 def test_without_waiting_for_all_ranks_the_maps_split(monkeypatch):
@@ -111,10 +111,10 @@
         return self._send_change(now, step=change.step)
 
     monkeypatch.setattr(MapCoordinator, "_arm", arm_once)
-    assert find_break(Faults(lost=0.3, late=0.3))
+    assert find_split(Faults(lost=0.3, late=0.3))
 
 
-def test_leader_that_freezes_after_its_hold_stops_the_group_for_a_second():
+def test_leader_that_stalls_after_its_hold_stops_the_group_for_a_second():
     """The leader's machine stands still right after the order that holds the group.
 
     Its rank can't be reached either. No other rank is armed yet, so the next agent
@@ -123,8 +123,8 @@
     model = GroupModel(Random(3), Faults())
     while model.agents[0].coordinator.phase is not Phase.HOLDING:
         model.play(0.02)
-    model.agents[0].frozen_until = model.now + 20.0
-    model.agents[0].stood_still = True
+    model.agents[0].stalled_until = model.now + 20.0
+    model.agents[0].was_stalled = True
     model.play(10.0)
     assert (
         model.longest_hold_s
@@ -133,7 +133,7 @@
     assert model.passes > 100
 
 
-def test_nobody_is_armed_in_the_moment_in_which_the_hold_is_answered():
+def test_no_rank_is_armed_when_the_hold_is_confirmed():
     """The leader's machine stands still as soon as its hold is answered.
 
     With the ranks told to arm in the same moment all are armed but the leader's own,
@@ -151,14 +151,14 @@
     leader.note_done(change.holder, Hold(model.epoch, change.step))
     queries = [QueryAgent(change.holder), QueryRank(change.holder)]
     assert leader.decide(model.now) == queries
-    model.agents[0].frozen_until = model.now + 20.0
-    model.agents[0].stood_still = True
+    model.agents[0].stalled_until = model.now + 20.0
+    model.agents[0].was_stalled = True
     model.play(5.0)
     assert model.longest_hold_s < map_coordinator.LEADER_TIMEOUT_S + 0.3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_change_of_maps_holds_nobody_up_when_all_goes_well(seed):
+def test_change_of_maps_hardly_delays_a_pass_without_faults(seed):
     """Demand moves every few seconds, and each change of maps holds a pass.
 
     A leader that waits before it arms or releases, because it gave another order just
@@ -232,9 +232,7 @@
         ((0, 3), False),
     ],
 )
-def test_hold_is_released_only_when_each_rank_has_told_that_it_is_not_armed(
-    stale, expected
-):
+def test_hold_is_released_only_when_each_rank_has_reported_not_armed(stale, expected):
     """The leader has told all ranks to arm, and falls silent.
 
     The next agent has heard of some ranks last before they were armed. Were it to go
@@ -255,7 +253,7 @@
     assert (deputy.phase is Phase.RELEASING) == expected
 
 
-def test_leader_that_gives_a_change_up_waits_for_those_who_are_being_armed():
+def test_leader_that_abandons_a_change_waits_for_ranks_being_armed():
     """The leader has told all to arm and drops the change in the same moment.
 
     The orders are on their way to the ranks. A release at once would begin the pass
@@ -273,7 +271,7 @@
     assert leader.phase is Phase.IDLE
 
 
-def test_rank_that_holds_gets_unanswered_orders_from_the_agent_beside_it():
+def test_unanswered_order_is_repeated_through_the_agent_of_the_rank():
     """Orders from another machine are lost, seven in a row.
 
     All streams of the group pause until the pass is let go. The agent on the rank's own
@@ -291,7 +289,7 @@
     assert [type(one) for one in again] == [SendOrder, DelegateOrder]
 
 
-def test_only_those_who_have_not_told_that_they_are_armed_are_told_again():
+def test_order_to_arm_is_sent_again_only_to_unconfirmed_ranks():
     """One word to a rank is lost while the group is held.
 
     Told to all again and again, an arming would fill the link that its answers come by.
@@ -312,7 +310,7 @@
     assert [one.to for one in sent] == [("2",)]
 
 
-def test_older_report_does_not_undo_the_word_of_the_agent_beside_the_holder():
+def test_older_report_does_not_override_newer_state_from_the_agent():
     """The rank that holds is read by its agent and from afar at the same time.
 
     What is read from afar is some tenths of a second old, and comes a moment later.
@@ -333,7 +331,7 @@
     assert leader.phase is Phase.ARMING
 
 
-def test_report_from_afar_counts_where_the_agent_has_fallen_silent():
+def test_remote_report_counts_when_the_agent_is_silent():
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.HOLDING:
@@ -346,7 +344,7 @@
     assert leader._known_ranks[int(change.holder)].state.held_step == change.step
 
 
-def test_release_goes_both_ways_at_once():
+def test_release_is_sent_directly_and_through_the_agent_at_once():
     """Orders from another machine are lost while a pass is held.
 
     All streams pause until the release is given again. Unlike a hold it does no harm
@@ -363,7 +361,7 @@
 
 @pytest.mark.parametrize("silent", [0, 2])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_maps_follow_demand_while_an_agent_stands_still(silent, seed):
+def test_maps_follow_demand_while_an_agent_is_stalled(silent, seed):
     """The process beside one rank stands still for seconds; its rank goes on working.
 
     A leader that waits for its word changes no map meanwhile. Demand moves on, passes
@@ -372,7 +370,7 @@
     model = GroupModel(Random(seed), Faults())
     model.play(6.0)
     model.agents[silent].down_until = model.now + 12.0
-    model.agents[silent].stood_still = True
+    model.agents[silent].was_stalled = True
     model.play(map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S + 0.5)
     before = model.changes
     for _ in range(4):
@@ -385,7 +383,7 @@
     )
 
 
-def test_many_silent_agents_are_not_all_read_from_afar(monkeypatch):
+def test_map_stays_when_too_many_agents_are_silent(monkeypatch):
     """More agents are silent than the leader can read ranks for: it leaves the map."""
     monkeypatch.setattr(map_coordinator, "MOST_SILENT", 1)
     model = GroupModel(Random(3), Faults())
@@ -398,7 +396,7 @@
     assert model.changes == before
 
 
-def test_all_silent_ranks_of_a_group_that_stands_still_are_read():
+def test_all_silent_ranks_of_a_stalled_group_are_queried():
     """Most agents of a group die while the rank beside one of them holds it.
 
     Their ranks are the only ones who know which of them holds. A leader that reads a
@@ -415,7 +413,7 @@
     assert not model.ranks[2].held
 
 
-def test_change_that_another_leader_has_overtaken_lets_the_group_go_on():
+def test_group_continues_when_another_leader_supersedes_the_change():
     """Two agents lead for a moment, and one brings its copies after the other's hold.
 
     No rank can be armed for the first change any more. A leader that waits for them
@@ -437,7 +435,7 @@
     assert model.step > before + 3
 
 
-def test_large_group_follows_a_shift_of_demand_without_waiting_for_its_next_look():
+def test_large_group_follows_a_shift_of_demand_before_its_next_search_is_due():
     """Demand moves to other experts right after the leader has looked for a better map.
 
     In a group of 64 ranks the next look is half a second away. All passes take twice as
@@ -468,7 +466,7 @@
     assert {5, 6} & set(searched)
 
 
-def test_experts_that_are_told_before_the_layout_is_known_count_later():
+def test_experts_received_before_the_layout_is_known_are_used_later():
     """All processes start anew, and the ranks name their experts at once.
 
     The leader reads the configuration half a second later. Ranks name their experts
--- a/tests/unit/test_move_worth.py
+++ b/tests/unit/test_move_worth.py
@@ -7,10 +7,10 @@
 from hyssopvane._internal.policy.move_worth import find_move
 from hyssopvane._internal.state.routing import ExpertLayout
 
-QUICK_LINK, SLOW_LINK = 180_000.0, 4_400.0
+FAST_LINK, SLOW_LINK = 180_000.0, 4_400.0
 
 
-def make_layout(link_mbps=QUICK_LINK, *, sets=4):
+def make_layout(link_mbps=FAST_LINK, *, sets=4):
     return ExpertLayout(sets, 96, 5, 2, 0.85, 110.0, link_mbps)
 
 
@@ -37,7 +37,7 @@
     )
 
 
-def test_demand_that_stays_is_worth_more_copies():
+def test_lasting_demand_is_worth_more_copies():
     """Copying for a demand that has moved on meanwhile slows passes for nothing."""
     brief, long = (find(make_layout(SLOW_LINK), lasts_s=s) for s in (0.5, 20.0))
     assert brief.copy_s < 0.5
@@ -46,12 +46,12 @@
 
 
 @pytest.mark.parametrize("lasts_s", [1.0, 3.0, 10.0])
-def test_quick_links_are_worth_more_copies(lasts_s):
-    slow, quick = (
-        find(make_layout(link), lasts_s=lasts_s) for link in (SLOW_LINK, QUICK_LINK)
+def test_fast_links_are_worth_more_copies(lasts_s):
+    slow, fast = (
+        find(make_layout(link), lasts_s=lasts_s) for link in (SLOW_LINK, FAST_LINK)
     )
-    assert slow.move.most_new <= quick.move.most_new
-    assert slow.worth_s <= quick.worth_s
+    assert slow.move.most_new <= fast.move.most_new
+    assert slow.worth_s <= fast.worth_s
 
 
 def test_even_demand_saves_nothing():
@@ -61,6 +61,6 @@
     assert found.saved == 0
 
 
-def test_worth_is_negative_where_demand_moves_on_before_the_copies_are_there():
+def test_worth_is_negative_when_demand_shifts_before_the_copies_arrive():
     found = find(make_layout(SLOW_LINK / 10), lasts_s=0.2)
     assert found.worth_s < 0
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -68,7 +68,7 @@
     assert not list_places(gate.settle(1.1))
 
 
-def test_refusals_and_wrong_addresses_of_an_earlier_start_are_forgotten():
+def test_refusals_and_wrong_addresses_of_an_earlier_start_are_discarded():
     gate = make_gate(0)
     old, new = make_replica(0, started_ms=BEFORE), make_replica(0, started_ms=AFTER)
     gate.update([old], None, now=0.0)
@@ -79,7 +79,7 @@
     assert list_places(gate.settle(0.0))
 
 
-def test_older_registration_does_not_undo_what_loads_tell():
+def test_older_registration_does_not_override_loads():
     """The registration lags: it names the earlier start for a second after the load.
 
     Were it believed, each of the two would undo the other and no count would hold.
@@ -100,7 +100,7 @@
     assert list_places(gate.settle(0.0))
 
 
-def test_request_that_crashes_one_replica_again_and_again_is_banned():
+def test_request_that_repeatedly_crashes_a_replica_is_banned():
     """A request kills its replica, which comes back under its id each time."""
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
@@ -116,7 +116,7 @@
     return model, leader
 
 
-def test_leader_gives_up_a_change_when_a_rank_starts_anew():
+def test_leader_abandons_a_change_when_a_rank_restarts():
     """A rank starts anew while it copies experts, and holds none of them."""
     model, leader = make_arming_model()
     state = replace(model._describe(1), started_ms=AFTER)
@@ -124,7 +124,7 @@
     assert leader.phase is Phase.IDLE
 
 
-def test_answer_of_an_earlier_start_is_no_state_of_the_next_one():
+def test_confirmation_counts_only_for_its_own_start():
     """The answer to an arming comes after the rank has started anew.
 
     Taken for the new start's, it would release the pass while that rank has no map but
