--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -1,4 +1,4 @@
-"""Model ranks that switch expert maps, with orders that are lost, doubled or late."""
+"""Model ranks that switch expert maps, with lost, duplicated and late orders."""
 
 from collections import deque
 from dataclasses import dataclass, field, replace
@@ -31,9 +31,9 @@
 """Age of a report that is read from another machine."""
 KEPT_TICKS = 16
 PRESENCE_INTERVAL_S = 0.5
-"""Pause between two words of the lowest ranks' agents to all that they live."""
+"""Interval of presence messages from the lowest ranks' agents to all others."""
 FULL_STATE_INTERVAL_S = 2.0
-"""Pause between two states to all agents that lead or lead next."""
+"""Interval of full states to all agents that lead or lead next."""
 
 LAYOUT = ExpertLayout(
     sets=1,
@@ -48,12 +48,12 @@
 
 
 class MapsDiffer(AssertionError):
-    """Tell that a pass began while two ranks had different maps."""
+    """Signal that a pass began while two ranks had different maps."""
 
 
 @dataclass
 class ModelRank:
-    """Act as a replica does on orders."""
+    """Carry out orders, as a replica does."""
 
     number: int
     map_version: int = 0
@@ -66,7 +66,7 @@
     held: int = 0
 
     def take(self, order: RankOrder, *, step: int, epoch: int, now: float) -> bool:
-        """Carry an order out, or refuse it."""
+        """Carry out or refuse an order; return whether it was carried out."""
         if order.epoch != epoch:
             return False
         match order:
@@ -107,28 +107,28 @@
 
 @dataclass
 class ModelAgent:
-    """Stand beside a rank and drive a coordinator."""
+    """Hold the agent of a rank, with its coordinator."""
 
     coordinator: MapCoordinator
     stalled_until: float = float("-inf")
-    """Time until which its machine stands still; nobody reaches its rank meanwhile."""
+    """Time until which the machine is stalled and can't be reached."""
     down_until: float = float("-inf")
-    """Time until which its process starts anew; its rank is reached meanwhile."""
+    """Time until which the agent's process restarts, while its rank can be reached."""
     was_stalled: bool = False
     change: MapChange | None = None
     ordered: RankOrder | None = None
     ordered_at: float = float("-inf")
     presence_sent_at: float = float("-inf")
     full_state_receivers: list[int] = field(default_factory=list)
-    """Agents that were told a full state last."""
+    """Agents that the last full state was sent to."""
     full_state_sent_at: float = float("-inf")
     last_presence_at: dict[int, float] = field(default_factory=dict)
-    """Time of the last word of each rank's agent."""
+    """Time of the last presence message of each rank's agent."""
 
 
 @dataclass
 class Faults:
-    """Say how much goes wrong."""
+    """Define the faults: shares of orders, and events a second."""
 
     lost: float = 0.0
     late: float = 0.0
@@ -137,12 +137,12 @@
     restarts: float = 0.0
     broken: float = 0.0
     silences: float = 0.0
-    """Agents whose process stands still while their rank works, a second."""
+    """Stalls of an agent's process while its rank works, a second."""
 
 
 @dataclass
 class GroupModel:
-    """Play a group of ranks and its agents."""
+    """Simulate a group of ranks and its agents."""
 
     random: Random
     faults: Faults
@@ -154,16 +154,16 @@
     held_s: float = 0.0
     longest_hold_s: float = 0.0
     message_loss: float = 0.02
-    """Part of the agents' messages to each other that is lost."""
+    """Fraction of the messages between agents that is lost."""
     ranks: list[ModelRank] = field(default_factory=list)
     agents: list[ModelAgent] = field(default_factory=list)
     delayed: list[tuple[float, int, RankOrder]] = field(default_factory=list)
     past_states: list[deque[tuple[float, RankState]]] = field(
         default_factory=lambda: [deque(maxlen=KEPT_TICKS) for _ in range(RANKS)]
     )
-    """What each rank's report said at the last ticks."""
+    """Reports of each rank at the last ticks."""
     counts: list[list[int]] = field(default_factory=list)
-    """Choices of each expert since each rank's agent last told them."""
+    """Choices of each expert since each rank's agent last sent them."""
 
     def __post_init__(self) -> None:
         self.ranks = [ModelRank(number) for number in range(RANKS)]
@@ -173,7 +173,7 @@
         self.hot = 0
 
     def play(self, seconds: float) -> None:
-        """Let time pass; raise `MapsDiffer` when the ranks fall apart."""
+        """Simulate `seconds` seconds; raise `MapsDiffer` if the ranks' maps differ."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_S
@@ -187,7 +187,7 @@
 
     @property
     def changes(self) -> int:
-        """Return the changes that came into force."""
+        """Return the number of changes that came into force."""
         return sum(agent.coordinator.changes for agent in self.agents)
 
     def _make_agent(self) -> ModelAgent:
@@ -202,7 +202,7 @@
             rank.experts = tuple(range(rank.number, EXPERTS, RANKS))
 
     def begin_passes(self) -> None:
-        """Begin the next pass when it is due."""
+        """Begin the next pass if it is due."""
         for rank in self.ranks:
             if rank.pending is not None and self.now >= rank.copied_at:
                 rank.prepared, rank.prepared_experts = rank.pending
@@ -228,10 +228,10 @@
     def _check(self) -> None:
         versions = {rank.map_version for rank in self.ranks}
         if len(versions) > 1:
-            raise MapsDiffer(f"pass {self.step}: versions {versions}")
+            raise MapsDiffer(f"pass {self.step}: ranks have versions {versions}")
         held = {expert for rank in self.ranks for expert in rank.experts}
         if held != set(range(EXPERTS)):
-            raise MapsDiffer(f"pass {self.step}: no rank has all experts: {held}")
+            raise MapsDiffer(f"pass {self.step}: ranks only have experts {held}")
 
     def _count(self) -> None:
         if self.random.random() < 0.03:
@@ -296,7 +296,7 @@
                     agent.coordinator.note_done(action.replica, action.order)
 
     def _read_remotely(self, number: int) -> RankState:
-        """Return what a report says that is read from another machine."""
+        """Return the rank's report as read from another machine."""
         past_states = [
             state for at, state in self.past_states[number] if at <= self.now - LAG_S
         ]
@@ -312,7 +312,9 @@
         ]
 
     def _choose_state_receivers(self, number: int) -> list[int]:
-        """Return the agents that one tells its state: its leader, or all leaders."""
+        """Return the agents to send a state to: the leader, or all that lead or lead
+        next.
+        """
         agent = self.agents[number]
         alive = sorted(
             rank
@@ -329,7 +331,7 @@
         return leaders
 
     def _choose_presence_receivers(self, number: int) -> list[int]:
-        """Return the agents that one tells that it lives."""
+        """Return the agents to send a presence message to."""
         agent = self.agents[number]
         if (
             number >= PRESENCE_SENDERS
@@ -340,7 +342,7 @@
         return [one for one in range(RANKS) if one != number]
 
     def _delegate(self, action: DelegateOrder) -> None:
-        """Let the agent beside a rank give the order, when the request reaches it."""
+        """Have the agent on a rank's machine give the order, if the request arrives."""
         number = int(action.agent)
         if self._list_reached(number, [number]):
             self._send(number, action.order)
@@ -377,7 +379,7 @@
         self._send(number, order)
 
     def _send(self, number: int, order: RankOrder) -> bool:
-        """Give an order; tell whether the rank answered that it carried it out."""
+        """Send an order; return whether the rank confirmed that it carried it out."""
         if self.now < self.agents[number].stalled_until:
             return False
         draw = self.random.random()
--- a/tests/unit/test_group_presence.py
+++ b/tests/unit/test_group_presence.py
@@ -1,4 +1,4 @@
-"""Test which agents of a group speak to whom."""
+"""Test which agents of a group send messages, and to which agents."""
 
 import pytest
 
@@ -78,10 +78,10 @@
 
 
 def test_only_the_lowest_ranks_send_presence_when_all_start_at_once():
-    """Everything lost power, and all agents of a group come back in the same moment.
+    """After a power loss, all agents of a group start at the same moment.
 
-    Were each to speak to all others before it has heard one, thousands of messages
-    would fill the links that callers wait for.
+    If each of them sent messages to all others before it has received one, thousands of
+    messages would fill the links that callers need.
     """
     agents = {rank: GroupPresence() for rank in range(RANKS)}
     senders = set()
@@ -91,7 +91,7 @@
             if not presence.sends_presence(rank, now):
                 continue
             senders.add(rank)
-            # It learns the others one after the other, and takes two seconds for that.
+            # The agent discovers the others one by one, within two seconds.
             reached = int(RANKS * min(1.0, now / 2.0))
             for number in range(reached):
                 if number != rank:
@@ -123,7 +123,7 @@
 
 
 def test_replaced_member_is_searched_for():
-    """A replica is replaced by one on another machine, whose agent nobody knows."""
+    """A replica is replaced by one on another machine, whose agent is unknown."""
     presence = make_presence(range(1, RANKS))
     unknown = "10.9.9.9:7001"
     receivers = set()
@@ -153,9 +153,10 @@
     ids=["other-start", "other-epoch", "other-rank", "other-size"],
 )
 def test_short_state_is_completed_by_the_full_one_of_the_same_start_only(short):
-    """A replica starts anew, or its group is formed anew, before a full state of it.
+    """A replica restarts, or its group is formed anew, before a full state of it
+    arrives.
 
-    What an earlier one named may be another's address by now.
+    The addresses in an earlier full state may belong to another replica by now.
     """
     presence = GroupPresence()
     sender = make_address(5)
@@ -211,9 +212,9 @@
 def test_claim_to_lead_is_accepted_when_the_leader_is_silent(silent_s, believed):
     """The leader fails while it holds its group, and the next agent takes over.
 
-    Until the ranks tell it where they are, it can't let the pass go on, and all streams
-    of the group pause. Where only the link between the two is cut, the ranks still hear
-    the leader and stay with it.
+    Until the ranks send it their states, it can't release the pass, and all streams of
+    the group pause. If only the link between the two is cut, the ranks still receive
+    the leader's messages and stay with it.
     """
     presence = make_presence((0, 1))
     presence.observe(make_address(1), 1, now=silent_s, leads=True)
--- a/tests/unit/test_map_coordinator.py
+++ b/tests/unit/test_map_coordinator.py
@@ -42,10 +42,10 @@
 @pytest.mark.parametrize("trouble", FAULT_CASES)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_ranks_never_begin_a_pass_with_different_maps(trouble, seed):
-    """Orders get no answer and are carried out seconds later, agents freeze and wake.
+    """Orders get no answer and take effect seconds later; agents stall and resume.
 
     Two ranks with different maps would send tokens to experts that are not there, and
-    every caller of the group would get nonsense without any error.
+    every caller of the group would get garbage without any error.
     """
     model = GroupModel(Random(f"{trouble}/{seed}"), FAULT_CASES[trouble])
     model.play(12.0)
@@ -61,16 +61,16 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_group_continues_after_its_leader_stalled(seed):
-    """The leader's machine stands still for seconds while it holds the group.
+    """The leader's machine stalls for seconds while the leader holds the group.
 
     No rank begins a pass until the hold is released, and every stream of the group
-    would stand still for as long. The agent of the next rank goes on for it.
+    would pause as long. The agent of the next rank takes over.
     """
     model = GroupModel(Random(seed), Faults(stalls=0.3, restarts=0.3))
     model.play(30.0)
-    # The machine of a rank that is armed already, or that holds, may stand still as
-    # well: then only its waking helps, after four seconds at most in this model, and
-    # the next agent waits until the leader has been silent for long enough.
+    # The machine of a rank that is already armed, or that holds the pass, may stall as
+    # well: the group then waits until it resumes, after four seconds at most in this
+    # model, and the next agent waits until the leader's timeout has passed.
     assert model.longest_hold_s < 4.0 + map_coordinator.LEADER_TIMEOUT_S + 1.0
 
 
@@ -85,7 +85,7 @@
 
 
 def test_without_the_hold_late_orders_split_the_maps(monkeypatch):
-    """Without the hold a rank that is armed late is still on the old map."""
+    """Without the hold, a rank that is armed late still uses the old map."""
     decide = MapCoordinator.decide
 
     def decide_without_hold(self, now):
@@ -103,7 +103,9 @@
 
 
 def test_without_waiting_for_all_ranks_the_maps_split(monkeypatch):
-    """A leader that releases the pass before every rank has told that it is armed."""
+    """Test a leader that releases the pass before every rank has reported that it is
+    armed.
+    """
 
     def arm_once(self, now):
         change = self._get_change()
@@ -115,10 +117,10 @@
 
 
 def test_leader_that_stalls_after_its_hold_stops_the_group_for_a_second():
-    """The leader's machine stands still right after the order that holds the group.
+    """The leader's machine stalls right after the order that holds the group.
 
-    Its rank can't be reached either. No other rank is armed yet, so the next agent
-    lets the group go on without the change.
+    Its rank can't be reached either. No other rank is armed yet, so the next agent lets
+    the group continue without the change.
     """
     model = GroupModel(Random(3), Faults())
     while model.agents[0].coordinator.phase is not Phase.HOLDING:
@@ -134,18 +136,20 @@
 
 
 def test_no_rank_is_armed_when_the_hold_is_confirmed():
-    """The leader's machine stands still as soon as its hold is answered.
+    """The leader's machine stalls as soon as its hold is confirmed.
 
-    With the ranks told to arm in the same moment all are armed but the leader's own,
-    which nobody reaches, and every stream of the group pauses until it wakes. It reads
-    the rank that holds first; by then it stands still, and nobody is armed.
+    If the ranks were ordered to arm at that moment, all would be armed except the
+    leader's own, which can't be reached, and every stream of the group would pause
+    until it resumes. The leader queries the rank that holds the pass first; it stalls
+    before the answer, and no rank is armed.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.HOLDING:
         model.play(TICK_S)
     change = leader._get_change()
-    # Only the answer has come back; the agent of that rank has told nothing yet.
+    # Only the confirmation has arrived; the agent of that rank has reported nothing
+    # yet.
     holder = leader._known_ranks[int(change.holder)]
     holder.state = replace(holder.state, held_step=0)
     leader.note_done(change.holder, Hold(model.epoch, change.step))
@@ -159,10 +163,10 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_change_of_maps_hardly_delays_a_pass_without_faults(seed):
-    """Demand moves every few seconds, and each change of maps holds a pass.
+    """Demand shifts every few seconds, and each change of maps holds a pass.
 
-    A leader that waits before it arms or releases, because it gave another order just
-    before, keeps the group at a stand with every change, and all streams pause.
+    A leader that delays arming or releasing, because it has just sent another order,
+    stalls the group at every change, and all streams pause.
     """
     model = GroupModel(Random(seed), Faults(), message_loss=0.0)
     model.play(40.0)
@@ -172,7 +176,7 @@
 
 
 def observe_all(coordinator, *, ranks, layout, now, round_number):
-    """Let each agent of a group tell its state once, spread over one look."""
+    """Pass a state of each rank of a group to the coordinator, spread over one poll."""
     interval_s = get_poll_interval_s(ranks)
     for rank in range(ranks):
         at = now + interval_s * rank / ranks
@@ -205,11 +209,11 @@
 
 @pytest.mark.parametrize("ranks", [4, 12, 24, 40, 41, 63, 64, 128])
 def test_group_of_any_size_gets_a_new_map(ranks):
-    """Demand gathers on one expert of a large group.
+    """Demand concentrates on one expert of a large group.
 
-    Agents of large groups look less often. A leader that wants all states as fresh as
-    in a small group never sees them together, and the group keeps its first map for
-    the whole day: passes take twice as long as they need to.
+    Agents of large groups poll less often. A leader that requires states as fresh as in
+    a small group never sees all of them together, and the group keeps its first map all
+    day: passes take twice as long as necessary.
     """
     layout = ExpertLayout(1, 2 * ranks, 4, 2, 0.85, 110.0, 180_000.0)
     coordinator = MapCoordinator(nonce=1, layout=layout)
@@ -233,10 +237,11 @@
     ],
 )
 def test_hold_is_released_only_when_each_rank_has_reported_not_armed(stale, expected):
-    """The leader has told all ranks to arm, and falls silent.
+    """The leader has ordered all ranks to arm, and falls silent.
 
-    The next agent has heard of some ranks last before they were armed. Were it to go
-    by that, the pass would begin with two maps, and all answers of it would be garbage.
+    The next agent's last states of some ranks are from before they were armed. If it
+    relied on them, the pass would begin with two maps, and all its answers would be
+    garbage.
     """
     layout = ExpertLayout(1, 8, 4, 2, 0.85, 110.0, 180_000.0)
     deputy = MapCoordinator(nonce=1, layout=layout)
@@ -254,10 +259,10 @@
 
 
 def test_leader_that_abandons_a_change_waits_for_ranks_being_armed():
-    """The leader has told all to arm and drops the change in the same moment.
+    """The leader has ordered all ranks to arm, and abandons the change at once.
 
-    The orders are on their way to the ranks. A release at once would begin the pass
-    when some of them have come and others have not.
+    The orders are on their way to the ranks. An immediate release would begin the pass
+    when some of them have arrived and others have not.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -274,9 +279,9 @@
 def test_unanswered_order_is_repeated_through_the_agent_of_the_rank():
     """Orders from another machine are lost, seven in a row.
 
-    All streams of the group pause until the pass is let go. The agent on the rank's own
-    machine needs 2 ms for it. It does not give the first order: a machine that fails
-    right after its order would be the one that holds the group.
+    All streams of the group pause until the pass is released. The agent on the rank's
+    own machine needs 2 ms for an order. It does not give the first order: a machine
+    that fails right after its order would be the one that holds the group.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -290,10 +295,11 @@
 
 
 def test_order_to_arm_is_sent_again_only_to_unconfirmed_ranks():
-    """One word to a rank is lost while the group is held.
+    """One message to a rank is lost while the group is held.
 
-    Told to all again and again, an arming would fill the link that its answers come by.
-    Told again late, it stops all streams of the group for a quarter of a second.
+    Sending the order to arm to all ranks repeatedly would fill the link that their
+    answers use. Sending it late stops all streams of the group for a quarter of a
+    second.
     """
     model = GroupModel(Random(3), Faults(), message_loss=0.0)
     leader = model.agents[0].coordinator
@@ -311,11 +317,11 @@
 
 
 def test_older_report_does_not_override_newer_state_from_the_agent():
-    """The rank that holds is read by its agent and from afar at the same time.
+    """The rank that holds the pass is read by its agent and remotely at the same time.
 
-    What is read from afar is some tenths of a second old, and comes a moment later.
-    Were it to count, the leader would wait for what it knows already, and all streams
-    of the group would pause for a quarter of a second.
+    The remote report is some tenths of a second old, and arrives a moment later. If it
+    counted, the leader would wait for what it already knows, and all streams of the
+    group would pause for a quarter of a second.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -347,8 +353,8 @@
 def test_release_is_sent_directly_and_through_the_agent_at_once():
     """Orders from another machine are lost while a pass is held.
 
-    All streams pause until the release is given again. Unlike a hold it does no harm
-    on whichever machine it is given.
+    All streams pause until the release is sent again. Unlike a hold, it does no harm,
+    whichever machine sends it.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -362,10 +368,10 @@
 @pytest.mark.parametrize("silent", [0, 2])
 @pytest.mark.parametrize("seed", SEEDS)
 def test_maps_follow_demand_while_an_agent_is_stalled(silent, seed):
-    """The process beside one rank stands still for seconds; its rank goes on working.
+    """An agent's process is stalled for seconds while its rank continues to work.
 
-    A leader that waits for its word changes no map meanwhile. Demand moves on, passes
-    take twice as long, and a third of the callers is refused until it wakes.
+    A leader that waits for its message changes no map meanwhile. Demand shifts, passes
+    take twice as long, and a third of the callers are refused until the agent resumes.
     """
     model = GroupModel(Random(seed), Faults())
     model.play(6.0)
@@ -384,7 +390,7 @@
 
 
 def test_map_stays_when_too_many_agents_are_silent(monkeypatch):
-    """More agents are silent than the leader can read ranks for: it leaves the map."""
+    """If more agents are silent than the leader can query ranks for, the map stays."""
     monkeypatch.setattr(map_coordinator, "MOST_SILENT", 1)
     model = GroupModel(Random(3), Faults())
     model.play(6.0)
@@ -397,10 +403,10 @@
 
 
 def test_all_silent_ranks_of_a_stalled_group_are_queried():
-    """Most agents of a group die while the rank beside one of them holds it.
+    """Most agents of a group die while one of their ranks holds it.
 
-    Their ranks are the only ones who know which of them holds. A leader that reads a
-    few of them at most would leave all streams standing until the agents are back.
+    Only their ranks know which of them holds the pass. A leader that always limits the
+    number of queries would leave all streams paused until the agents return.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -414,10 +420,10 @@
 
 
 def test_group_continues_when_another_leader_supersedes_the_change():
-    """Two agents lead for a moment, and one brings its copies after the other's hold.
+    """Two agents lead for a moment, and one sends its copies after the other's hold.
 
     No rank can be armed for the first change any more. A leader that waits for them
-    holds the group for ever, and all its streams end at their deadlines.
+    holds the group forever, and all its streams end at their deadlines.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -436,10 +442,10 @@
 
 
 def test_large_group_follows_a_shift_of_demand_before_its_next_search_is_due():
-    """Demand moves to other experts right after the leader has looked for a better map.
+    """Demand shifts to other experts right after a search for a better map.
 
-    In a group of 64 ranks the next look is half a second away. All passes take twice as
-    long until then, and every stream that runs pauses for too long.
+    In a group of 64 ranks, the next search is half a second away. Until then, all
+    passes would take twice as long, and every running stream would pause for too long.
     """
     ranks = 64
     layout = ExpertLayout(12, 128, 4, 2, 0.85, 1.0, 180_000.0)
@@ -467,11 +473,11 @@
 
 
 def test_experts_received_before_the_layout_is_known_are_used_later():
-    """All processes start anew, and the ranks name their experts at once.
+    """All processes restart, and the ranks name their experts at once.
 
     The leader reads the configuration half a second later. Ranks name their experts
-    again after two seconds; until then no map follows the demand, passes are long, and
-    callers who come back are refused.
+    again after two seconds. If the leader had dropped them, no map would follow the
+    demand until then: passes are long, and returning callers are refused.
     """
     layout = ExpertLayout(1, 24, 4, 2, 0.85, 1.0, 180_000.0)
     coordinator = MapCoordinator(nonce=1)
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -1,4 +1,4 @@
-"""Test that nothing of a replica's earlier start is believed of its next one."""
+"""Test that the state of a replica's earlier start does not apply to its next start."""
 
 from dataclasses import replace
 from random import Random
@@ -22,7 +22,9 @@
 
 
 def make_restarted_gate(*, told_by):
-    """Return a gate with a full replica that starts anew, and its last places."""
+    """Return a gate with a full replica that restarts, and the places of its earlier
+    start.
+    """
     gate = make_gate(0)
     gate.update([make_replica(0, started_ms=BEFORE)], None, now=0.0)
     alone = {"ranks": 1, "entries": 1}
@@ -43,8 +45,8 @@
 def test_places_of_an_earlier_start_are_free_at_once(told_by):
     """A replica crashes with six requests and is back under its id within seconds.
 
-    Their connections may hang for long. Counted as running, they would keep all callers
-    away from a replica that has nothing to do.
+    Their connections may hang for a long time. If they counted as running, they would
+    keep all callers away from an idle replica.
     """
     gate, _ = make_restarted_gate(told_by=told_by)
     for number in range(10, 16):
@@ -56,7 +58,7 @@
 def test_end_of_an_old_request_frees_no_place_of_the_next_start(told_by):
     """The old requests time out one by one after the replica has filled up again.
 
-    Each would free a place that is taken, and the replica would turn work away.
+    Each would free a place that is in use, and the replica would refuse requests.
     """
     gate, old = make_restarted_gate(told_by=told_by)
     for number in range(10, 16):
@@ -82,7 +84,7 @@
 def test_older_registration_does_not_override_loads():
     """The registration lags: it names the earlier start for a second after the load.
 
-    Were it believed, each of the two would undo the other and no count would hold.
+    If it were applied, the two would revert each other and no count would hold.
     """
     gate, _ = make_restarted_gate(told_by="load")
     add(gate, 2, now=1.0)
@@ -101,7 +103,7 @@
 
 
 def test_request_that_repeatedly_crashes_a_replica_is_banned():
-    """A request kills its replica, which comes back under its id each time."""
+    """A request crashes its replica, which returns under its id each time."""
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
         suspects.note_loss(1, ("i-1", BEFORE + number), now=float(number))
@@ -117,7 +119,7 @@
 
 
 def test_leader_abandons_a_change_when_a_rank_restarts():
-    """A rank starts anew while it copies experts, and holds none of them."""
+    """A rank restarts while it copies experts, and has none of them."""
     model, leader = make_arming_model()
     state = replace(model._describe(1), started_ms=AFTER)
     leader.observe(state, now=model.now)
@@ -125,10 +127,10 @@
 
 
 def test_confirmation_counts_only_for_its_own_start():
-    """The answer to an arming comes after the rank has started anew.
+    """The confirmation of an order to arm arrives after the rank has restarted.
 
-    Taken for the new start's, it would release the pass while that rank has no map but
-    the first one.
+    If it were applied to the new start, the pass would be released while that rank has
+    no map but the first one.
     """
     model, leader = make_arming_model()
     leader.observe(replace(model._describe(1), started_ms=AFTER), now=model.now)
