--- a/bench/telling.py
+++ b/bench/telling.py
@@ -1,4 +1,4 @@
-"""Count what telling a group's load costs, by ranks, entries and zones."""
+"""Measure the cost of publishing a group's load, by ranks, entries and zones."""
 
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Hold what one size costs."""
+    """Hold the costs of one size."""
 
     ranks: int
     entries: int
--- a/tests/lib/publishing_model.py
+++ b/tests/lib/publishing_model.py
@@ -1,4 +1,4 @@
-"""Model a leader, the entries of some zones and the links between them."""
+"""Model a leader, the entries of some zones, and the links between them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -18,7 +18,7 @@
 FIRST_MS = 1_700_000_000_000
 
 Drops = Callable[[str, str], float]
-"""Returns the part of the messages between two processes that is lost."""
+"""Returns the fraction of the messages between two processes that is lost."""
 
 
 def never(sender: str, receiver: str) -> float:
@@ -28,7 +28,7 @@
 
 @dataclass
 class ModelLeader:
-    """Tell the load of a group, as an agent that leads it does."""
+    """Publish the load of a group, as a leading agent does."""
 
     address: str
     publisher: LoadPublisher
@@ -38,14 +38,14 @@
 
 @dataclass
 class ModelEntry:
-    """Hear loads, as an entry does."""
+    """Receive loads, as an entry does."""
 
     address: str
     zone: str
     inbox: LoadInbox
     down_until: float = float("-inf")
     taken_at: dict[str, float] = field(default_factory=dict)
-    """Time that the newest load of each replica was taken at."""
+    """Time at which the newest load of each replica was taken."""
     starts: dict[str, int] = field(default_factory=dict)
     epoch: int = 0
     sent_bytes: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass
 class PublishingModel:
-    """Play the words between one group's leaders and the entries.
+    """Simulate the messages between one group's leaders and the entries.
 
     The agents of the three lowest ranks may lead; `leading` holds those that do.
     """
@@ -97,7 +97,7 @@
         return f"10.9.{rank // 200}.{rank % 200 + 1}:80"
 
     def play(self, seconds: float) -> None:
-        """Let time pass."""
+        """Simulate `seconds` seconds."""
         end = self.now + seconds
         while self.now < end:
             before, self.now = self.now, self.now + TICK_S
@@ -111,7 +111,7 @@
                     self._poll(entry)
 
     def list_ages(self) -> list[float]:
-        """Return the age of each entry's belief of each rank's load, in seconds."""
+        """Return the age of the load that each entry has of each rank, in seconds."""
         return [
             self.now - entry.taken_at.get(self.replica(rank), float("-inf"))
             for entry in self.entries
@@ -213,7 +213,9 @@
                 self._pass_on(leader.address, message)
 
     def _pass_on(self, agent: str, message: GroupMessage) -> None:
-        """Bring complaints to the leader, and its loads to who complained."""
+        """Forward queries to the leader, and its loads to the entry that sent the
+        query.
+        """
         match message:
             case EntryState() if message.unheard and not message.via:
                 leader = self.leaders[self.leading[0]].address
--- a/tests/unit/test_load_publishing.py
+++ b/tests/unit/test_load_publishing.py
@@ -39,7 +39,7 @@
     ("ranks", "zones", "by_zone"), [(12, 3, 2), (24, 3, 5), (63, 3, 5), (64, 5, 7)]
 )
 def test_loads_are_fresh_while_nothing_fails(ranks, zones, by_zone):
-    """Many entries listen to one group whose leader has a narrow link."""
+    """Many entries receive the loads of one group whose leader has a narrow link."""
     model = make_model(ranks=ranks, zones=zones, entries_by_zone=by_zone)
     sent = model.leaders[0].sent_bytes
     ages = []
@@ -53,10 +53,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_failed_relay_is_replaced_within_a_second(seed):
-    """The entry by way of which its zone hears of the group loses power.
+    """The entry that relays a group's loads to its zone loses power.
 
-    The other entries of the zone would guess the load of 64 ranks, and refuse callers
-    or overload the group.
+    The other entries of the zone would have to estimate the load of 64 ranks, and would
+    refuse callers or overload the group.
     """
     model = make_model(seed=seed)
     relay = find_relays(model)[0]
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_entry_that_the_relay_does_not_reach_gets_loads_from_another(seed):
-    """The link from the relay to one entry of its zone is cut, and nothing else."""
+    """Only the link from the relay to one entry of its zone is cut."""
     model = make_model(seed=seed)
     relay = find_relays(model)[0]
     zone = get_entry(model, relay).zone
@@ -86,9 +86,9 @@
 
 
 def test_leader_cut_off_from_all_entries_publishes_through_an_agent():
-    """The leader's machine reaches the other ranks and no entry.
+    """The leader's machine reaches the other ranks, but no entry.
 
-    It still leads, so no other agent would tell the load in its place.
+    It still leads, so no other agent would publish the load in its place.
     """
     model = make_model()
     leader = model.leaders[0].address
@@ -107,8 +107,8 @@
 def test_message_rate_falls_while_most_messages_are_lost():
     """A link drops nine messages of ten for a minute.
 
-    Were each missing load asked for again and again, the questions and their answers
-    would lose the next loads, long after the link is well again.
+    If every missing load were queried repeatedly, the queries and their answers would
+    cause the loss of the next loads, long after the link has recovered.
     """
     model = make_model()
     calm = count_messages(model, 5.0)
@@ -128,7 +128,7 @@
 
 
 def test_queries_of_all_entries_increase_leader_traffic_by_a_bounded_factor():
-    """Entries of all zones say that they hear nothing, whatever they are sent."""
+    """Entries of all zones query for missing loads, whatever they are sent."""
     model = make_model()
     calm = model.leaders[0].sent_bytes
     model.play(4.0)
@@ -163,10 +163,10 @@
 def test_no_older_start_or_epoch_is_accepted_after_a_newer_one(
     seed, loss, late, doubled, events
 ):
-    """Words are lost, doubled and late while ranks start anew and leaders change.
+    """Messages are lost, duplicated and late while ranks restart and leaders change.
 
-    An old load that is taken for a new one would count the requests of a start that has
-    ended, or of a group that was formed anew since.
+    If an old load counted as a new one, the requests of a start that has ended, or of
+    an earlier epoch of the group, would be counted.
     """
     model = PublishingModel(
         Random(seed),
