--- a/tests/lib/map_coordinator.py
+++ b/tests/lib/map_coordinator.py
@@ -1,4 +1,4 @@
-"""Run one switch of expert maps as its own process."""
+"""Run one switch of expert maps in a process of its own."""
 
 import argparse
 import sys
@@ -16,11 +16,11 @@
 from tests.lib.peers import RecordingHandler, make_hello
 
 STAGE_LIMIT_S = 20.0
-"""Bound on a run in which the agents don't stage."""
+"""Limit for a run in which the agents don't stage."""
 
 
 class PausingStore(MapSwitchStore):
-    """Stop for ever before the decision is written."""
+    """Block forever before the decision is written."""
 
     async def decide(self, fence: int) -> VersionedRecord | None:
         print("armed", flush=True)
@@ -28,7 +28,7 @@
 
 
 class Links(RankCaller):
-    """Ask agents over connections of their own."""
+    """Send requests to agents over separate connections."""
 
     def __init__(self, links: EntryLinks) -> None:
         self._links = links
@@ -38,7 +38,7 @@
 
 
 async def run(options: argparse.Namespace) -> None:
-    """Switch a group to a map and print how that ended."""
+    """Switch a group to a map and print the result."""
     agents = dict(one.split("=") for one in options.agents.split(","))
     store = EtcdKeyValueStore(options.platform)
     links = EntryLinks(
@@ -67,7 +67,7 @@
 
 
 def main() -> None:
-    """Read the options and run."""
+    """Parse the options and run the switch."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--platform", required=True)
     parser.add_argument("--agents", required=True)
--- a/tests/unit/test_expert_maps.py
+++ b/tests/unit/test_expert_maps.py
@@ -1,4 +1,4 @@
-"""Test the choice of expert maps and when they are moved."""
+"""Test the choice of expert maps, and when experts are moved."""
 
 import pytest
 from hypothesis import given, settings
@@ -134,10 +134,10 @@
 
 
 def test_noise_does_not_move_experts():
-    """Let every expert's load jump about one mean.
+    """Let every expert's load fluctuate around one mean.
 
-    A policy that followed each jump would fetch weights without end and slow the steps
-    of callers for nothing.
+    A policy that followed each fluctuation would fetch weights continuously and slow
+    down the callers' steps without any benefit.
     """
     estimate = LoadEstimate(16, half_life_s=300.0)
     rebalancer = Rebalancer(COSTS, spread_evenly(ranks=8, experts=16))
--- a/tests/unit/test_expert_moves.py
+++ b/tests/unit/test_expert_moves.py
@@ -1,4 +1,4 @@
-"""Test the choice of few new copies of experts."""
+"""Test the choice of a few new copies of experts."""
 
 import pytest
 from hypothesis import given
@@ -51,10 +51,10 @@
 
 
 def test_one_hot_expert_is_spread_by_one_copy_per_rank():
-    """One expert in ninety-six gets a quarter of all tokens from one moment on.
+    """One expert of ninety-six suddenly gets a quarter of all tokens.
 
-    Its rank works three times as long as the others, and every pause of every stream
-    grows with it. One new copy on each rank takes most of that away.
+    Its rank takes three times as long as the others, which lengthens every pause of
+    every stream. One new copy on each rank removes most of that.
     """
     loads = [1.0] * 96
     loads[5] = 30.0
--- a/tests/unit/test_move_worth.py
+++ b/tests/unit/test_move_worth.py
@@ -1,4 +1,4 @@
-"""Test that the size of a change follows from what it saves and what it costs."""
+"""Test that the size of a change follows from its savings and its cost."""
 
 from random import Random
 
@@ -38,7 +38,7 @@
 
 
 def test_lasting_demand_is_worth_more_copies():
-    """Copying for a demand that has moved on meanwhile slows passes for nothing."""
+    """Copying for a demand that shifts meanwhile slows passes down without benefit."""
     brief, long = (find(make_layout(SLOW_LINK), lasts_s=s) for s in (0.5, 20.0))
     assert brief.copy_s < 0.5
     assert brief.move.most_new < long.move.most_new
