--- a/src/hyssopvane/_internal/policy/expert_moves.py
+++ b/src/hyssopvane/_internal/policy/expert_moves.py
@@ -192,7 +192,7 @@
             self._shift(added, step.dropped, step.rank, more=-1)
         return added
 
-    def take(self, step: _Step) -> None:
+    def apply(self, step: _Step) -> None:
         """Apply a step."""
         for rank, added in self.measure(step).items():
             self.times[rank] += added
@@ -228,7 +228,7 @@
         if best is None:
             continue
         _update_budget(state, budgets, best)
-        state.take(best)
+        state.apply(best)
         return True
     return False
 
--- a/src/hyssopvane/_internal/policy/group_capacity.py
+++ b/src/hyssopvane/_internal/policy/group_capacity.py
@@ -51,16 +51,16 @@
         """Places that this entry has reserved since the last pass began."""
         self._draw = 0.0
         self._epoch = -1
-        self._backs_off_until = float("-inf")
+        self._back_off_until = float("-inf")
         """Time until which a group that sends no load is considered broken."""
         self._has_served = False
         """Whether a member has begun to answer a request since the last refusal."""
         self._ranks = 1
-        self._started_at: deque[float] = deque()
+        self._start_times: deque[float] = deque()
         """Times at which this entry reserved the places that it still holds."""
         self._mean_duration_s = INITIAL_DURATION_S
         """Mean duration of a request."""
-        self._finished = 0
+        self._finished_count = 0
         self._prompt_budget = 0.0
         """Prompt tokens that this entry may still send before the next pass."""
         self._is_prompt_budget_due = True
@@ -108,14 +108,14 @@
         """Return whether a member serves requests, as far as known."""
         reported = [member for member in self.members.values() if member.is_fresh(now)]
         if not reported:
-            return now >= self._backs_off_until
+            return now >= self._back_off_until
         return any(member.is_open(now) for member in reported)
 
     def serves(self, now: float) -> bool | None:
         """Return whether the group serves requests, or None if it is unknown."""
         if self._has_fresh_load(now):
             return self.is_open(now)
-        if now < self._backs_off_until + PROBE_INTERVAL_S:
+        if now < self._back_off_until + PROBE_INTERVAL_S:
             return False
         return True if self._has_served else None
 
@@ -129,12 +129,12 @@
         told at once when to come back.
         """
         if not self._has_fresh_load(now):
-            self._backs_off_until = now + PROBE_INTERVAL_S
+            self._back_off_until = now + PROBE_INTERVAL_S
             self._has_served = False
 
     def note_served(self) -> None:
         """Record that a member has begun to answer a request."""
-        self._backs_off_until = float("-inf")
+        self._back_off_until = float("-inf")
         self._has_served = True
 
     def get_utilization(self, engine: EngineModel | None, now: float) -> float:
@@ -170,7 +170,7 @@
 
         Otherwise all waiting requests would be sent at once and refused together.
         """
-        refused = self._backs_off_until > float("-inf")
+        refused = self._back_off_until > float("-inf")
         return refused and not self._has_fresh_load(now)
 
     def allows_prompt(self, engine: EngineModel | None, now: float) -> bool:
@@ -227,19 +227,19 @@
         # Requests to an earlier start of a replica have ended without a call to this
         # method.
         own = sum(member.own for member in self.members.values())
-        while len(self._started_at) > own + 1:
-            self._started_at.popleft()
-        if self._started_at:
-            duration_s = now - self._started_at.popleft()
-            self._finished += 1
-            weight = max(DURATION_WEIGHT, 1 / self._finished)
+        while len(self._start_times) > own + 1:
+            self._start_times.popleft()
+        if self._start_times:
+            duration_s = now - self._start_times.popleft()
+            self._finished_count += 1
+            weight = max(DURATION_WEIGHT, 1 / self._finished_count)
             self._mean_duration_s += weight * (duration_s - self._mean_duration_s)
 
-    def take(self, prompt_tokens: int, *, now: float) -> None:
+    def reserve_place(self, prompt_tokens: int, *, now: float) -> None:
         """Reserve a place for a request of this entry."""
         if self._is_probing(now):
-            self._backs_off_until = now + PROBE_INTERVAL_S
-        self._started_at.append(now)
+            self._back_off_until = now + PROBE_INTERVAL_S
+        self._start_times.append(now)
         self._reserved += 1
         self._prompt_budget -= prompt_tokens
 
--- a/src/hyssopvane/_internal/policy/group_presence.py
+++ b/src/hyssopvane/_internal/policy/group_presence.py
@@ -87,7 +87,7 @@
 
     def __init__(self) -> None:
         self._peers: dict[str, _Peer] = {}
-        self._first_asked_at: float | None = None
+        self._started_at: float | None = None
         self._round = 0
         self._was_leading = False
         self._next_unknown = 0
@@ -160,12 +160,12 @@
 
     def sends_presence(self, rank: int, now: float) -> bool:
         """Return whether this agent sends presence messages to the whole group."""
-        if self._first_asked_at is None:
-            self._first_asked_at = now
+        if self._started_at is None:
+            self._started_at = now
         waits_s = (
             0.0 if rank < PRESENCE_SENDERS else BACKUP_DELAY_S + rank * BACKUP_STAGGER_S
         )
-        if now - self._first_asked_at < waits_s:
+        if now - self._started_at < waits_s:
             return False
         return len(self._list_lower(rank, now)) < PRESENCE_SENDERS
 
--- a/src/hyssopvane/_internal/policy/load_inbox.py
+++ b/src/hyssopvane/_internal/policy/load_inbox.py
@@ -70,7 +70,7 @@
         self._find_group(roster, now).roster = roster
         self._remove_expired(now)
 
-    def take(self, load: GroupLoad, *, now: float) -> Roster | None:
+    def accept(self, load: GroupLoad, *, now: float) -> Roster | None:
         """Return the roster of a load, or None if the load is outdated or can't be
         resolved.
 
--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -78,13 +78,13 @@
 the change comes late.
 """
 
-FIRST_ARMING_S = 0.1
+INITIAL_ARMING_S = 0.1
 """Assumed time for arming all ranks until it has been measured."""
 
-ARMING_FADE = 0.8
+ARMING_DECAY = 0.8
 """Decay of the longest arming time from one change to the next."""
 
-USUAL_PASS_S = 0.06
+DEFAULT_PASS_S = 0.06
 """Assumed time of a pass while none was measured recently."""
 
 ORPHAN_S = 0.5
@@ -189,13 +189,13 @@
         self._epoch = 0
         self._own = -1
         self._max_state_age_s = MAX_STATE_AGE_S
-        self._hold_answered = False
+        self._is_hold_confirmed = False
         """Whether the rank that is to hold the group has confirmed the order."""
         self._active_at = float("-inf")
         """Last time at which this agent was working on a change."""
         self._step = -1
         self._pass_s = 0.0
-        self.arming_s = FIRST_ARMING_S
+        self.arming_s = INITIAL_ARMING_S
         self._step_at = float("-inf")
         self._queried_at = float("-inf")
         self.changes = 0
@@ -296,7 +296,9 @@
         )
         return next(starts, 0)
 
-    def note_done(self, replica: str, order: RankOrder, *, started_ms: int = 0) -> None:
+    def note_confirmed(
+        self, replica: str, order: RankOrder, *, started_ms: int = 0
+    ) -> None:
         """Record a rank's own confirmation that it has carried out an order.
 
         Its agent reports the same at its next poll, up to a pass later; a held group
@@ -310,7 +312,7 @@
                 continue
             match order:
                 case Hold():
-                    self._hold_answered = True
+                    self._is_hold_confirmed = True
                 case Arm():
                     one.state = replace(
                         one.state, armed_version=order.version, armed_step=order.step
@@ -532,12 +534,12 @@
 
     def _prepare(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._all(lambda state: state.prepared == change.version):
+        if self._holds_for_all(lambda state: state.prepared == change.version):
             own = self._known_ranks[self._own].state
             if self._is_complete(now):
                 self.phase = Phase.HOLDING
                 change.step = self._choose_step(now)
-                self._hold_answered = False
+                self._is_hold_confirmed = False
                 change.holder = self._choose_holder(own, now)
                 # The next message has new content and must not be delayed by the last
                 # one.
@@ -562,10 +564,10 @@
 
     def _hold(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._find(change.holder).held_step == change.step:
+        if self._get_state_of(change.holder).held_step == change.step:
             self.phase = Phase.ARMING
             return self._arm(now)
-        if self._hold_answered and now - change.queried_at > _QUERY_RETRY_S:
+        if self._is_hold_confirmed and now - change.queried_at > _QUERY_RETRY_S:
             # A machine may fail at any moment. If the ranks were armed as soon as the
             # hold is confirmed, a leader that stalls at that moment would leave all
             # ranks armed except its own, which can't be reached: the group stalled
@@ -575,27 +577,27 @@
             # current state; a report read from another machine is some tenths of a
             # second old, and counts only if the agent is silent.
             change.queried_at = now
-            agent = self._find(change.holder).messages
+            agent = self._get_state_of(change.holder).messages
             return [QueryAgent(agent), QueryRank(change.holder)]
         if self._find_newest_step() >= change.step:
             # The pass has begun: the hold arrived too late or never.
             change.step = self._choose_step(now)
             change.ordered_at = float("-inf")
-            self._hold_answered = False
+            self._is_hold_confirmed = False
         return self._order(now, Hold(self._epoch, change.step))
 
     def _arm(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._all(lambda state: is_armed(state, change)):
+        if self._holds_for_all(lambda state: is_armed(state, change)):
             self.phase = Phase.RELEASING
             change.ordered_at = float("-inf")
             self.changes += 1
             took_s = now - change.chosen_at
-            self.arming_s = max(took_s, ARMING_FADE * self.arming_s)
+            self.arming_s = max(took_s, ARMING_DECAY * self.arming_s)
             if change.experts:
                 self._known_map = (change.version, change.experts)
             return self._release(now)
-        if self._all(lambda state: is_superseded(state, change)):
+        if self._holds_for_all(lambda state: is_superseded(state, change)):
             # Another leader has brought its copies to the ranks before they were armed.
             # No rank can be armed for this change any more, so the pass may begin
             # without it; waiting would hold the group forever.
@@ -635,7 +637,7 @@
 
     def _release(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._find(change.holder).held_step != change.step:
+        if self._get_state_of(change.holder).held_step != change.step:
             self._search.note_in_force(now)
             self._reset()
             return []
@@ -686,7 +688,7 @@
         assert self._change is not None
         return self._change
 
-    def _find(self, replica: str) -> RankState:
+    def _get_state_of(self, replica: str) -> RankState:
         return next(
             one.state
             for one in self._known_ranks.values()
@@ -704,7 +706,7 @@
 
     def _choose_step(self, now: float) -> int:
         self._get_change().chosen_at = now
-        pass_s = self._pass_s or USUAL_PASS_S
+        pass_s = self._pass_s or DEFAULT_PASS_S
         # On average, the current pass began half a pass ago.
         lead = ceil(self.arming_s / pass_s + 0.5)
         return self._find_newest_step() + min(
@@ -714,7 +716,7 @@
     def _find_newest_step(self) -> int:
         return max(one.state.step for one in self._known_ranks.values())
 
-    def _all(self, holds: Callable[[RankState], bool]) -> bool:
+    def _holds_for_all(self, holds: Callable[[RankState], bool]) -> bool:
         ranks = self._known_ranks[self._own].state.ranks
         states = self._list_states()
         return len(states) == ranks and all(holds(state) for state in states)
@@ -753,4 +755,7 @@
         direct = SendOrder(change.holder, order)
         if is_first and isinstance(order, Hold):
             return [direct]
-        return [direct, DelegateOrder(self._find(change.holder).messages, order)]
+        return [
+            direct,
+            DelegateOrder(self._get_state_of(change.holder).messages, order),
+        ]
--- a/src/hyssopvane/_internal/policy/measures.py
+++ b/src/hyssopvane/_internal/policy/measures.py
@@ -26,14 +26,14 @@
 
     def add(self, amount: float, *, now: float) -> None:
         """Add an amount."""
-        self._sum = self._sum * self._fade(now) + amount
+        self._sum = self._sum * self._get_decay(now) + amount
         self._at = now
 
     def get_rate(self, *, now: float) -> float:
         """Return the amount per second."""
-        return self._sum * self._fade(now) / _RATE_WINDOW_S
+        return self._sum * self._get_decay(now) / _RATE_WINDOW_S
 
-    def _fade(self, now: float) -> float:
+    def _get_decay(self, now: float) -> float:
         return math.exp((self._at - now) / _RATE_WINDOW_S)
 
 
--- a/src/hyssopvane/_internal/policy/replica_load.py
+++ b/src/hyssopvane/_internal/policy/replica_load.py
@@ -104,7 +104,7 @@
             # Loads are newer than registrations, so the start that they name is kept.
             self.replica = replace(replica, started_ms=self.replica.started_ms)
             return False
-        restarted = self._detect_restart(replica.started_ms)
+        restarted = self._reset_if_restarted(replica.started_ms)
         self.replica = replace(replica, started_ms=self.replica.started_ms)
         if restarted and self.load is not None:
             # The replica stays in its group until its agent reports another one.
@@ -119,7 +119,7 @@
         """
         if now < self.observed_at:
             return False
-        restarted = self._detect_restart(load.started_ms)
+        restarted = self._reset_if_restarted(load.started_ms)
         self.load = load
         # The report includes the requests that were sent before it was taken; a request
         # takes a few milliseconds to show.
@@ -128,7 +128,7 @@
         self.observed_at = now
         return restarted
 
-    def _detect_restart(self, started_ms: int) -> bool:
+    def _reset_if_restarted(self, started_ms: int) -> bool:
         """Discard the state of the previous start if this is another one.
 
         A replica that crashed may return under its id and address within seconds, and
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -377,7 +377,7 @@
                 break
             place, group, prompt_tokens = found
             placed.append(place)
-            group.take(prompt_tokens, now=now)
+            group.reserve_place(prompt_tokens, now=now)
             left[id(group)] -= 1
             if not left[id(group)]:
                 del left[id(group)]
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -213,7 +213,7 @@
                 log_event("debug", "datagram-unexpected", sender=sender)
 
     def _take_load(self, load: GroupLoad) -> None:
-        roster = self._inbox.take(load, now=trio.current_time())
+        roster = self._inbox.accept(load, now=trio.current_time())
         if roster is None:
             self.metrics.count_event("load-unused")
             return
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -623,7 +623,7 @@
             took_ms=round((trio.current_time() - started_at) * 1_000, 1),
         )
         if outcome is OrderOutcome.DONE and self._coordinator.waits_for_ranks:
-            self._coordinator.note_done(replica, order, started_ms=start)
+            self._coordinator.note_confirmed(replica, order, started_ms=start)
             await self._lead(trio.current_time())
         if outcome is OrderOutcome.UNKNOWN:
             self._ordered = (None, float("-inf"))
--- a/tests/lib/publishing_model.py
+++ b/tests/lib/publishing_model.py
@@ -21,7 +21,7 @@
 """Returns the fraction of the messages between two processes that is lost."""
 
 
-def never(sender: str, receiver: str) -> float:
+def drop_nothing(sender: str, receiver: str) -> float:
     """Lose nothing."""
     return 0.0
 
@@ -62,7 +62,7 @@
     zones: int = 5
     entries_by_zone: int = 7
     ranks: int = 64
-    drops: Drops = never
+    drops: Drops = drop_nothing
     late_share: float = 0.0
     doubled_share: float = 0.0
     now: float = 100.0
@@ -229,7 +229,7 @@
                 entry.inbox.add_roster(message, now=self.now)
                 roster: Roster | None = message
             case GroupLoad():
-                roster = entry.inbox.take(message, now=self.now)
+                roster = entry.inbox.accept(message, now=self.now)
                 if roster is None:
                     return
                 entry.epoch = message.epoch
--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -65,7 +65,7 @@
     armed: tuple[int, int] | None = None
     held: int = 0
 
-    def take(self, order: RankOrder, *, step: int, epoch: int, now: float) -> bool:
+    def carry_out(self, order: RankOrder, *, step: int, epoch: int, now: float) -> bool:
         """Carry out or refuse an order; return whether it was carried out."""
         if order.epoch != epoch:
             return False
@@ -282,8 +282,8 @@
             elif isinstance(action, QueryAgent):
                 asked_agent = int(action.agent)
                 if self._list_reached(asked_agent, [asked_agent]):
-                    told = self._describe(asked_agent)
-                    agent.coordinator.observe(told, now=self.now)
+                    observed = self._describe(asked_agent)
+                    agent.coordinator.observe(observed, now=self.now)
             elif isinstance(action, QueryRank):
                 if self.now < self.agents[int(action.replica)].stalled_until:
                     continue
@@ -293,7 +293,7 @@
                 self._delegate(action)
             elif isinstance(action, SendOrder):
                 if self._send(int(action.replica), action.order):
-                    agent.coordinator.note_done(action.replica, action.order)
+                    agent.coordinator.note_confirmed(action.replica, action.order)
 
     def _read_remotely(self, number: int) -> RankState:
         """Return the rank's report as read from another machine."""
@@ -391,17 +391,17 @@
             return False
         if self.random.random() < self.faults.doubled:
             self.delayed.append((self.now + 0.05, number, order))
-        return self._take(number, order)
+        return self._carry_out(number, order)
 
-    def _take(self, number: int, order: RankOrder) -> bool:
+    def _carry_out(self, number: int, order: RankOrder) -> bool:
         rank = self.ranks[number]
-        return rank.take(order, step=self.step, epoch=self.epoch, now=self.now)
+        return rank.carry_out(order, step=self.step, epoch=self.epoch, now=self.now)
 
     def _deliver_late(self) -> None:
         due = [one for one in self.delayed if one[0] <= self.now]
         self.delayed = [one for one in self.delayed if one[0] > self.now]
         for _, number, order in due:
-            self._take(number, order)
+            self._carry_out(number, order)
 
     def _describe(self, number: int) -> RankState:
         rank = self.ranks[number]
--- a/tests/unit/test_expert_maps.py
+++ b/tests/unit/test_expert_maps.py
@@ -94,7 +94,7 @@
         pytest.param(HOT, ALWAYS, 3, True, id="hot"),
         pytest.param(EVEN, ALWAYS, 3, False, id="even"),
         pytest.param(HOT, MoveRules(0.0, 1.0), 3, False, id="skew worth nothing"),
-        pytest.param(HOT, MoveRules(0.01, 100.0), 3, False, id="moves too dear"),
+        pytest.param(HOT, MoveRules(0.01, 100.0), 3, False, id="moves too expensive"),
         pytest.param(HOT, MoveRules(10.0, 1.0, 0, 10), 10, False, id="after hours"),
         pytest.param(HOT, MoveRules(10.0, 1.0, 0, 10), 9, True, id="within hours"),
         pytest.param(HOT, MoveRules(10.0, 1.0, 22, 4), 3, True, id="past midnight"),
--- a/tests/unit/test_load_publishing.py
+++ b/tests/unit/test_load_publishing.py
@@ -244,14 +244,14 @@
 def test_load_is_used_once_in_order_and_with_its_own_roster(load, used):
     inbox = LoadInbox(random=Random(1))
     inbox.add_roster(make_roster(), now=0.0)
-    assert inbox.take(make_load(10), now=0.1) is not None
-    assert (inbox.take(load, now=0.2) is not None) == used
+    assert inbox.accept(make_load(10), now=0.1) is not None
+    assert (inbox.accept(load, now=0.2) is not None) == used
 
 
 def test_queries_during_one_silence_become_rare():
     inbox = LoadInbox(random=Random(1))
     inbox.add_roster(make_roster(), now=0.0)
-    inbox.take(make_load(1), now=0.0)
+    inbox.accept(make_load(1), now=0.0)
     queried_at = [at / 10 for at in range(200) if inbox.choose_load_queries(at / 10)]
     assert load_inbox.LOAD_TIMEOUT_S < queried_at[0] < load_inbox.LOAD_TIMEOUT_S + 0.2
     assert len(queried_at) <= 14
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -494,7 +494,7 @@
         tell_group(gate, step=step, now=step * pass_s, active=0, pass_s=pass_s)
     tell_group(gate, step=40, now=40 * pass_s, active=1, pass_s=pass_s)
     (group,) = gate._groups.values()
-    group.take(100_000, now=0.0)
+    group.reserve_place(100_000, now=0.0)
     tell_group(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
     assert group.allows_prompt(engine, 41 * pass_s)
 
