--- a/src/hyssopvane/_internal/policy/map_actions.py
+++ b/src/hyssopvane/_internal/policy/map_actions.py
@@ -1,4 +1,4 @@
-"""Name what an agent that leads a group may do next."""
+"""Define the actions of an agent that leads a group."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Announce:
-    """Tell the agents of all ranks what to bring about."""
+class SendMapChange:
+    """Send a change of maps to agents of the group."""
 
     change: MapChange
     to: tuple[str, ...]
-    """Addresses of the agents that are told."""
+    """Addresses of the receiving agents."""
 
 
 @dataclass(frozen=True, slots=True)
-class GiveOrder:
-    """Give an order to one rank directly."""
+class SendOrder:
+    """Send an order to one rank directly."""
 
     replica: str
     order: RankOrder
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelegateOrder:
-    """Let the agent beside a rank give it an order."""
+    """Have the agent on a rank's machine give the order."""
 
     agent: str
     """Address of the agent."""
@@ -33,18 +33,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAgent:
-    """Let the agent beside a rank look at it now and tell what it sees."""
+class QueryAgent:
+    """Have the agent on a rank's machine poll the rank now and send its state."""
 
     agent: str
     """Address of the agent."""
 
 
 @dataclass(frozen=True, slots=True)
-class AskRank:
+class QueryRank:
     """Read the report of a rank whose own agent is silent."""
 
     replica: str
 
 
-Action = Announce | GiveOrder | DelegateOrder | AskAgent | AskRank
+Action = SendMapChange | SendOrder | DelegateOrder | QueryAgent | QueryRank
--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -1,24 +1,25 @@
 """Bring the ranks of a group from one expert map to the next, all in the same pass.
 
-Two ranks that begin a pass with different maps compute garbage, and nobody else would
-notice. A rank switches by itself when the pass comes for which it was armed, and an
-order may be lost, doubled, or carried out seconds later. So:
+Two ranks that begin a pass with different maps compute garbage without any error. A
+rank switches by itself at the pass for which it was armed, and an order may be lost,
+duplicated, or carried out seconds later. The procedure is therefore:
 
 1. Every rank copies the new experts (prepare).
-2. One rank holds the group before a pass that is not far ahead. From now on that pass
-   does not begin. It is not the leader's own rank: a machine that stands still takes
-   its agent and its rank with it, and nobody could release the group.
-3. Every rank is armed for that pass, the leader's own after all others. An arming that
-   comes late finds the pass begun and is refused, so it does no harm; one that is
-   uncertain is sent again.
-4. When each rank itself has told that it is armed, the pass is released.
-
-No arming is taken back, so two agents that believe that they lead do the same. A hold
-whose leader is silent is found by the next agent that leads. Where a rank is armed, it
-goes on with step 3. Where none is, neither is the silent leader's, which comes last,
-and the pass is released without a change. A leader that stood still forgets what it
-was doing before it acts again. Versions are never used twice, since each process mixes
-its own random number into them: two maps with one version would pass for one.
+2. One rank holds the group before a pass that is not far ahead: from now on that pass
+   does not begin. It is not the leader's own rank: if the leader's machine stalls, its
+   agent and its rank stall together, and no other agent could release the group.
+3. Every rank is armed for that pass, the leader's own after all others. An order to arm
+   that arrives late finds the pass begun and is refused, so it does no harm; one
+   without a known outcome is sent again.
+4. When every rank itself has reported that it is armed, the pass is released.
+
+No order to arm is withdrawn, so two agents that both believe that they lead act alike.
+If the leader of a hold is silent, the next agent that leads finds the hold. If any rank
+is armed, it continues with step 3. If none is, then the silent leader's rank isn't
+either, since it is armed last, and the pass is released without a change. A leader that
+was stalled discards its state before it acts again. Versions are never reused, because
+each process mixes its own random number into them: two maps with one version would be
+taken for the same map.
 """
 
 from collections.abc import Callable
@@ -26,24 +27,27 @@
 from enum import Enum, auto
 from math import ceil
 
-from hyssopvane._internal.policy.look_times import FRESH_S, measure_fresh_s
 from hyssopvane._internal.policy.map_actions import (
     Action,
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_changes import (
     Change,
-    HeardRank,
+    KnownRank,
     get_progress,
+    has_applied,
     is_armed,
-    is_overtaken,
-    is_told,
+    is_superseded,
 )
 from hyssopvane._internal.policy.map_search import MapSearch
+from hyssopvane._internal.policy.poll_intervals import (
+    MAX_STATE_AGE_S,
+    get_max_state_age_s,
+)
 from hyssopvane._internal.state.group import MapChange, RankState
 from hyssopvane._internal.state.loads import SLOW_PACE
 from hyssopvane._internal.state.ranks import (
@@ -56,92 +60,103 @@
 )
 from hyssopvane._internal.state.routing import ExpertLayout
 
-ALONE_S = 0.8
+LEADER_TIMEOUT_S = 0.8
 """Silence of the agents of lower ranks after which the next one leads."""
 
 DEPUTIES = 2
-"""Ranks after the first whose agents tell all others often that they live."""
+"""Number of ranks after the first whose agents often send presence messages to all."""
 
-FAR_ALONE_S = 5.0
-"""As above, for agents that hear of the lower ranks seldom."""
+REMOTE_LEADER_TIMEOUT_S = 5.0
+"""The same for agents that rarely receive messages from the lower ranks."""
 
 MIN_LEAD_PASSES = 2
 MAX_LEAD_PASSES = 12
-"""Passes between the one that runs and the one that is held.
+"""Limits of the number of passes between the one that runs and the one that is held.
 
-As many as arming all ranks took lately. With too few the group stands still at each
-change, which every stream sees as a longer pause; with too many the change comes late.
+The number covers the time that arming all ranks took recently. With too few passes, the
+group stalls at each change, which every stream sees as a longer pause. With too many,
+the change comes late.
 """
 
-FIRST_ARMING_S = 0.1
-"""Time for arming all ranks until it has been measured."""
+INITIAL_ARMING_S = 0.1
+"""Assumed time for arming all ranks until it has been measured."""
 
-ARMING_FADE = 0.8
-"""Part of the longest arming so far that still counts at the next change."""
+ARMING_DECAY = 0.8
+"""Decay of the longest arming time from one change to the next."""
 
-USUAL_PASS_S = 0.06
-"""Time of a pass while none was seen lately."""
+DEFAULT_PASS_S = 0.06
+"""Assumed time of a pass while none was measured recently."""
 
 ORPHAN_S = 0.5
-"""Time for which nobody has led a change before its hold is released without it.
+"""Time without a leader of the change after which its hold is released without the
+change.
 
-Agents that were told to arm do so within a tenth of a second, also where their first
+Agents that were ordered to arm do so within a tenth of a second, even if their first
 order was lost.
 """
 
 STALLED_S = 0.3
-"""Time without a new pass, though requests run, after which all silent ranks are read:
-one of them may hold the group."""
+"""Time without a new pass, while requests run, after which all silent ranks are
+queried: one of them may hold the group.
+"""
 
 MOST_SILENT = 8
-"""Ranks with silent agents that a leader reads and orders itself, from afar.
+"""Maximum number of ranks with silent agents that a leader queries and orders itself,
+from another machine.
 
-Each costs it some milliseconds five times a second, and its map takes a fortieth of a
-second of its link.
+Each takes some milliseconds of its time five times a second, and the map for it takes a
+fortieth of a second of its link.
 """
 
 MOST_SILENT_SHARE = 0.25
-"""As above, as a part of the group's ranks.
+"""The same maximum, as a fraction of the group's ranks.
 
-A leader that is heard by few of them may be cut off, and another one may lead. Two that
-change maps at a time undo each other's copies, and the group stays held.
+A leader that receives messages from few ranks may be cut off, and another one may lead.
+Two leaders that change maps at the same time undo each other's copies, and the group
+stays held.
 """
 
 NONCE_BITS = 20
-"""Room in a version for the number of the process that chose it."""
+"""Number of bits in a version for the random number of the process that chose it."""
 
 REPORT_LAG_S = 0.3
-"""Age of a report from another machine where the engine's figures don't name it."""
+"""Assumed age of a report from another machine if the engine's figures don't specify
+it.
+"""
 
-_ASK_AGAIN_S = 0.02
-"""Time after which the rank that holds is read again: one call takes some 5 ms."""
+_QUERY_RETRY_S = 0.02
+"""Time after which the rank that holds the pass is queried again: one call takes some 5
+ms.
+"""
 
-_ARM_AGAIN_S = 0.04
-"""Time after which agents that have not told that their rank is armed are told again.
+_ARM_RETRY_S = 0.04
+"""Time after which agents that have not reported their rank as armed are sent the order
+again.
 
-All ranks of a large group have answered by then. A lost word stops the group, and all
-its streams pause, until it is told again.
+All ranks of a large group have answered by then. A lost message stops the group, and
+all its streams pause, until it is sent again.
 """
 
-_REPEAT_S = 0.08
-"""Time after which an order or an announcement without an effect is given again."""
+_ORDER_RETRY_S = 0.08
+"""Time after which an order or a message without an effect is sent again."""
 
-_RETELL_S = 0.3
-"""As above, for a new map.
+_MAP_RETRY_S = 0.3
+"""The same for a new map.
 
-It is the largest message, 2.4 KB with 16 sets on 24 ranks. Told again at each look it
-fills the leader's link, and no state of a rank comes through in time for a change.
+It is the largest message, 2.4 KB with 16 sets on 24 ranks. If it were sent at each
+poll, it would fill the leader's link, and no state of a rank would arrive in time for a
+change.
 """
 
 _COPY_SLACK_S = 1.0
-"""Time beyond the copying itself after which a change is given up."""
+"""Time beyond the estimated copying time after which a change is abandoned."""
 
-_DIRECT_AFTER_S = 0.3
-"""Silence of an agent after which its rank gets its orders straight from the leader."""
+_AGENT_TIMEOUT_S = 0.3
+"""Silence of an agent after which the leader sends orders to its rank directly."""
 
 
 class Phase(Enum):
-    """Name what a leader is doing."""
+    """Name the phase of a change of maps."""
 
     IDLE = auto()
     PREPARING = auto()
@@ -151,117 +166,119 @@
 
 
 class MapCoordinator:
-    """Decide what the agent that leads a group does next."""
+    """Decide the next actions of the agent that leads a group."""
 
     def __init__(self, *, nonce: int, layout: ExpertLayout | None = None) -> None:
         self._nonce = nonce % 2**NONCE_BITS
         self.layout: ExpertLayout | None = None
         self.report_lag_s = REPORT_LAG_S
-        """Age of what a rank's report says when it is read from another machine."""
+        """Age of a rank's report that is read from another machine."""
         self.phase = Phase.IDLE
-        self._heard: dict[int, HeardRank] = {}
+        self._known_ranks: dict[int, KnownRank] = {}
         self.set_layout(layout)
-        self._agents_at: dict[int, float] = {}
-        """Time at which each rank's own agent was heard."""
-        self._listens_since: float | None = None
-        """Time of the first look since the start or a standstill."""
+        self._agent_seen_at: dict[int, float] = {}
+        """Time of the last message from each rank's own agent."""
+        self._listening_since: float | None = None
+        """Time of the first poll since the start or a stall."""
         self._search = MapSearch()
         self._change: Change | None = None
-        self._known: tuple[int, ExpertLists] | None = None
-        """Version and experts of the last map that was told or brought into force."""
+        self._known_map: tuple[int, ExpertLists] | None = None
+        """Version and experts of the last map that was received or brought into force.
+        """
         self._group = ""
         self._epoch = 0
         self._own = -1
-        self._fresh_s = FRESH_S
-        self._hold_answered = False
-        """Whether the rank that is to hold the group has answered that it does."""
+        self._max_state_age_s = MAX_STATE_AGE_S
+        self._is_hold_confirmed = False
+        """Whether the rank that is to hold the group has confirmed the order."""
         self._active_at = float("-inf")
-        """Time at which this agent was last bringing about a change."""
+        """Last time at which this agent was working on a change."""
         self._step = -1
         self._pass_s = 0.0
-        self.arming_s = FIRST_ARMING_S
+        self.arming_s = INITIAL_ARMING_S
         self._step_at = float("-inf")
-        self._asked_at = float("-inf")
+        self._queried_at = float("-inf")
         self.changes = 0
-        """Maps that were brought into force since the start."""
+        """Number of maps brought into force since the start."""
 
     def observe(
-        self, state: RankState, *, now: float, own: bool = False, asked: bool = False
+        self, state: RankState, *, now: float, own: bool = False, queried: bool = False
     ) -> bool:
-        """Take what a rank's agent tells, or what its rank said when asked.
+        """Apply a rank's state, sent by its agent or queried from the rank (`queried`).
 
-        Tell whether the rank has come further with a change of maps.
+        Return whether the rank has advanced in a change of maps.
         """
         if own:
-            if self._listens_since is None:
-                self._listens_since = now
+            if self._listening_since is None:
+                self._listening_since = now
             self._own = state.rank
-            self._fresh_s = measure_fresh_s(state.ranks)
+            self._max_state_age_s = get_max_state_age_s(state.ranks)
             if (state.group, state.epoch) != (self._group, self._epoch):
                 self._begin_epoch(state)
         if state.group != self._group or state.epoch != self._epoch:
             return False
-        state = self._leave_out_unsound(state)
-        before = self._heard.get(state.rank)
-        as_of = now - self.report_lag_s if asked else now
-        if asked and before is not None and before.as_of > as_of:
-            # The agent beside the rank has told something newer. A leader that takes
-            # back what it knows lets a held pass wait for it a second time.
+        state = self._drop_invalid(state)
+        before = self._known_ranks.get(state.rank)
+        valid_at = now - self.report_lag_s if queried else now
+        if queried and before is not None and before.valid_at > valid_at:
+            # The agent on the rank's machine has sent a newer state. If the leader
+            # reverted to the older one, a held pass would wait for the same state
+            # again.
             return False
         if before is not None and before.state.started_ms != state.started_ms:
-            # The rank has started anew and holds nothing: neither the copies nor the
-            # arming that a change relies on. Its counts begin at zero.
+            # The rank has restarted and has neither the copies nor the armed map that a
+            # change relies on. Its counts begin at zero.
             before = None
             self._reset()
         if not state.experts and before is not None:
-            # Most messages leave the experts out; they change with the version only.
+            # Most messages omit the experts, which change only with the version.
             if before.state.map_version == state.map_version:
                 state = replace(state, experts=before.state.experts)
         if state.counts:
             self._search.observe(state.counts, now=now)
-        if asked and before is not None:
-            # The rank was asked straight; its agent is where it was.
+        if queried and before is not None:
+            # The rank was queried directly; the address of its agent is unchanged.
             state = replace(state, messages=before.state.messages)
-        if not asked:
+        if not queried:
             self.note_agent(state.rank, now=now)
-        self._heard[state.rank] = HeardRank(state, now, as_of)
+        self._known_ranks[state.rank] = KnownRank(state, now, valid_at)
         return before is None or get_progress(before.state) != get_progress(state)
 
     def set_layout(self, layout: ExpertLayout | None) -> None:
-        """Learn the engine's figures."""
+        """Set the engine's figures."""
         if layout == self.layout:
             return
         self.layout = layout
-        for one in self._heard.values():
-            one.state = self._leave_out_unsound(one.state)
+        for one in self._known_ranks.values():
+            one.state = self._drop_invalid(one.state)
         if layout is not None and layout.report_lag_s is not None:
             self.report_lag_s = layout.report_lag_s
 
     def note_map(self, change: MapChange) -> None:
-        """Take the map that a leader tells.
+        """Store the map that a leader sends.
 
-        Whoever leads next knows then what the ranks have, also that of a rank whose
-        agent is silent: a report doesn't name the experts.
+        The next leader then knows what the ranks have, including a rank whose agent is
+        silent: a report does not name the experts.
         """
         if (change.group, change.epoch) == (self._group, self._epoch):
             if change.experts:
-                self._known = (change.version, change.experts)
+                self._known_map = (change.version, change.experts)
 
     def note_agent(self, rank: int, *, now: float) -> None:
-        """Take note that a rank's agent lives."""
-        self._agents_at[rank] = now
+        """Record that a rank's agent is alive."""
+        self._agent_seen_at[rank] = now
 
     def _measure_silence(self, rank: int, now: float) -> float:
-        return now - self._agents_at.get(rank, float("-inf"))
+        return now - self._agent_seen_at.get(rank, float("-inf"))
 
-    def _leave_out_unsound(self, state: RankState) -> RankState:
-        # Experts and counts are used as indices. One beyond the layout ends the process
-        # that leads, and the next one that leads after it.
+    def _drop_invalid(self, state: RankState) -> RankState:
+        # Experts and counts are used as indices. One beyond the layout would crash the
+        # leading process, and then the next one that leads.
         layout = self.layout
         if layout is None:
-            # Nothing is done with the experts before the layout is known. Ranks name
-            # them again after seconds only: were they dropped, a group that has just
-            # been formed would keep its first map for as long.
+            # The experts are not used before the layout is known, but must be kept:
+            # ranks name them again only after seconds, and a newly formed group would
+            # keep its first map until then.
             return replace(state, counts=())
         if len(state.counts) != layout.sets * layout.experts:
             state = replace(state, counts=())
@@ -271,28 +288,31 @@
         return state if sound else replace(state, experts=())
 
     def find_start(self, replica: str) -> int:
-        """Return what names the start of a rank's replica, 0 where it is unknown."""
+        """Return the start time of a rank's replica, or 0 if unknown."""
         starts = (
             one.state.started_ms
-            for one in self._heard.values()
+            for one in self._known_ranks.values()
             if one.state.replica == replica
         )
         return next(starts, 0)
 
-    def note_done(self, replica: str, order: RankOrder, *, started_ms: int = 0) -> None:
-        """Take a rank's own answer that it has carried an order out.
+    def note_confirmed(
+        self, replica: str, order: RankOrder, *, started_ms: int = 0
+    ) -> None:
+        """Record a rank's own confirmation that it has carried out an order.
 
-        Its agent tells the same at its next look, up to a pass later; until then a held
-        group would stand still. What one start has done says nothing of the next.
+        Its agent reports the same at its next poll, up to a pass later; a held group
+        would stall until then. Confirmations of another start of the replica are
+        ignored.
         """
-        for one in self._heard.values():
+        for one in self._known_ranks.values():
             if one.state.replica != replica or one.state.epoch != order.epoch:
                 continue
             if one.state.started_ms != started_ms:
                 continue
             match order:
                 case Hold():
-                    self._hold_answered = True
+                    self._is_hold_confirmed = True
                 case Arm():
                     one.state = replace(
                         one.state, armed_version=order.version, armed_step=order.step
@@ -305,46 +325,48 @@
 
     @property
     def is_holding(self) -> bool:
-        """Tell whether a pass may be waiting for what is done next."""
+        """Return whether a pass may be waiting for the next action."""
         return self.phase in (Phase.HOLDING, Phase.ARMING, Phase.RELEASING)
 
     @property
     def waits_for_ranks(self) -> bool:
-        """Tell whether the next word of a rank may be what a change waits for."""
+        """Return whether a change may be waiting for the next message of a rank."""
         return self.phase in (Phase.PREPARING, Phase.HOLDING, Phase.ARMING)
 
-    def forget(self) -> None:
-        """Drop what was being done and heard: the process has stood still.
+    def discard_state(self) -> None:
+        """Discard the current change and all states, because the process was stalled.
 
-        Others may have gone on meanwhile. What was true before is not, and an order
-        that follows from it could reach some ranks in time and others too late.
+        Other agents may have continued meanwhile. The states are outdated, and an order
+        based on them could reach some ranks in time and others too late.
         """
         self._reset()
-        self._heard.clear()
-        self._agents_at.clear()
-        self._listens_since = None
+        self._known_ranks.clear()
+        self._agent_seen_at.clear()
+        self._listening_since = None
         self._search.clear()
 
     def leads(self, now: float) -> bool:
-        """Tell whether no agent of a lower rank lives.
+        """Return whether no agent of a lower rank is alive.
 
-        Whoever has just begun to listen has heard nobody yet. An agent that led until
-        it did would tell entries of a group with one member, its own rank.
+        An agent that has just started has not received any message yet. If it led at
+        once, it would publish to entries a group with one member, its own rank.
         """
-        if self._own < 0 or self._listens_since is None:
+        if self._own < 0 or self._listening_since is None:
             return False
-        alone_s = ALONE_S if self._own <= DEPUTIES else FAR_ALONE_S
-        if self._own and now - self._listens_since <= alone_s:
+        timeout_s = (
+            LEADER_TIMEOUT_S if self._own <= DEPUTIES else REMOTE_LEADER_TIMEOUT_S
+        )
+        if self._own and now - self._listening_since <= timeout_s:
             return False
         return all(
-            now - at > alone_s
-            for rank, at in self._agents_at.items()
+            now - at > timeout_s
+            for rank, at in self._agent_seen_at.items()
             if rank < self._own
         )
 
     def decide(self, now: float) -> list[Action]:
-        """Return what to do now."""
-        if self._own not in self._heard:
+        """Return the actions to take now."""
+        if self._own not in self._known_ranks:
             self._reset()
             return []
         if self.phase is not Phase.IDLE:
@@ -352,48 +374,53 @@
         if not self.leads(now):
             self._reset()
             return []
-        if not self._heard[self._own].state.open:
+        if not self._known_ranks[self._own].state.open:
             self._reset()
             return []
-        asked = self._ask_silent(now)
+        queries = self._query_silent(now)
         match self.phase:
             case Phase.IDLE:
-                return asked + self._begin(now)
+                return queries + self._begin(now)
             case Phase.PREPARING:
-                return asked + self._prepare(now)
+                return queries + self._prepare(now)
             case Phase.HOLDING:
-                return asked + self._hold(now)
+                return queries + self._hold(now)
             case Phase.ARMING:
-                return asked + self._arm(now)
+                return queries + self._arm(now)
             case Phase.RELEASING:
-                return asked + self._release(now)
+                return queries + self._release(now)
 
     def has_work(self) -> bool:
-        """Tell whether a rank has requests, and its group makes passes.
+        """Return whether any rank has requests, so that the group makes passes.
 
-        The own rank may have none for a while. Were that taken for an idle group, its
-        passes would be unknown again and again while few requests run.
+        This agent's rank may have none for a while. If the group were considered idle
+        then, its pass time would be unknown whenever few requests run.
         """
-        states = (one.state for one in self._heard.values())
+        states = (one.state for one in self._known_ranks.values())
         return any(state.active or state.queued for state in states)
 
-    def list_heard(self, now: float) -> list[tuple[RankState, float]]:
-        """Return the state of each rank that is known, and its age in seconds."""
-        return [(one.state, now - one.at) for one in self._heard.values()]
+    def list_states(self, now: float) -> list[tuple[RankState, float]]:
+        """Return the state of each known rank, and its age in seconds."""
+        return [
+            (one.state, now - one.received_at) for one in self._known_ranks.values()
+        ]
 
     def measure_skews(self, now: float) -> list[float]:
-        """Return the skew of each set by the map in use and the present demand."""
+        """Return the skew of each set under the current map and demand."""
         current = self._get_map()
         if current is None:
             return []
         return self._search.measure_skews(current, self._list_paces(), now)
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return what the decisions go by, for the log."""
+        """Return the inputs of the decisions, for the log."""
         return {
             "phase": self.phase.name.lower(),
-            "heard": len(self._heard),
-            "fresh": sum(now - one.at < self._fresh_s for one in self._heard.values()),
+            "heard": len(self._known_ranks),
+            "fresh": sum(
+                now - one.received_at < self._max_state_age_s
+                for one in self._known_ranks.values()
+            ),
             "maps": ",".join(
                 str(v) for v in sorted({s.map_version for s in self._list_states()})
             ),
@@ -402,39 +429,41 @@
             "layout": self.layout is not None,
         }
 
-    def _ask_silent(self, now: float) -> list[Action]:
-        """Read the ranks whose agents are silent.
+    def _query_silent(self, now: float) -> list[Action]:
+        """Query the ranks whose agents are silent.
 
-        An agent may stand still for seconds while its rank works. Its rank is the only
-        one then who knows whether it holds the group and which map it has; without it
-        no map would follow the demand until the agent wakes.
+        An agent may be stalled for seconds while its rank works. Only its rank knows
+        then whether it holds the group and which map it has; without its state, no map
+        would follow the demand until the agent resumes.
         """
-        own = self._heard[self._own].state
+        own = self._known_ranks[self._own].state
         if own.step != self._step or not own.active:
             passed = own.step - self._step
             self._pass_s = (now - self._step_at) / passed if passed > 0 else 0.0
             self._step, self._step_at = own.step, now
         stalled = now - self._step_at > STALLED_S
-        if now - self._asked_at < (STALLED_S if stalled else self.report_lag_s):
+        if now - self._queried_at < (STALLED_S if stalled else self.report_lag_s):
             return []
-        silent = [rank for rank in self._heard if self._is_silent(rank, now)]
+        silent = [rank for rank in self._known_ranks if self._is_silent(rank, now)]
         most = min(MOST_SILENT, int(MOST_SILENT_SHARE * own.ranks))
         if not silent or (len(silent) > most and not stalled):
             return []
-        self._asked_at = now
-        return [AskRank(self._heard[rank].state.replica) for rank in silent]
+        self._queried_at = now
+        return [QueryRank(self._known_ranks[rank].state.replica) for rank in silent]
 
     def _is_silent(self, rank: int, now: float) -> bool:
         if rank == self._own:
             return False
-        return self._measure_silence(rank, now) > max(_DIRECT_AFTER_S, self._fresh_s)
+        return self._measure_silence(rank, now) > max(
+            _AGENT_TIMEOUT_S, self._max_state_age_s
+        )
 
     def _begin_epoch(self, state: RankState) -> None:
-        # A group that was formed anew has map 0 and nothing prepared, armed or held.
+        # A newly formed group has map 0 and nothing prepared, armed or held.
         self._group, self._epoch = state.group, state.epoch
-        self._heard.clear()
+        self._known_ranks.clear()
         self._search.begin_epoch()
-        self._known = None
+        self._known_map = None
         self._reset()
 
     def _reset(self) -> None:
@@ -442,17 +471,18 @@
         self._change = None
 
     def _list_states(self) -> list[RankState]:
-        return [self._heard[rank].state for rank in sorted(self._heard)]
+        return [self._known_ranks[rank].state for rank in sorted(self._known_ranks)]
 
     def _list_paces(self) -> tuple[float, ...]:
-        # A little slowness is noise; a map must not follow it.
+        # Small slowdowns are noise, which a map must not follow.
         paces = (state.pace for state in self._list_states())
         return tuple(pace if pace > SLOW_PACE else 1.0 for pace in paces)
 
     def _is_complete(self, now: float) -> bool:
-        ranks = self._heard[self._own].state.ranks
-        return len(self._heard) == ranks and all(
-            now - one.at < self._fresh_s for one in self._heard.values()
+        ranks = self._known_ranks[self._own].state.ranks
+        return len(self._known_ranks) == ranks and all(
+            now - one.received_at < self._max_state_age_s
+            for one in self._known_ranks.values()
         )
 
     def _begin(self, now: float) -> list[Action]:
@@ -477,7 +507,7 @@
         )
         if chosen is None:
             return []
-        self._search.note_begun(now)
+        self._search.note_started(now)
         version = self._make_version(states)
         self._change = Change(version, chosen.move.experts, now, chosen.copy_s)
         self.phase = Phase.PREPARING
@@ -493,8 +523,8 @@
         if not states or len(states) != states[0].ranks:
             return None
         versions = {state.map_version for state in states}
-        if self._known is not None and versions == {self._known[0]}:
-            return self._known[1]
+        if self._known_map is not None and versions == {self._known_map[0]}:
+            return self._known_map[1]
         if not all(state.experts for state in states):
             return None
         sets = len(states[0].experts)
@@ -504,78 +534,79 @@
 
     def _prepare(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._all(lambda state: state.prepared == change.version):
-            own = self._heard[self._own].state
+        if self._holds_for_all(lambda state: state.prepared == change.version):
+            own = self._known_ranks[self._own].state
             if self._is_complete(now):
                 self.phase = Phase.HOLDING
                 change.step = self._choose_step(now)
-                self._hold_answered = False
+                self._is_hold_confirmed = False
                 change.holder = self._choose_holder(own, now)
-                # The next announcement says something new: it must not wait because
-                # the last one has just gone out.
-                change.told_at = float("-inf")
+                # The next message has new content and must not be delayed by the last
+                # one.
+                change.sent_at = float("-inf")
                 return self._hold(now)
         if now - change.started_at > change.copy_s + _COPY_SLACK_S:
             self._reset()
             return []
-        return self._tell(now, step=0) + self._prepare_silent(now)
+        return self._send_change(now, step=0) + self._prepare_silent(now)
 
     def _prepare_silent(self, now: float) -> list[Action]:
         change = self._get_change()
-        if now - change.prepared_at < _RETELL_S:
+        if now - change.prepared_at < _MAP_RETRY_S:
             return []
         change.prepared_at = now
         order = Prepare(self._epoch, change.version, change.experts)
         return [
-            GiveOrder(one.state.replica, order)
-            for rank, one in self._heard.items()
+            SendOrder(one.state.replica, order)
+            for rank, one in self._known_ranks.items()
             if self._is_silent(rank, now) and one.state.prepared != change.version
         ]
 
     def _hold(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._find(change.holder).held_step == change.step:
+        if self._get_state_of(change.holder).held_step == change.step:
             self.phase = Phase.ARMING
             return self._arm(now)
-        if self._hold_answered and now - change.asked_at > _ASK_AGAIN_S:
-            # Machines fail in the middle of what they do. Were the ranks armed in the
-            # moment in which the hold is answered, a leader that stands still just then
-            # would leave all ranks armed but its own, which nobody reaches: the group
-            # stood still for as long, 4 s. So the rank that holds is read first. A
-            # leader that fails meanwhile has armed nobody, and the next one releases.
-            # Its agent sees it as it is; what is read from afar is some tenths of a
-            # second old, and counts where the agent is silent.
-            change.asked_at = now
-            agent = self._find(change.holder).messages
-            return [AskAgent(agent), AskRank(change.holder)]
+        if self._is_hold_confirmed and now - change.queried_at > _QUERY_RETRY_S:
+            # A machine may fail at any moment. If the ranks were armed as soon as the
+            # hold is confirmed, a leader that stalls at that moment would leave all
+            # ranks armed except its own, which can't be reached: the group stalled
+            # until the leader resumed, for 4 s. So the rank that holds the pass is
+            # queried first. If the leader fails meanwhile, no rank is armed, and the
+            # next leader releases the pass. The agent of the holding rank reports its
+            # current state; a report read from another machine is some tenths of a
+            # second old, and counts only if the agent is silent.
+            change.queried_at = now
+            agent = self._get_state_of(change.holder).messages
+            return [QueryAgent(agent), QueryRank(change.holder)]
         if self._find_newest_step() >= change.step:
-            # The pass has begun: the hold came too late, or never.
+            # The pass has begun: the hold arrived too late or never.
             change.step = self._choose_step(now)
             change.ordered_at = float("-inf")
-            self._hold_answered = False
+            self._is_hold_confirmed = False
         return self._order(now, Hold(self._epoch, change.step))
 
     def _arm(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._all(lambda state: is_armed(state, change)):
+        if self._holds_for_all(lambda state: is_armed(state, change)):
             self.phase = Phase.RELEASING
             change.ordered_at = float("-inf")
             self.changes += 1
             took_s = now - change.chosen_at
-            self.arming_s = max(took_s, ARMING_FADE * self.arming_s)
+            self.arming_s = max(took_s, ARMING_DECAY * self.arming_s)
             if change.experts:
-                self._known = (change.version, change.experts)
+                self._known_map = (change.version, change.experts)
             return self._release(now)
-        if self._all(lambda state: is_overtaken(state, change)):
-            # Another leader has brought its copies to the ranks before they were
-            # armed. None of them can be armed for this change any more, so the pass
-            # may begin without it; waiting for them would hold the group for ever.
+        if self._holds_for_all(lambda state: is_superseded(state, change)):
+            # Another leader has brought its copies to the ranks before they were armed.
+            # No rank can be armed for this change any more, so the pass may begin
+            # without it; waiting would hold the group forever.
             self.phase = Phase.RELEASING
             return self._release(now)
-        if now - change.told_at < _ARM_AGAIN_S and not self._is_own_due(change):
+        if now - change.sent_at < _ARM_RETRY_S and not self._is_own_due(change):
             return []
         return (
-            self._tell(now, step=change.step)
+            self._send_change(now, step=change.step)
             + self._arm_silent(now)
             + self._arm_own(now)
         )
@@ -593,28 +624,28 @@
             return []
         change.own_ordered_at = now
         order = Arm(self._epoch, change.version, change.step)
-        return [GiveOrder(self._heard[self._own].state.replica, order)]
+        return [SendOrder(self._known_ranks[self._own].state.replica, order)]
 
     def _arm_silent(self, now: float) -> list[Action]:
         change = self._get_change()
         order = Arm(self._epoch, change.version, change.step)
         return [
-            GiveOrder(one.state.replica, order)
-            for rank, one in self._heard.items()
+            SendOrder(one.state.replica, order)
+            for rank, one in self._known_ranks.items()
             if self._is_silent(rank, now) and not is_armed(one.state, change)
         ]
 
     def _release(self, now: float) -> list[Action]:
         change = self._get_change()
-        if self._find(change.holder).held_step != change.step:
+        if self._get_state_of(change.holder).held_step != change.step:
             self._search.note_in_force(now)
             self._reset()
             return []
         return self._order(now, Release(self._epoch, change.step))
 
     def _take_over(self, holder: RankState, now: float) -> list[Action]:
-        """Go on with a hold that an earlier leader has left, or that came late."""
-        if len(self._heard) != holder.ranks:
+        """Continue with a hold that an earlier leader left, or that arrived late."""
+        if len(self._known_ranks) != holder.ranks:
             return []
         armed = [
             state.armed_version
@@ -631,20 +662,25 @@
         return self._arm(now) if armed else self._release(now)
 
     def _is_orphan(self, now: float) -> bool:
-        """Tell whether nobody is armed or will be for a hold that is in force.
-
-        Released too early, the pass would begin while some ranks switch and others do
-        not. Whoever was told to arm has done so when the agent that told it has been
-        silent for long enough, or has given the change up for as long. Then each rank
-        must have told lately that it is not armed; the leader that fell silent alone
-        need not, since its own rank comes after all others.
+        """Return whether no rank is armed, or will be, for the hold that is in force.
+
+        After a premature release, the pass would begin while some ranks switch and
+        others do not. Every agent that was ordered to arm has done so once the agent
+        that sent the order has been silent, or has abandoned the change, for long
+        enough. Then each rank must have reported recently that it is not armed. Only
+        the rank of the leader that fell silent need not, since it is armed after all
+        others.
         """
-        lower = [at for rank, at in self._agents_at.items() if rank < self._own]
-        told_at = max([self._active_at, *lower])
-        if now - told_at < ORPHAN_S:
+        lower = [
+            seen_at for rank, seen_at in self._agent_seen_at.items() if rank < self._own
+        ]
+        last_led_at = max([self._active_at, *lower])
+        if now - last_led_at < ORPHAN_S:
             return False
         stale = [
-            rank for rank, one in self._heard.items() if now - one.at >= self._fresh_s
+            rank
+            for rank, one in self._known_ranks.items()
+            if now - one.received_at >= self._max_state_age_s
         ]
         return len(stale) <= 1 and all(rank < self._own for rank in stale)
 
@@ -652,65 +688,74 @@
         assert self._change is not None
         return self._change
 
-    def _find(self, replica: str) -> RankState:
+    def _get_state_of(self, replica: str) -> RankState:
         return next(
-            one.state for one in self._heard.values() if one.state.replica == replica
+            one.state
+            for one in self._known_ranks.values()
+            if one.state.replica == replica
         )
 
     def _choose_holder(self, own: RankState, now: float) -> str:
-        """Return the rank after the own one whose agent speaks, to order it as well."""
+        """Return the next rank after this one whose agent is not silent, so that the
+        agent can give orders too.
+        """
         others = [(own.rank + number) % own.ranks for number in range(1, own.ranks)]
         speaking = [rank for rank in others if not self._is_silent(rank, now)]
         chosen = (speaking or others or [own.rank])[0]
-        return self._heard[chosen].state.replica
+        return self._known_ranks[chosen].state.replica
 
     def _choose_step(self, now: float) -> int:
         self._get_change().chosen_at = now
-        pass_s = self._pass_s or USUAL_PASS_S
-        # The pass that runs now began half a pass ago, on the mean.
+        pass_s = self._pass_s or DEFAULT_PASS_S
+        # On average, the current pass began half a pass ago.
         lead = ceil(self.arming_s / pass_s + 0.5)
         return self._find_newest_step() + min(
             MAX_LEAD_PASSES, max(MIN_LEAD_PASSES, lead)
         )
 
     def _find_newest_step(self) -> int:
-        return max(one.state.step for one in self._heard.values())
+        return max(one.state.step for one in self._known_ranks.values())
 
-    def _all(self, holds: Callable[[RankState], bool]) -> bool:
-        ranks = self._heard[self._own].state.ranks
+    def _holds_for_all(self, holds: Callable[[RankState], bool]) -> bool:
+        ranks = self._known_ranks[self._own].state.ranks
         states = self._list_states()
         return len(states) == ranks and all(holds(state) for state in states)
 
-    def _tell(self, now: float, *, step: int) -> list[Action]:
+    def _send_change(self, now: float, *, step: int) -> list[Action]:
         change = self._get_change()
-        if now - change.told_at < _RETELL_S and step == 0:
+        if now - change.sent_at < _MAP_RETRY_S and step == 0:
             return []
-        change.told_at = now
-        # Whoever is to be armed has the experts already.
+        change.sent_at = now
+        # Ranks that are to be armed already have the experts.
         experts = () if step else change.experts
-        told = MapChange(self._group, self._epoch, change.version, experts, step)
+        message = MapChange(self._group, self._epoch, change.version, experts, step)
         to = tuple(
             state.messages
             for state in self._list_states()
-            if state.rank != self._own and not is_told(state, change, step=step)
+            if state.rank != self._own and not has_applied(state, change, step=step)
         )
-        return [Announce(told, to)]
+        return [SendMapChange(message, to)]
 
     def _order(self, now: float, order: Hold | Release) -> list[Action]:
-        """Order the rank that holds, also by way of the agent beside it.
+        """Send an order to the rank that holds the pass, directly and through its
+        agent.
 
         Orders from another machine may be lost seven times in a row while the agent's
-        are answered in 2 ms, and all streams pause meanwhile. With a hold the agent
-        comes second: a machine that fails right after it has given an order must not
-        be the one that holds the group, since nobody could let it go on until the
-        machine wakes. A release does no harm on whichever machine it is given.
+        orders are answered in 2 ms, and all streams pause meanwhile. For a hold, the
+        agent is used only after the first attempt: a machine that fails right after it
+        has given the order must not be the one that holds the group, since the group
+        could not continue until that machine resumes. A release does no harm, whichever
+        machine sends it.
         """
         change = self._get_change()
-        if now - change.ordered_at < _REPEAT_S:
+        if now - change.ordered_at < _ORDER_RETRY_S:
             return []
         is_first = order != change.order
         change.order, change.ordered_at = order, now
-        direct = GiveOrder(change.holder, order)
+        direct = SendOrder(change.holder, order)
         if is_first and isinstance(order, Hold):
             return [direct]
-        return [direct, DelegateOrder(self._find(change.holder).messages, order)]
+        return [
+            direct,
+            DelegateOrder(self._get_state_of(change.holder).messages, order),
+        ]
--- a/src/hyssopvane/_internal/policy/replica_choice.py
+++ b/src/hyssopvane/_internal/policy/replica_choice.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from hyssopvane._internal.policy.group_room import GroupRoom
+from hyssopvane._internal.policy.group_capacity import GroupCapacity
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
 from hyssopvane._internal.policy.limited_replicas import LimitedReplicas
 from hyssopvane._internal.policy.replica_load import ReplicaLoad
@@ -53,20 +53,20 @@
         self._notices = notices
 
     def order_groups(
-        self, groups: list[GroupRoom], engine: EngineModel | None, now: float
-    ) -> list[GroupRoom]:
+        self, groups: list[GroupCapacity], engine: EngineModel | None, now: float
+    ) -> list[GroupCapacity]:
         """Return a group drawn at random, followed by the others, the emptiest first.
 
         Many entries see the same loads of several groups. If each chose the emptiest
         group, all requests until the next loads would go to it and meet full ranks,
         while the other groups are half empty.
         """
-        fullness = {id(one): one.measure_fullness(engine, now) for one in groups}
+        fullness = {id(one): one.get_utilization(engine, now) for one in groups}
         ordered = sorted(groups, key=lambda one: fullness[id(one)])
         if len(ordered) < 2 or engine is None:
             return ordered
         limits = [one.get_limit(engine) for one in ordered]
-        arrivals = max(1.0, sum(one.measure_arrivals(now) for one in ordered))
+        arrivals = max(1.0, sum(one.estimate_arrivals(now) for one in ordered))
         costs = [fullness[id(one)] for one in ordered]
         level = find_water_level(costs, arrivals, limits)
         weights = [
@@ -77,7 +77,7 @@
         return [first, *(one for one in ordered if one is not first)]
 
     def choose(
-        self, group: GroupRoom, avoid: frozenset[Incarnation], now: float
+        self, group: GroupCapacity, avoid: frozenset[Incarnation], now: float
     ) -> ReplicaLoad | None:
         """Return the replica of a group that gets a request, None if none may.
 
@@ -96,13 +96,15 @@
         # requests, the one whose requests are already generating output sends the next
         # first event sooner.
         room = [
-            _Candidate(one, count + one.count_unread(), one.replica.slots - count)
+            _Candidate(
+                one, count + one.count_unread_prompts(), one.replica.slots - count
+            )
             for count, one in counts
             if count < one.replica.slots
         ]
         if not room:
             return None
-        return self._draw(room, group.measure_arrivals(now))
+        return self._draw(room, group.estimate_arrivals(now))
 
     def list_usable(
         self, members: Iterable[ReplicaLoad], now: float
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -5,7 +5,7 @@
 from math import inf
 from random import Random
 
-from hyssopvane._internal.policy.group_room import GroupRoom
+from hyssopvane._internal.policy.group_capacity import GroupCapacity
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
 from hyssopvane._internal.policy.limit_shares import EntryCensus
 from hyssopvane._internal.policy.limited_replicas import (
@@ -126,7 +126,7 @@
         self._waiting: dict[str, QueuedRequest] = {}
         self._replicas: dict[str, ReplicaLoad] = {}
         self._by_address: dict[str, list[ReplicaLoad]] = {}
-        self._groups: dict[str, GroupRoom] = {}
+        self._groups: dict[str, GroupCapacity] = {}
         self._replaced: set[Incarnation] = set()
         """Incarnations of replicas whose address another replica has taken over."""
         self._engine: EngineModel | None = None
@@ -311,7 +311,7 @@
             "limit": round(self.limit, 1),
             "waiting": len(self._waiting),
             "pass_ms": round(max(passes, default=0.0) * 1_000, 1),
-            "heard": sum(one.is_heard(now) for one in self._replicas.values()),
+            "heard": sum(one.is_fresh(now) for one in self._replicas.values()),
             "groups": len(groups),
         }
 
@@ -339,7 +339,7 @@
 
     def _join_group(self, one: ReplicaLoad) -> None:
         if one.group not in self._groups:
-            group = GroupRoom(random=self._random)
+            group = GroupCapacity(random=self._random)
             if self._pause_s:
                 group.passes.pause_s = self._pause_s
             self._groups[one.group] = group
@@ -362,7 +362,7 @@
         if not len(queue):
             return placed
         rooms = [
-            (group, group.count_room(self._engine, now, late=late))
+            (group, group.count_available(self._engine, now, late=late))
             for group in self._groups.values()
             if group.is_open(now)
         ]
@@ -371,22 +371,22 @@
             groups = [
                 group
                 for group, _ in rooms
-                if left.get(id(group)) and group.may_read(self._engine, now)
+                if left.get(id(group)) and group.allows_prompt(self._engine, now)
             ]
             found = self._place_next(queue, groups, now)
             if found is None:
                 break
             place, group, prompt_tokens = found
             placed.append(place)
-            group.take(prompt_tokens, now=now)
+            group.reserve_place(prompt_tokens, now=now)
             left[id(group)] -= 1
             if not left[id(group)]:
                 del left[id(group)]
         return placed
 
     def _place_next(
-        self, queue: FairQueue, groups: list[GroupRoom], now: float
-    ) -> tuple[Assignment, GroupRoom, int] | None:
+        self, queue: FairQueue, groups: list[GroupCapacity], now: float
+    ) -> tuple[Assignment, GroupCapacity, int] | None:
         item = queue.peek()
         assert item is not None
         waiting = self._waiting[item.request_id]
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -18,20 +18,26 @@
 from hyssopvane._internal.coordination.routing_feed import RoutingFeed, RoutingFormat
 from hyssopvane._internal.models.settings import RankAgentSettings
 from hyssopvane._internal.policy.count_meter import CountMeter
-from hyssopvane._internal.policy.group_presence import PRESENCE_S, GroupPresence
-from hyssopvane._internal.policy.load_teller import LoadTeller
-from hyssopvane._internal.policy.look_times import LOOK_S, measure_look_s
+from hyssopvane._internal.policy.group_presence import (
+    PRESENCE_INTERVAL_S,
+    GroupPresence,
+)
+from hyssopvane._internal.policy.load_publisher import LoadPublisher
 from hyssopvane._internal.policy.map_actions import (
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_changes import get_progress
 from hyssopvane._internal.policy.map_coordinator import MapCoordinator
 from hyssopvane._internal.policy.map_spread import split_among, split_by_zone
 from hyssopvane._internal.policy.pass_meter import PassMeter
+from hyssopvane._internal.policy.poll_intervals import (
+    POLL_INTERVAL_S,
+    get_poll_interval_s,
+)
 from hyssopvane._internal.protocol.group_messages import GroupMessage
 from hyssopvane._internal.roles.belief_exchange import BeliefExchange
 from hyssopvane._internal.roles.process import Role
@@ -141,7 +147,9 @@
         self._exchange = BeliefExchange(self.feed, seeds=())
         self._passes = PassMeter()
         self._coordinator = MapCoordinator(nonce=secrets.randbits(31))
-        self._teller = LoadTeller(source=secrets.randbits(32), key=settings.replica)
+        self._publisher = LoadPublisher(
+            source=secrets.randbits(32), key=settings.replica
+        )
         self._presence = GroupPresence()
         self._complaints = TokenBucket(per_s=COMPLAINTS_PER_S, burst=COMPLAINTS_PER_S)
         self._counts = CountMeter()
@@ -253,7 +261,7 @@
             case Presence() if message.group != self._group:
                 # A service may have several groups, which have nothing to do with
                 # each other: the lowest rank of another one leads nothing here.
-                self._presence.forget(message.messages)
+                self._presence.remove(message.messages)
             case Presence():
                 self._presence.observe(
                     message.messages, message.rank, now=now, leads=message.leads
@@ -275,7 +283,7 @@
 
     def _take_entry(self, state: EntryState, now: float) -> None:
         report = self._report
-        if self._teller.observe(state, now=now):
+        if self._publisher.observe(state, now=now):
             log_event("info", "entry-found", entry=state.address, via=state.via)
         self.feed.note_era(state.replicas_era)
         if self._follows_store and self.feed.table is None and state.beliefs:
@@ -301,9 +309,9 @@
 
     def _take_state(self, state: RankState, sender: str, now: float) -> None:
         if state.group and state.group != self._group:
-            self._presence.forget(state.messages)
+            self._presence.remove(state.messages)
             return
-        whole = self._presence.complete(state, sender, now=now)
+        whole = self._presence.complete_state(state, sender, now=now)
         if whole is None:
             self._metrics.count_event("state-incomplete")
             return
@@ -360,7 +368,7 @@
                     log_event("warning", "replica-lost", why=error)
                 lost = True
                 self._report = None
-                await trio.sleep(LOOK_S)
+                await trio.sleep(POLL_INTERVAL_S)
                 continue
             self._report = report
             if report.group and report.group != self._group:
@@ -368,11 +376,11 @@
                 self._group = report.group
             await self._use_report(report, counts)
             idle = not (report.active or report.queued or report.held_step)
-            pause_s = measure_look_s(report.ranks)
+            pause_s = get_poll_interval_s(report.ranks)
             if self._is_changing(report):
                 # What the rank has copied or is armed for shows at the next look, and
                 # the whole group waits for the last rank to tell it.
-                pause_s = LOOK_S
+                pause_s = POLL_INTERVAL_S
             with trio.move_on_after(IDLE_POLL_S if idle else pause_s):
                 await self._changed.wait()
             self._changed = trio.Event()
@@ -380,7 +388,7 @@
     def _is_counting_due(self, report: RankReport) -> bool:
         now = trio.current_time()
         # Counts that are read and not told would be missing from the demand.
-        told = now - self._told_at >= _DUE_SHARE * measure_look_s(report.ranks)
+        told = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
         pause_s = self._counts.measure_pause_s(
             tellers=min(report.ranks, COUNTED_RANKS),
             link_bytes_per_s=self._settings.link_bits_per_s / _BITS,
@@ -419,9 +427,9 @@
         if report.active or report.queued or self._coordinator.has_work():
             self._passes.observe(report.step, now=now)
         else:
-            self._passes.rest()
+            self._passes.reset()
         state = self._make_state(report, counts)
-        is_due = now - self._told_at >= _DUE_SHARE * measure_look_s(report.ranks)
+        is_due = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
         if is_due:
             self._told_at = now
         if not report.group:
@@ -431,8 +439,8 @@
         self._coordinator.observe(state, now=now, own=True)
         if self._coordinator.leads(now):
             if is_due:
-                heard = self._coordinator.list_heard(now)
-                await self._tell_load(report, heard, now)
+                states = self._coordinator.list_states(now)
+                await self._tell_load(report, states, now)
         progress = get_progress(state)
         if is_due or progress != self._told_progress:
             await self._tell_leaders(state, now)
@@ -441,7 +449,7 @@
         await self._lead(now)
 
     async def _tell_leaders(self, state: RankState, now: float) -> None:
-        to, is_full = self._presence.choose_full(state, state.rank, now)
+        to, is_full = self._presence.choose_state_receivers(state, state.rank, now)
         if not is_full:
             # What hardly ever changes is left out: most of a state are addresses.
             state = replace(state, messages="", replica="", group="", experts=())
@@ -452,9 +460,11 @@
     ) -> None:
         """Tell the entries the load of ranks, by way of one entry in each zone."""
         pass_s = self._passes.measure(now=now)
-        for telling in self._teller.tell(report, heard, pass_s=pass_s, now=now):
-            await self._port.send(telling.message, *telling.to)
-        relays = self._teller.relays.describe()
+        for outgoing in self._publisher.build_messages(
+            report, heard, pass_s=pass_s, now=now
+        ):
+            await self._port.send(outgoing.message, *outgoing.to)
+        relays = self._publisher.relays.describe()
         if relays != self._logged_relays:
             self._logged_relays = relays
             log_event("info", "load-relays", group=report.group, relays=relays)
@@ -514,7 +524,7 @@
         self._slept_s += slept_s
         paused_s, self._looked_at = now - self._looked_at, now
         if slept_s > STANDSTILL_S or paused_s > PAUSE_S:
-            self._coordinator.forget()
+            self._coordinator.discard_state()
             self._change = None
             log_event("warning", "stood-still", seconds=round(slept_s + paused_s, 2))
 
@@ -526,21 +536,21 @@
     async def _lead(self, now: float) -> None:
         self._notice_standstill()
         for action in self._coordinator.decide(now):
-            if isinstance(action, Announce):
+            if isinstance(action, SendMapChange):
                 if not action.change.step:
                     # The leader's own rank is armed after all others.
                     self._change = action.change
                     self._changed.set()
                 await self._announce(action)
-            elif isinstance(action, AskAgent):
+            elif isinstance(action, QueryAgent):
                 request = OrderRequest(self._group, self._coordinator.epoch)
                 await self._port.send(request, action.agent)
-            elif isinstance(action, AskRank):
+            elif isinstance(action, QueryRank):
                 assert self._nursery is not None
                 self._nursery.start_soon(self._ask_rank, action.replica)
             elif isinstance(action, DelegateOrder):
                 await self._delegate(action)
-            elif isinstance(action, GiveOrder):
+            elif isinstance(action, SendOrder):
                 assert self._nursery is not None
                 self._nursery.start_soon(self._give_order, action.replica, action.order)
         if self._coordinator.is_holding and not self._watches_hold:
@@ -557,7 +567,7 @@
         else:
             await self._port.send(request, action.agent)
 
-    async def _announce(self, action: Announce) -> None:
+    async def _announce(self, action: SendMapChange) -> None:
         """Tell agents of a change, a large one by way of a few of them."""
         # The leader's own rank must not be armed before all others, so its agent is
         # never told by message.
@@ -592,7 +602,7 @@
             return
         state = self._make_state(report, (), replica=replica)
         now = trio.current_time()
-        self._coordinator.observe(state, now=now, asked=True)
+        self._coordinator.observe(state, now=now, queried=True)
         self._changed.set()
         if self._coordinator.waits_for_ranks:
             await self._lead(now)
@@ -613,7 +623,7 @@
             took_ms=round((trio.current_time() - started_at) * 1_000, 1),
         )
         if outcome is OrderOutcome.DONE and self._coordinator.waits_for_ranks:
-            self._coordinator.note_done(replica, order, started_ms=start)
+            self._coordinator.note_confirmed(replica, order, started_ms=start)
             await self._lead(trio.current_time())
         if outcome is OrderOutcome.UNKNOWN:
             self._ordered = (None, float("-inf"))
@@ -640,18 +650,18 @@
         killed leader stands still, until a group has found its members.
         """
         while True:
-            with trio.move_on_after(PRESENCE_S):
+            with trio.move_on_after(PRESENCE_INTERVAL_S):
                 await self._found_agents.wait()
                 self._found_agents = trio.Event()
             report = self._report
             now = trio.current_time()
             if report is None or not report.group:
                 continue
-            if not self._presence.announces(report.rank, now):
+            if not self._presence.sends_presence(report.rank, now):
                 continue
             self._follow_store()
             leads = self._coordinator.leads(now)
-            told = self._presence.choose_told(
+            told = self._presence.choose_presence_receivers(
                 report.rank, report.ranks, self._agents, now, leads=leads
             )
             presence = Presence(
--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -1,16 +1,19 @@
-"""Model ranks that switch expert maps, with orders that are lost, doubled or late."""
+"""Model ranks that switch expert maps, with lost, duplicated and late orders."""
 
 from collections import deque
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from hyssopvane._internal.policy.group_presence import ANNOUNCERS, LOST_S
+from hyssopvane._internal.policy.group_presence import (
+    LEADER_SILENCE_S,
+    PRESENCE_SENDERS,
+)
 from hyssopvane._internal.policy.map_actions import (
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_coordinator import (
     MapCoordinator,
@@ -27,10 +30,10 @@
 LAG_S = 0.2
 """Age of a report that is read from another machine."""
 KEPT_TICKS = 16
-PRESENCE_S = 0.5
-"""Pause between two words of the lowest ranks' agents to all that they live."""
-FULL_S = 2.0
-"""Pause between two states to all agents that lead or lead next."""
+PRESENCE_INTERVAL_S = 0.5
+"""Interval of presence messages from the lowest ranks' agents to all others."""
+FULL_STATE_INTERVAL_S = 2.0
+"""Interval of full states to all agents that lead or lead next."""
 
 LAYOUT = ExpertLayout(
     sets=1,
@@ -45,12 +48,12 @@
 
 
 class MapsDiffer(AssertionError):
-    """Tell that a pass began while two ranks had different maps."""
+    """Signal that a pass began while two ranks had different maps."""
 
 
 @dataclass
 class ModelRank:
-    """Act as a replica does on orders."""
+    """Carry out orders, as a replica does."""
 
     number: int
     map_version: int = 0
@@ -62,8 +65,8 @@
     armed: tuple[int, int] | None = None
     held: int = 0
 
-    def take(self, order: RankOrder, *, step: int, epoch: int, now: float) -> bool:
-        """Carry an order out, or refuse it."""
+    def carry_out(self, order: RankOrder, *, step: int, epoch: int, now: float) -> bool:
+        """Carry out or refuse an order; return whether it was carried out."""
         if order.epoch != epoch:
             return False
         match order:
@@ -104,42 +107,42 @@
 
 @dataclass
 class ModelAgent:
-    """Stand beside a rank and drive a coordinator."""
+    """Hold the agent of a rank, with its coordinator."""
 
     coordinator: MapCoordinator
-    frozen_until: float = float("-inf")
-    """Time until which its machine stands still; nobody reaches its rank meanwhile."""
+    stalled_until: float = float("-inf")
+    """Time until which the machine is stalled and can't be reached."""
     down_until: float = float("-inf")
-    """Time until which its process starts anew; its rank is reached meanwhile."""
-    stood_still: bool = False
+    """Time until which the agent's process restarts, while its rank can be reached."""
+    was_stalled: bool = False
     change: MapChange | None = None
     ordered: RankOrder | None = None
     ordered_at: float = float("-inf")
-    present_at: float = float("-inf")
-    told_full: list[int] = field(default_factory=list)
-    """Agents that were told a full state last."""
-    told_full_at: float = float("-inf")
-    heard_at: dict[int, float] = field(default_factory=dict)
-    """Time of the last word of each rank's agent."""
+    presence_sent_at: float = float("-inf")
+    full_state_receivers: list[int] = field(default_factory=list)
+    """Agents that the last full state was sent to."""
+    full_state_sent_at: float = float("-inf")
+    last_presence_at: dict[int, float] = field(default_factory=dict)
+    """Time of the last presence message of each rank's agent."""
 
 
 @dataclass
 class Faults:
-    """Say how much goes wrong."""
+    """Define the faults: shares of orders, and events a second."""
 
     lost: float = 0.0
     late: float = 0.0
     doubled: float = 0.0
-    freezes: float = 0.0
+    stalls: float = 0.0
     restarts: float = 0.0
     broken: float = 0.0
     silences: float = 0.0
-    """Agents whose process stands still while their rank works, a second."""
+    """Stalls of an agent's process while its rank works, a second."""
 
 
 @dataclass
 class GroupModel:
-    """Play a group of ranks and its agents."""
+    """Simulate a group of ranks and its agents."""
 
     random: Random
     faults: Faults
@@ -151,16 +154,16 @@
     held_s: float = 0.0
     longest_hold_s: float = 0.0
     message_loss: float = 0.02
-    """Part of the agents' messages to each other that is lost."""
+    """Fraction of the messages between agents that is lost."""
     ranks: list[ModelRank] = field(default_factory=list)
     agents: list[ModelAgent] = field(default_factory=list)
-    later: list[tuple[float, int, RankOrder]] = field(default_factory=list)
-    past: list[deque[tuple[float, RankState]]] = field(
+    delayed: list[tuple[float, int, RankOrder]] = field(default_factory=list)
+    past_states: list[deque[tuple[float, RankState]]] = field(
         default_factory=lambda: [deque(maxlen=KEPT_TICKS) for _ in range(RANKS)]
     )
-    """What each rank's report said at the last ticks."""
+    """Reports of each rank at the last ticks."""
     counts: list[list[int]] = field(default_factory=list)
-    """Choices of each expert since each rank's agent last told them."""
+    """Choices of each expert since each rank's agent last sent them."""
 
     def __post_init__(self) -> None:
         self.ranks = [ModelRank(number) for number in range(RANKS)]
@@ -170,21 +173,21 @@
         self.hot = 0
 
     def play(self, seconds: float) -> None:
-        """Let time pass; raise `MapsDiffer` when the ranks fall apart."""
+        """Simulate `seconds` seconds; raise `MapsDiffer` if the ranks' maps differ."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK_S
             self._deliver_late()
             self.begin_passes()
-            self._break_things()
+            self._inject_faults()
             for number in range(RANKS):
-                self.past[number].append((self.now, self._describe(number)))
+                self.past_states[number].append((self.now, self._describe(number)))
             for number in range(RANKS):
                 self._run_agent(number)
 
     @property
     def changes(self) -> int:
-        """Return the changes that came into force."""
+        """Return the number of changes that came into force."""
         return sum(agent.coordinator.changes for agent in self.agents)
 
     def _make_agent(self) -> ModelAgent:
@@ -199,7 +202,7 @@
             rank.experts = tuple(range(rank.number, EXPERTS, RANKS))
 
     def begin_passes(self) -> None:
-        """Begin the next pass when it is due."""
+        """Begin the next pass if it is due."""
         for rank in self.ranks:
             if rank.pending is not None and self.now >= rank.copied_at:
                 rank.prepared, rank.prepared_experts = rank.pending
@@ -225,10 +228,10 @@
     def _check(self) -> None:
         versions = {rank.map_version for rank in self.ranks}
         if len(versions) > 1:
-            raise MapsDiffer(f"pass {self.step}: versions {versions}")
+            raise MapsDiffer(f"pass {self.step}: ranks have versions {versions}")
         held = {expert for rank in self.ranks for expert in rank.experts}
         if held != set(range(EXPERTS)):
-            raise MapsDiffer(f"pass {self.step}: no rank has all experts: {held}")
+            raise MapsDiffer(f"pass {self.step}: ranks only have experts {held}")
 
     def _count(self) -> None:
         if self.random.random() < 0.03:
@@ -237,11 +240,11 @@
             for expert in range(EXPERTS):
                 counts[expert] += 40 if expert == self.hot else 5
 
-    def _break_things(self) -> None:
-        if self.random.random() < self.faults.freezes * TICK_S:
+    def _inject_faults(self) -> None:
+        if self.random.random() < self.faults.stalls * TICK_S:
             agent = self.random.choice(self.agents)
-            agent.frozen_until = self.now + self.random.uniform(0.3, 4.0)
-            agent.stood_still = True
+            agent.stalled_until = self.now + self.random.uniform(0.3, 4.0)
+            agent.was_stalled = True
         if self.random.random() < self.faults.restarts * TICK_S:
             number = self.random.randrange(RANKS)
             self.agents[number] = self._make_agent()
@@ -249,96 +252,108 @@
         if self.random.random() < self.faults.silences * TICK_S:
             agent = self.random.choice(self.agents)
             agent.down_until = self.now + self.random.uniform(0.3, 4.0)
-            agent.stood_still = True
+            agent.was_stalled = True
         if self.random.random() < self.faults.broken * TICK_S:
             self.epoch += 1
             self.begin_epoch()
 
     def _run_agent(self, number: int) -> None:
         agent = self.agents[number]
-        if self.now < max(agent.frozen_until, agent.down_until):
+        if self.now < max(agent.stalled_until, agent.down_until):
             return
-        if agent.stood_still:
-            agent.stood_still = False
-            agent.coordinator.forget()
+        if agent.was_stalled:
+            agent.was_stalled = False
+            agent.coordinator.discard_state()
             agent.change = None
         state = replace(self._describe(number), counts=tuple(self.counts[number]))
         self.counts[number] = [0] * EXPERTS
         agent.coordinator.observe(state, now=self.now, own=True)
-        for other in self._list_reached(number, self._choose_told(number)):
+        for other in self._list_reached(number, self._choose_state_receivers(number)):
             other.coordinator.observe(state, now=self.now)
-        for other in self._list_reached(number, self._choose_present(number)):
-            other.heard_at[number] = self.now
+        for other in self._list_reached(
+            number, self._choose_presence_receivers(number)
+        ):
+            other.last_presence_at[number] = self.now
             other.coordinator.note_agent(number, now=self.now)
         self._follow(number)
         for action in agent.coordinator.decide(self.now):
-            if isinstance(action, Announce):
+            if isinstance(action, SendMapChange):
                 self._announce(number, action)
-            elif isinstance(action, AskAgent):
+            elif isinstance(action, QueryAgent):
                 asked_agent = int(action.agent)
                 if self._list_reached(asked_agent, [asked_agent]):
-                    told = self._describe(asked_agent)
-                    agent.coordinator.observe(told, now=self.now)
-            elif isinstance(action, AskRank):
-                if self.now < self.agents[int(action.replica)].frozen_until:
+                    observed = self._describe(asked_agent)
+                    agent.coordinator.observe(observed, now=self.now)
+            elif isinstance(action, QueryRank):
+                if self.now < self.agents[int(action.replica)].stalled_until:
                     continue
-                asked = self._read_from_afar(int(action.replica))
-                agent.coordinator.observe(asked, now=self.now, asked=True)
+                queried = self._read_remotely(int(action.replica))
+                agent.coordinator.observe(queried, now=self.now, queried=True)
             elif isinstance(action, DelegateOrder):
                 self._delegate(action)
-            elif isinstance(action, GiveOrder):
+            elif isinstance(action, SendOrder):
                 if self._send(int(action.replica), action.order):
-                    agent.coordinator.note_done(action.replica, action.order)
+                    agent.coordinator.note_confirmed(action.replica, action.order)
 
-    def _read_from_afar(self, number: int) -> RankState:
-        """Return what a report says that is read from another machine."""
-        past = [state for at, state in self.past[number] if at <= self.now - LAG_S]
-        return past[-1] if past else self._describe(number)
+    def _read_remotely(self, number: int) -> RankState:
+        """Return the rank's report as read from another machine."""
+        past_states = [
+            state for at, state in self.past_states[number] if at <= self.now - LAG_S
+        ]
+        return past_states[-1] if past_states else self._describe(number)
 
-    def _list_reached(self, number: int, told: list[int]) -> list[ModelAgent]:
+    def _list_reached(self, number: int, receivers: list[int]) -> list[ModelAgent]:
         return [
             self.agents[one]
-            for one in told
+            for one in receivers
             if self.now
-            >= max(self.agents[one].frozen_until, self.agents[one].down_until)
+            >= max(self.agents[one].stalled_until, self.agents[one].down_until)
             and self.random.random() >= self.message_loss
         ]
 
-    def _choose_told(self, number: int) -> list[int]:
-        """Return the agents that one tells its state: its leader, or all leaders."""
+    def _choose_state_receivers(self, number: int) -> list[int]:
+        """Return the agents to send a state to: the leader, or all that lead or lead
+        next.
+        """
         agent = self.agents[number]
         alive = sorted(
             rank
-            for rank, at in agent.heard_at.items()
-            if rank != number and self.now - at < LOST_S
+            for rank, at in agent.last_presence_at.items()
+            if rank != number and self.now - at < LEADER_SILENCE_S
         )
-        leaders = alive[:ANNOUNCERS]
-        if leaders == agent.told_full and self.now - agent.told_full_at < FULL_S:
+        leaders = alive[:PRESENCE_SENDERS]
+        if (
+            leaders == agent.full_state_receivers
+            and self.now - agent.full_state_sent_at < FULL_STATE_INTERVAL_S
+        ):
             return [rank for rank in leaders[:1] if rank < number]
-        agent.told_full, agent.told_full_at = leaders, self.now
+        agent.full_state_receivers, agent.full_state_sent_at = leaders, self.now
         return leaders
 
-    def _choose_present(self, number: int) -> list[int]:
-        """Return the agents that one tells that it lives."""
+    def _choose_presence_receivers(self, number: int) -> list[int]:
+        """Return the agents to send a presence message to."""
         agent = self.agents[number]
-        if number >= ANNOUNCERS or self.now - agent.present_at < PRESENCE_S:
+        if (
+            number >= PRESENCE_SENDERS
+            or self.now - agent.presence_sent_at < PRESENCE_INTERVAL_S
+        ):
             return []
-        agent.present_at = self.now
+        agent.presence_sent_at = self.now
         return [one for one in range(RANKS) if one != number]
 
     def _delegate(self, action: DelegateOrder) -> None:
-        """Let the agent beside a rank give the order, when the request reaches it."""
+        """Have the agent on a rank's machine give the order, if the request arrives."""
         number = int(action.agent)
         if self._list_reached(number, [number]):
             self._send(number, action.order)
 
-    def _announce(self, number: int, action: Announce) -> None:
+    def _announce(self, number: int, action: SendMapChange) -> None:
         change = action.change
         for other, agent in enumerate(self.agents):
             if str(other) not in action.to and (other != number or change.step):
                 continue
             if (
-                self.now >= agent.frozen_until
+                self.now >= agent.stalled_until
                 and self.random.random() >= self.message_loss
             ):
                 agent.change = change
@@ -364,29 +379,29 @@
         self._send(number, order)
 
     def _send(self, number: int, order: RankOrder) -> bool:
-        """Give an order; tell whether the rank answered that it carried it out."""
-        if self.now < self.agents[number].frozen_until:
+        """Send an order; return whether the rank confirmed that it carried it out."""
+        if self.now < self.agents[number].stalled_until:
             return False
         draw = self.random.random()
         if draw < self.faults.lost:
             return False
         if draw < self.faults.lost + self.faults.late:
             at = self.now + self.random.uniform(0.3, 12.0)
-            self.later.append((at, number, order))
+            self.delayed.append((at, number, order))
             return False
         if self.random.random() < self.faults.doubled:
-            self.later.append((self.now + 0.05, number, order))
-        return self._take(number, order)
+            self.delayed.append((self.now + 0.05, number, order))
+        return self._carry_out(number, order)
 
-    def _take(self, number: int, order: RankOrder) -> bool:
+    def _carry_out(self, number: int, order: RankOrder) -> bool:
         rank = self.ranks[number]
-        return rank.take(order, step=self.step, epoch=self.epoch, now=self.now)
+        return rank.carry_out(order, step=self.step, epoch=self.epoch, now=self.now)
 
     def _deliver_late(self) -> None:
-        due = [one for one in self.later if one[0] <= self.now]
-        self.later = [one for one in self.later if one[0] > self.now]
+        due = [one for one in self.delayed if one[0] <= self.now]
+        self.delayed = [one for one in self.delayed if one[0] > self.now]
         for _, number, order in due:
-            self._take(number, order)
+            self._carry_out(number, order)
 
     def _describe(self, number: int) -> RankState:
         rank = self.ranks[number]
--- a/tests/unit/test_expert_maps.py
+++ b/tests/unit/test_expert_maps.py
@@ -1,4 +1,4 @@
-"""Test the choice of expert maps and when they are moved."""
+"""Test the choice of expert maps, and when experts are moved."""
 
 import pytest
 from hypothesis import given, settings
@@ -49,7 +49,7 @@
 
 @given(groups(), st.integers(1, 40), st.booleans())
 @settings(derandomize=True, max_examples=300, deadline=None)
-def test_map_keeps_to_the_slots(group, max_copies, keep):
+def test_map_respects_the_slots(group, max_copies, keep):
     ranks, experts, slots, loads = group
     current = spread_evenly(ranks=ranks, experts=experts)
     chosen = choose_map(loads, slots=slots, current=current, keep=keep)
@@ -94,7 +94,7 @@
         pytest.param(HOT, ALWAYS, 3, True, id="hot"),
         pytest.param(EVEN, ALWAYS, 3, False, id="even"),
         pytest.param(HOT, MoveRules(0.0, 1.0), 3, False, id="skew worth nothing"),
-        pytest.param(HOT, MoveRules(0.01, 100.0), 3, False, id="moves too dear"),
+        pytest.param(HOT, MoveRules(0.01, 100.0), 3, False, id="moves too expensive"),
         pytest.param(HOT, MoveRules(10.0, 1.0, 0, 10), 10, False, id="after hours"),
         pytest.param(HOT, MoveRules(10.0, 1.0, 0, 10), 9, True, id="within hours"),
         pytest.param(HOT, MoveRules(10.0, 1.0, 22, 4), 3, True, id="past midnight"),
@@ -102,7 +102,7 @@
         pytest.param(HOT, MoveRules(10.0, 1.0, 5, 5), 5, False, id="no hour"),
     ],
 )
-def test_cells_decide_whether_experts_move(loads, rules, hour, moves):
+def test_row_of_the_service_decides_whether_experts_move(loads, rules, hour, moves):
     rebalancer = Rebalancer(COSTS, spread_evenly(ranks=8, experts=16))
     move = rebalancer.choose_move(loads, rules, now=0.0, hour=hour)
     assert (move is not None) is moves
@@ -134,10 +134,10 @@
 
 
 def test_noise_does_not_move_experts():
-    """Let every expert's load jump about one mean.
+    """Let every expert's load fluctuate around one mean.
 
-    A policy that followed each jump would fetch weights without end and slow the steps
-    of callers for nothing.
+    A policy that followed each fluctuation would fetch weights continuously and slow
+    down the callers' steps without any benefit.
     """
     estimate = LoadEstimate(16, half_life_s=300.0)
     rebalancer = Rebalancer(COSTS, spread_evenly(ranks=8, experts=16))
--- a/tests/unit/test_map_coordinator.py
+++ b/tests/unit/test_map_coordinator.py
@@ -6,18 +6,18 @@
 import pytest
 
 from hyssopvane._internal.policy import map_coordinator
-from hyssopvane._internal.policy.look_times import measure_look_s
 from hyssopvane._internal.policy.map_actions import (
-    Announce,
-    AskAgent,
-    AskRank,
     DelegateOrder,
-    GiveOrder,
+    QueryAgent,
+    QueryRank,
+    SendMapChange,
+    SendOrder,
 )
 from hyssopvane._internal.policy.map_coordinator import (
     MapCoordinator,
     Phase,
 )
+from hyssopvane._internal.policy.poll_intervals import get_poll_interval_s
 from hyssopvane._internal.state.group import RankState
 from hyssopvane._internal.state.ranks import Hold, Release
 from hyssopvane._internal.state.routing import ExpertLayout
@@ -25,12 +25,12 @@
 
 SEEDS = range(6)
 
-TROUBLES = {
+FAULT_CASES = {
     "calm": Faults(),
     "lost": Faults(lost=0.3),
     "late": Faults(late=0.35),
     "doubled": Faults(doubled=0.5),
-    "frozen leaders": Faults(freezes=0.8),
+    "frozen leaders": Faults(stalls=0.8),
     "restarted agents": Faults(restarts=0.8),
     "broken groups": Faults(broken=0.3),
     "silent agents": Faults(lost=0.1, late=0.15, silences=0.8),
@@ -39,42 +39,42 @@
 }
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("trouble", FAULT_CASES)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_ranks_never_begin_a_pass_with_different_maps(trouble, seed):
-    """Orders get no answer and are carried out seconds later, agents freeze and wake.
+    """Orders get no answer and take effect seconds later; agents stall and resume.
 
     Two ranks with different maps would send tokens to experts that are not there, and
-    every caller of the group would get nonsense without any error.
+    every caller of the group would get garbage without any error.
     """
-    model = GroupModel(Random(f"{trouble}/{seed}"), TROUBLES[trouble])
+    model = GroupModel(Random(f"{trouble}/{seed}"), FAULT_CASES[trouble])
     model.play(12.0)
     assert model.passes > 50
 
 
 @pytest.mark.parametrize("trouble", ["calm", "lost", "late", "doubled"])
-def test_maps_change_under_trouble(trouble):
-    model = GroupModel(Random(7), TROUBLES[trouble])
+def test_maps_change_despite_faults(trouble):
+    model = GroupModel(Random(7), FAULT_CASES[trouble])
     model.play(30.0)
     assert model.changes >= 3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_group_goes_on_after_its_leader_froze(seed):
-    """The leader's machine stands still for seconds while it holds the group.
+def test_group_continues_after_its_leader_stalled(seed):
+    """The leader's machine stalls for seconds while the leader holds the group.
 
     No rank begins a pass until the hold is released, and every stream of the group
-    would stand still for as long. The agent of the next rank goes on for it.
+    would pause as long. The agent of the next rank takes over.
     """
-    model = GroupModel(Random(seed), Faults(freezes=0.3, restarts=0.3))
+    model = GroupModel(Random(seed), Faults(stalls=0.3, restarts=0.3))
     model.play(30.0)
-    # The machine of a rank that is armed already, or that holds, may stand still as
-    # well: then only its waking helps, after four seconds at most in this model, and
-    # the next agent waits until the leader has been silent for long enough.
-    assert model.longest_hold_s < 4.0 + map_coordinator.ALONE_S + 1.0
+    # The machine of a rank that is already armed, or that holds the pass, may stall as
+    # well: the group then waits until it resumes, after four seconds at most in this
+    # model, and the next agent waits until the leader's timeout has passed.
+    assert model.longest_hold_s < 4.0 + map_coordinator.LEADER_TIMEOUT_S + 1.0
 
 
-def find_break(faults):
+def find_split(faults):
     for seed in range(20):
         model = GroupModel(Random(seed), faults)
         try:
@@ -85,7 +85,7 @@
 
 
 def test_without_the_hold_late_orders_split_the_maps(monkeypatch):
-    """Without the hold a rank that is armed late is still on the old map."""
+    """Without the hold, a rank that is armed late still uses the old map."""
     decide = MapCoordinator.decide
 
     def decide_without_hold(self, now):
@@ -95,73 +95,78 @@
         return [
             action
             for action in actions
-            if not (isinstance(action, GiveOrder) and isinstance(action.order, Hold))
+            if not (isinstance(action, SendOrder) and isinstance(action.order, Hold))
         ]
 
     monkeypatch.setattr(MapCoordinator, "decide", decide_without_hold)
-    assert find_break(Faults(lost=0.3, late=0.3))
+    assert find_split(Faults(lost=0.3, late=0.3))
 
 
 def test_without_waiting_for_all_ranks_the_maps_split(monkeypatch):
-    """A leader that releases the pass before every rank has told that it is armed."""
+    """Test a leader that releases the pass before every rank has reported that it is
+    armed.
+    """
 
     def arm_once(self, now):
         change = self._get_change()
         self.phase = Phase.RELEASING
-        return self._tell(now, step=change.step)
+        return self._send_change(now, step=change.step)
 
     monkeypatch.setattr(MapCoordinator, "_arm", arm_once)
-    assert find_break(Faults(lost=0.3, late=0.3))
+    assert find_split(Faults(lost=0.3, late=0.3))
 
 
-def test_leader_that_freezes_after_its_hold_stops_the_group_for_a_second():
-    """The leader's machine stands still right after the order that holds the group.
+def test_leader_that_stalls_after_its_hold_stops_the_group_for_a_second():
+    """The leader's machine stalls right after the order that holds the group.
 
-    Its rank can't be reached either. No other rank is armed yet, so the next agent
-    lets the group go on without the change.
+    Its rank can't be reached either. No other rank is armed yet, so the next agent lets
+    the group continue without the change.
     """
     model = GroupModel(Random(3), Faults())
     while model.agents[0].coordinator.phase is not Phase.HOLDING:
         model.play(0.02)
-    model.agents[0].frozen_until = model.now + 20.0
-    model.agents[0].stood_still = True
+    model.agents[0].stalled_until = model.now + 20.0
+    model.agents[0].was_stalled = True
     model.play(10.0)
     assert (
-        model.longest_hold_s < map_coordinator.ALONE_S + map_coordinator.ORPHAN_S + 0.5
+        model.longest_hold_s
+        < map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S + 0.5
     )
     assert model.passes > 100
 
 
-def test_nobody_is_armed_in_the_moment_in_which_the_hold_is_answered():
-    """The leader's machine stands still as soon as its hold is answered.
+def test_no_rank_is_armed_when_the_hold_is_confirmed():
+    """The leader's machine stalls as soon as its hold is confirmed.
 
-    With the ranks told to arm in the same moment all are armed but the leader's own,
-    which nobody reaches, and every stream of the group pauses until it wakes. It reads
-    the rank that holds first; by then it stands still, and nobody is armed.
+    If the ranks were ordered to arm at that moment, all would be armed except the
+    leader's own, which can't be reached, and every stream of the group would pause
+    until it resumes. The leader queries the rank that holds the pass first; it stalls
+    before the answer, and no rank is armed.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.HOLDING:
         model.play(TICK_S)
     change = leader._get_change()
-    # Only the answer has come back; the agent of that rank has told nothing yet.
-    holder = leader._heard[int(change.holder)]
+    # Only the confirmation has arrived; the agent of that rank has reported nothing
+    # yet.
+    holder = leader._known_ranks[int(change.holder)]
     holder.state = replace(holder.state, held_step=0)
-    leader.note_done(change.holder, Hold(model.epoch, change.step))
-    asked = [AskAgent(change.holder), AskRank(change.holder)]
-    assert leader.decide(model.now) == asked
-    model.agents[0].frozen_until = model.now + 20.0
-    model.agents[0].stood_still = True
+    leader.note_confirmed(change.holder, Hold(model.epoch, change.step))
+    queries = [QueryAgent(change.holder), QueryRank(change.holder)]
+    assert leader.decide(model.now) == queries
+    model.agents[0].stalled_until = model.now + 20.0
+    model.agents[0].was_stalled = True
     model.play(5.0)
-    assert model.longest_hold_s < map_coordinator.ALONE_S + 0.3
+    assert model.longest_hold_s < map_coordinator.LEADER_TIMEOUT_S + 0.3
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_change_of_maps_holds_nobody_up_when_all_goes_well(seed):
-    """Demand moves every few seconds, and each change of maps holds a pass.
+def test_change_of_maps_hardly_delays_a_pass_without_faults(seed):
+    """Demand shifts every few seconds, and each change of maps holds a pass.
 
-    A leader that waits before it arms or releases, because it gave another order just
-    before, keeps the group at a stand with every change, and all streams pause.
+    A leader that delays arming or releasing, because it has just sent another order,
+    stalls the group at every change, and all streams pause.
     """
     model = GroupModel(Random(seed), Faults(), message_loss=0.0)
     model.play(40.0)
@@ -170,11 +175,11 @@
     assert model.agents[0].coordinator.arming_s < 4.5 * TICK_S
 
 
-def hear_all(coordinator, *, ranks, layout, now, round_number):
-    """Let each agent of a group tell its state once, spread over one look."""
-    look_s = measure_look_s(ranks)
+def observe_all(coordinator, *, ranks, layout, now, round_number):
+    """Pass a state of each rank of a group to the coordinator, spread over one poll."""
+    interval_s = get_poll_interval_s(ranks)
     for rank in range(ranks):
-        at = now + look_s * rank / ranks
+        at = now + interval_s * rank / ranks
         counts = tuple(
             (rank + 1) * (40 if expert == 3 else 1)
             for expert in range(layout.sets * layout.experts)
@@ -199,22 +204,22 @@
             counts=counts,
         )
         coordinator.observe(state, now=at, own=rank == 0)
-    return now + look_s
+    return now + interval_s
 
 
 @pytest.mark.parametrize("ranks", [4, 12, 24, 40, 41, 63, 64, 128])
 def test_group_of_any_size_gets_a_new_map(ranks):
-    """Demand gathers on one expert of a large group.
+    """Demand concentrates on one expert of a large group.
 
-    Agents of large groups look less often. A leader that wants all states as fresh as
-    in a small group never sees them together, and the group keeps its first map for
-    the whole day: passes take twice as long as they need to.
+    Agents of large groups poll less often. A leader that requires states as fresh as in
+    a small group never sees all of them together, and the group keeps its first map all
+    day: passes take twice as long as necessary.
     """
     layout = ExpertLayout(1, 2 * ranks, 4, 2, 0.85, 110.0, 180_000.0)
     coordinator = MapCoordinator(nonce=1, layout=layout)
     now, phases = 0.0, set()
     for round_number in range(1, 6):
-        now = hear_all(
+        now = observe_all(
             coordinator, ranks=ranks, layout=layout, now=now, round_number=round_number
         )
         coordinator.decide(now)
@@ -231,13 +236,12 @@
         ((0, 3), False),
     ],
 )
-def test_hold_is_released_only_when_each_rank_has_told_that_it_is_not_armed(
-    stale, expected
-):
-    """The leader has told all ranks to arm, and falls silent.
+def test_hold_is_released_only_when_each_rank_has_reported_not_armed(stale, expected):
+    """The leader has ordered all ranks to arm, and falls silent.
 
-    The next agent has heard of some ranks last before they were armed. Were it to go
-    by that, the pass would begin with two maps, and all answers of it would be garbage.
+    The next agent's last states of some ranks are from before they were armed. If it
+    relied on them, the pass would begin with two maps, and all its answers would be
+    garbage.
     """
     layout = ExpertLayout(1, 8, 4, 2, 0.85, 110.0, 180_000.0)
     deputy = MapCoordinator(nonce=1, layout=layout)
@@ -245,39 +249,39 @@
     model.ranks[1].held = model.step + 2
     for rank in (1, 0, 2, 3):
         deputy.observe(model._describe(rank), now=0.0, own=rank == 1)
-    now = map_coordinator.ALONE_S + map_coordinator.ORPHAN_S
+    now = map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S
     for rank in {1, 2, 3, 0} - set(stale):
         deputy.observe(
-            model._describe(rank), now=now, own=rank == 1, asked=rank in {0, 2, 3}
+            model._describe(rank), now=now, own=rank == 1, queried=rank in {0, 2, 3}
         )
     deputy.decide(now)
     assert (deputy.phase is Phase.RELEASING) == expected
 
 
-def test_leader_that_gives_a_change_up_waits_for_those_who_are_being_armed():
-    """The leader has told all to arm and drops the change in the same moment.
+def test_leader_that_abandons_a_change_waits_for_ranks_being_armed():
+    """The leader has ordered all ranks to arm, and abandons the change at once.
 
-    The orders are on their way to the ranks. A release at once would begin the pass
-    when some of them have come and others have not.
+    The orders are on their way to the ranks. An immediate release would begin the pass
+    when some of them have arrived and others have not.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.ARMING:
         model.play(TICK_S)
-    for one in leader._heard.values():
+    for one in leader._known_ranks.values():
         one.state = replace(one.state, armed_version=0, armed_step=0)
     leader._reset()
-    assert leader._heard[1].state.held_step
+    assert leader._known_ranks[1].state.held_step
     leader.decide(model.now)
     assert leader.phase is Phase.IDLE
 
 
-def test_rank_that_holds_gets_unanswered_orders_from_the_agent_beside_it():
+def test_unanswered_order_is_repeated_through_the_agent_of_the_rank():
     """Orders from another machine are lost, seven in a row.
 
-    All streams of the group pause until the pass is let go. The agent on the rank's own
-    machine needs 2 ms for it. It does not give the first order: a machine that fails
-    right after its order would be the one that holds the group.
+    All streams of the group pause until the pass is released. The agent on the rank's
+    own machine needs 2 ms for an order. It does not give the first order: a machine
+    that fails right after its order would be the one that holds the group.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -286,15 +290,16 @@
     order = Hold(model.epoch, leader._get_change().step + 1)
     first = leader._order(model.now + 1.0, order)
     again = leader._order(model.now + 2.0, order)
-    assert [type(one) for one in first] == [GiveOrder]
-    assert [type(one) for one in again] == [GiveOrder, DelegateOrder]
+    assert [type(one) for one in first] == [SendOrder]
+    assert [type(one) for one in again] == [SendOrder, DelegateOrder]
 
 
-def test_only_those_who_have_not_told_that_they_are_armed_are_told_again():
-    """One word to a rank is lost while the group is held.
+def test_order_to_arm_is_sent_again_only_to_unconfirmed_ranks():
+    """One message to a rank is lost while the group is held.
 
-    Told to all again and again, an arming would fill the link that its answers come by.
-    Told again late, it stops all streams of the group for a quarter of a second.
+    Sending the order to arm to all ranks repeatedly would fill the link that their
+    answers use. Sending it late stops all streams of the group for a quarter of a
+    second.
     """
     model = GroupModel(Random(3), Faults(), message_loss=0.0)
     leader = model.agents[0].coordinator
@@ -302,54 +307,54 @@
         model.play(TICK_S)
     change = leader._get_change()
     for rank in (1, 3):
-        heard = leader._heard[rank]
-        heard.state = replace(
-            heard.state, armed_version=change.version, armed_step=change.step
+        known = leader._known_ranks[rank]
+        known.state = replace(
+            known.state, armed_version=change.version, armed_step=change.step
         )
-    later = model.now + map_coordinator._ARM_AGAIN_S
-    told = [one for one in leader.decide(later) if isinstance(one, Announce)]
-    assert [one.to for one in told] == [("2",)]
+    later = model.now + map_coordinator._ARM_RETRY_S
+    sent = [one for one in leader.decide(later) if isinstance(one, SendMapChange)]
+    assert [one.to for one in sent] == [("2",)]
 
 
-def test_older_report_does_not_undo_the_word_of_the_agent_beside_the_holder():
-    """The rank that holds is read by its agent and from afar at the same time.
+def test_older_report_does_not_override_newer_state_from_the_agent():
+    """The rank that holds the pass is read by its agent and remotely at the same time.
 
-    What is read from afar is some tenths of a second old, and comes a moment later.
-    Were it to count, the leader would wait for what it knows already, and all streams
-    of the group would pause for a quarter of a second.
+    The remote report is some tenths of a second old, and arrives a moment later. If it
+    counted, the leader would wait for what it already knows, and all streams of the
+    group would pause for a quarter of a second.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.HOLDING:
         model.play(TICK_S)
     change = leader._get_change()
-    before = leader._heard[int(change.holder)].state
+    before = leader._known_ranks[int(change.holder)].state
     holding = replace(before, held_step=change.step)
     leader.observe(holding, now=model.now)
     older = replace(before, held_step=0, messages="")
-    leader.observe(older, now=model.now + 0.001, asked=True)
+    leader.observe(older, now=model.now + 0.001, queried=True)
     leader.decide(model.now + 0.002)
     assert leader.phase is Phase.ARMING
 
 
-def test_report_from_afar_counts_where_the_agent_has_fallen_silent():
+def test_remote_report_counts_when_the_agent_is_silent():
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
     while leader.phase is not Phase.HOLDING:
         model.play(TICK_S)
     change = leader._get_change()
-    before = leader._heard[int(change.holder)]
+    before = leader._known_ranks[int(change.holder)]
     holding = replace(before.state, held_step=change.step)
-    later = before.at + leader.report_lag_s + 0.01
-    leader.observe(holding, now=later, asked=True)
-    assert leader._heard[int(change.holder)].state.held_step == change.step
+    later = before.received_at + leader.report_lag_s + 0.01
+    leader.observe(holding, now=later, queried=True)
+    assert leader._known_ranks[int(change.holder)].state.held_step == change.step
 
 
-def test_release_goes_both_ways_at_once():
+def test_release_is_sent_directly_and_through_the_agent_at_once():
     """Orders from another machine are lost while a pass is held.
 
-    All streams pause until the release is given again. Unlike a hold it does no harm
-    on whichever machine it is given.
+    All streams pause until the release is sent again. Unlike a hold, it does no harm,
+    whichever machine sends it.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -357,32 +362,35 @@
         model.play(TICK_S)
     order = Release(model.epoch, leader._get_change().step)
     given = leader._order(model.now + 1.0, order)
-    assert {type(one) for one in given} == {GiveOrder, DelegateOrder}
+    assert {type(one) for one in given} == {SendOrder, DelegateOrder}
 
 
 @pytest.mark.parametrize("silent", [0, 2])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_maps_follow_demand_while_an_agent_stands_still(silent, seed):
-    """The process beside one rank stands still for seconds; its rank goes on working.
+def test_maps_follow_demand_while_an_agent_is_stalled(silent, seed):
+    """An agent's process is stalled for seconds while its rank continues to work.
 
-    A leader that waits for its word changes no map meanwhile. Demand moves on, passes
-    take twice as long, and a third of the callers is refused until it wakes.
+    A leader that waits for its message changes no map meanwhile. Demand shifts, passes
+    take twice as long, and a third of the callers are refused until the agent resumes.
     """
     model = GroupModel(Random(seed), Faults())
     model.play(6.0)
     model.agents[silent].down_until = model.now + 12.0
-    model.agents[silent].stood_still = True
-    model.play(map_coordinator.ALONE_S + map_coordinator.ORPHAN_S + 0.5)
+    model.agents[silent].was_stalled = True
+    model.play(map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S + 0.5)
     before = model.changes
     for _ in range(4):
         model.hot = (model.hot + 3) % EXPERTS
         model.play(2.5)
     assert model.changes >= before + 2
-    assert model.longest_hold_s < map_coordinator.ALONE_S + map_coordinator.ORPHAN_S
+    assert (
+        model.longest_hold_s
+        < map_coordinator.LEADER_TIMEOUT_S + map_coordinator.ORPHAN_S
+    )
 
 
-def test_many_silent_agents_are_not_all_read_from_afar(monkeypatch):
-    """More agents are silent than the leader can read ranks for: it leaves the map."""
+def test_map_stays_when_too_many_agents_are_silent(monkeypatch):
+    """If more agents are silent than the leader can query ranks for, the map stays."""
     monkeypatch.setattr(map_coordinator, "MOST_SILENT", 1)
     model = GroupModel(Random(3), Faults())
     model.play(6.0)
@@ -394,11 +402,11 @@
     assert model.changes == before
 
 
-def test_all_silent_ranks_of_a_group_that_stands_still_are_read():
-    """Most agents of a group die while the rank beside one of them holds it.
+def test_all_silent_ranks_of_a_stalled_group_are_queried():
+    """Most agents of a group die while one of their ranks holds it.
 
-    Their ranks are the only ones who know which of them holds. A leader that reads a
-    few of them at most would leave all streams standing until the agents are back.
+    Only their ranks know which of them holds the pass. A leader that always limits the
+    number of queries would leave all streams paused until the agents return.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -411,11 +419,11 @@
     assert not model.ranks[2].held
 
 
-def test_change_that_another_leader_has_overtaken_lets_the_group_go_on():
-    """Two agents lead for a moment, and one brings its copies after the other's hold.
+def test_group_continues_when_another_leader_supersedes_the_change():
+    """Two agents lead for a moment, and one sends its copies after the other's hold.
 
     No rank can be armed for the first change any more. A leader that waits for them
-    holds the group for ever, and all its streams end at their deadlines.
+    holds the group forever, and all its streams end at their deadlines.
     """
     model = GroupModel(Random(3), Faults())
     leader = model.agents[0].coordinator
@@ -433,43 +441,43 @@
     assert model.step > before + 3
 
 
-def test_large_group_follows_a_shift_of_demand_without_waiting_for_its_next_look():
-    """Demand moves to other experts right after the leader has looked for a better map.
+def test_large_group_follows_a_shift_of_demand_before_its_next_search_is_due():
+    """Demand shifts to other experts right after a search for a better map.
 
-    In a group of 64 ranks the next look is half a second away. All passes take twice as
-    long until then, and every stream that runs pauses for too long.
+    In a group of 64 ranks, the next search is half a second away. Until then, all
+    passes would take twice as long, and every running stream would pause for too long.
     """
     ranks = 64
     layout = ExpertLayout(12, 128, 4, 2, 0.85, 1.0, 180_000.0)
     coordinator = MapCoordinator(nonce=1, layout=layout)
     now, searched = 0.0, []
-    look_s = measure_look_s(ranks)
-    for look in range(8):
-        hottest = 2_000 if look >= 5 else 10
+    interval_s = get_poll_interval_s(ranks)
+    for poll in range(8):
+        hottest = 2_000 if poll >= 5 else 10
         for rank in range(ranks):
             counts = tuple(
                 hottest if expert == 0 else 10
                 for _ in range(12)
                 for expert in range(128)
             )
-            state = make_state(rank, ranks, layout, counts=counts, step=look)
-            at = now + look_s * rank / ranks
+            state = make_state(rank, ranks, layout, counts=counts, step=poll)
+            at = now + interval_s * rank / ranks
             coordinator.observe(state, now=at, own=rank == 0)
-        now += look_s
+        now += interval_s
         coordinator._reset()
         coordinator.decide(now)
         if coordinator._search.searched_at == now:
-            searched.append(look)
+            searched.append(poll)
     assert searched[0] <= 1
     assert {5, 6} & set(searched)
 
 
-def test_experts_that_are_told_before_the_layout_is_known_count_later():
-    """All processes start anew, and the ranks name their experts at once.
+def test_experts_received_before_the_layout_is_known_are_used_later():
+    """All processes restart, and the ranks name their experts at once.
 
     The leader reads the configuration half a second later. Ranks name their experts
-    again after two seconds; until then no map follows the demand, passes are long, and
-    callers who come back are refused.
+    again after two seconds. If the leader had dropped them, no map would follow the
+    demand until then: passes are long, and returning callers are refused.
     """
     layout = ExpertLayout(1, 24, 4, 2, 0.85, 1.0, 180_000.0)
     coordinator = MapCoordinator(nonce=1)
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -449,8 +449,8 @@
         for number in range(12):
             gate.observe_load(make_load(number, ranks=12, active=4, step=2), now=0.1)
         (group,) = gate._groups.values()
-        assert group.may_read(engine, 0.1)
-        parts.append(group._read_left)
+        assert group.allows_prompt(engine, 0.1)
+        parts.append(group._prompt_budget)
     assert parts[1] == pytest.approx(2 * parts[0])
 
 
@@ -498,9 +498,9 @@
         report_group_load(gate, step=step, now=step * pass_s, active=0, pass_s=pass_s)
     report_group_load(gate, step=40, now=40 * pass_s, active=1, pass_s=pass_s)
     (group,) = gate._groups.values()
-    group.take(100_000, now=0.0)
+    group.reserve_place(100_000, now=0.0)
     report_group_load(gate, step=41, now=41 * pass_s, active=1, pass_s=pass_s)
-    assert group.may_read(engine, 41 * pass_s)
+    assert group.allows_prompt(engine, 41 * pass_s)
 
 
 def test_callers_of_a_group_not_yet_formed_get_a_retry_after_at_once():
--- a/tests/unit/test_water_filling.py
+++ b/tests/unit/test_water_filling.py
@@ -125,7 +125,7 @@
         for place in list_assignments(gate.dispatch(10.0)):
             gate.finish(place.replica, failed=False, now=12.0)
     # Requests last two seconds each, so 126 running ones mean 63 arrivals a second.
-    assert room.measure_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
+    assert room.estimate_arrivals(10.0) == pytest.approx(63 * 0.25, rel=0.3)
 
 
 def test_homes_cover_a_zone_and_few_move_when_an_entry_leaves():
