--- a/src/hyssopvane/_internal/policy/keyed_request.py
+++ b/src/hyssopvane/_internal/policy/keyed_request.py
@@ -23,7 +23,7 @@
 """
 
 _RETRY_AFTER_S = 1.0
-_TOLD_REASONS = {
+_REFUSAL_REASONS = {
     AgentRefusal.KEY_EXPIRED: RefusalReason.KEY_EXPIRED,
     AgentRefusal.KEY_OTHER: RefusalReason.KEY_BODY_MISMATCH,
 }
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ReadClaim:
     """Read the claim of the key."""
 
 
@@ -65,13 +65,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Refuse:
     """Tell the caller why there is no answer."""
 
     refusal: Refusal
 
 
-Step = Look | Place | Write | Send | Join | Tell
+Step = ReadClaim | Place | Write | Send | Join | Refuse
 
 
 class KeyedRequest:
@@ -97,49 +97,49 @@
 
     def begin(self, *, look: bool) -> Step:
         """Begin; `look` where the key may well have been seen before."""
-        return Look() if look else Place()
+        return ReadClaim() if look else Place()
 
-    def take_found(self, claim: Claim | None) -> Step:
+    def handle_claim(self, claim: Claim | None) -> Step:
         """Go on with the claim that was read."""
-        return Place() if claim is None else self._meet(claim)
+        return Place() if claim is None else self._handle_existing_claim(claim)
 
-    def take_place(self, target: str, incarnation: int, attempt: int) -> Step:
+    def handle_target(self, target: str, incarnation: int, attempt: int) -> Step:
         """Go on with a target and the number of a new attempt."""
         return self._write(Claim(attempt, self._body_digest, target, incarnation))
 
-    def take_refusal(self, refusal: Refusal, *, attempt: int) -> Step:
+    def handle_no_target(self, refusal: Refusal, *, attempt: int) -> Step:
         """Go on without a target; `attempt` is a new number."""
         if refusal.retry_after_s is not None:
             # Coming back with the same key helps, so the key must stay usable. No
             # write is spent on it either: under a burst these refusals are many.
-            return Tell(make_unproved(refusal))
+            return Refuse(make_outcome_unknown(refusal))
         self._refusal = refusal
         number = attempt if self._expected == NO_ATTEMPT else self._expected
         return self._write(Claim(number, self._body_digest, void=True))
 
-    def take_written(self, claim: Claim | None) -> Step:
+    def handle_written(self, claim: Claim | None) -> Step:
         """Go on with the claim that is in the page after the write."""
         wanted, refusal = self._wanted, self._refusal
         self._wanted = self._refusal = None
         if wanted is None or claim is None:
-            return self._tell_unavailable("the claim was lost")
+            return self._refuse_unavailable("the claim was lost")
         if claim != wanted:
-            return self._meet(claim)
+            return self._handle_existing_claim(claim)
         if refusal is not None:
             # The page now says that no attempt of this key may run, whoever still
             # waits with one; before that, another entry could have started it.
-            return Tell(replace(refusal, outcome=Outcome.NOT_RUN))
+            return Refuse(replace(refusal, outcome=Outcome.NOT_RUN))
         self._claim = claim
         return Send(claim)
 
-    def take_write_failure(self, why: str) -> Step:
+    def handle_write_failure(self, why: str) -> Step:
         """Go on when it is not known which claim is in the page."""
         refusal, self._refusal = self._refusal, None
         if refusal is not None:
-            return Tell(make_unproved(refusal))
-        return self._tell_unavailable(why)
+            return Refuse(make_outcome_unknown(refusal))
+        return self._refuse_unavailable(why)
 
-    def take_agent_refusal(self, reason: AgentRefusal, *, joined: bool) -> Step:
+    def handle_agent_refusal(self, reason: AgentRefusal, *, joined: bool) -> Step:
         """Go on after the agent said that it did not start the attempt."""
         assert self._claim is not None
         if joined and reason is AgentRefusal.NOT_CONNECTED:
@@ -147,15 +147,15 @@
         if joined and reason is AgentRefusal.WRONG_INCARNATION:
             # What the agent knew is gone; the attempt may have run before.
             detail = "the agent that held the key has been restarted"
-            return _tell_unknown(RefusalReason.TARGET_LOST, detail)
+            return _refuse_unknown(RefusalReason.TARGET_LOST, detail)
         if not reason.proves_not_run:
-            told = _TOLD_REASONS.get(reason, RefusalReason.CLAIM_UNAVAILABLE)
-            return _tell_unknown(told, reason.value)
+            told = _REFUSAL_REASONS.get(reason, RefusalReason.CLAIM_UNAVAILABLE)
+            return _refuse_unknown(told, reason.value)
         self._expected = self._claim.attempt
         self._claim = None
         return Place()
 
-    def take_lost(self) -> Step:
+    def handle_lost_connection(self) -> Step:
         """Go on after the connection to the agent was lost."""
         assert self._claim is not None
         return self._join(self._claim)
@@ -164,11 +164,11 @@
         self._wanted = claim
         return Write(ClaimChange(self._key, self._expected, claim))
 
-    def _meet(self, claim: Claim) -> Step:
+    def _handle_existing_claim(self, claim: Claim) -> Step:
         if claim.void:
-            return Tell(Refusal(RefusalReason.KEY_VOID, Outcome.NOT_RUN))
+            return Refuse(Refusal(RefusalReason.KEY_VOID, Outcome.NOT_RUN))
         if claim.body_digest != self._body_digest:
-            return Tell(Refusal(RefusalReason.KEY_BODY_MISMATCH, Outcome.UNKNOWN))
+            return Refuse(Refusal(RefusalReason.KEY_BODY_MISMATCH, Outcome.UNKNOWN))
         if claim.attempt == self._expected:
             return Place()
         return self._join(claim)
@@ -176,12 +176,12 @@
     def _join(self, claim: Claim) -> Step:
         self._joins += 1
         if self._joins > MAX_JOINS:
-            return self._tell_unavailable("other attempts of the key keep coming")
+            return self._refuse_unavailable("other attempts of the key keep coming")
         self._claim = claim
         return Join(claim)
 
-    def _tell_unavailable(self, why: str) -> Tell:
-        return Tell(
+    def _refuse_unavailable(self, why: str) -> Refuse:
+        return Refuse(
             Refusal(
                 RefusalReason.CLAIM_UNAVAILABLE,
                 Outcome.UNKNOWN,
@@ -191,11 +191,11 @@
         )
 
 
-def _tell_unknown(reason: RefusalReason, detail: str) -> Tell:
-    return Tell(Refusal(reason, Outcome.UNKNOWN, detail=detail))
+def _refuse_unknown(reason: RefusalReason, detail: str) -> Refuse:
+    return Refuse(Refusal(reason, Outcome.UNKNOWN, detail=detail))
 
 
-def make_unproved(refusal: Refusal) -> Refusal:
+def make_outcome_unknown(refusal: Refusal) -> Refusal:
     """Return a refusal of this attempt that says nothing about the key's others.
 
     The caller may have come back through another entry while the first still claims
--- a/src/hyssopvane/_internal/roles/caller_app.py
+++ b/src/hyssopvane/_internal/roles/caller_app.py
@@ -10,7 +10,7 @@
 
 from hyssopvane._internal.models.refusals import Outcome, Refusal, RefusalReason
 from hyssopvane._internal.policy.estimates import estimate_tokens, hash_prefixes
-from hyssopvane._internal.policy.keyed_request import make_unproved
+from hyssopvane._internal.policy.keyed_request import make_outcome_unknown
 from hyssopvane._internal.protocol import headers
 from hyssopvane._internal.protocol.idempotency import (
     IdempotencyKey,
@@ -217,7 +217,7 @@
 def _qualify(refusal: Refusal, found: Headers) -> Refusal:
     """Say no more of a key than what holds for all its attempts."""
     if isinstance(read_key(found), IdempotencyKey):
-        return make_unproved(refusal)
+        return make_outcome_unknown(refusal)
     return refusal
 
 
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -17,11 +17,11 @@
 from hyssopvane._internal.policy.keyed_request import (
     Join,
     KeyedRequest,
-    Look,
     Place,
+    ReadClaim,
+    Refuse,
     Send,
     Step,
-    Tell,
     Write,
 )
 from hyssopvane._internal.protocol.idempotency import IdempotencyKey
@@ -124,7 +124,7 @@
         old = self._key.get_age(time.time()) > FRESH_KEY_S
         step = self._flow.begin(look=old)
         while True:
-            if isinstance(step, Tell):
+            if isinstance(step, Refuse):
                 self._give_up_place()
                 return self._tell(step.refusal)
             if isinstance(step, Send | Join):
@@ -144,8 +144,8 @@
         await self._places.finish(self._work, report)
         self._placed = False
 
-    async def _prepare(self, step: Look | Place | Write) -> Step:
-        if isinstance(step, Look):
+    async def _prepare(self, step: ReadClaim | Place | Write) -> Step:
+        if isinstance(step, ReadClaim):
             return await self._look()
         if isinstance(step, Place):
             return await self._place()
@@ -155,10 +155,10 @@
         try:
             with trio.move_on_at(self._work.deadline):
                 claim = await self._claims.find(self._claim_key)
-                return self._flow.take_found(claim)
+                return self._flow.handle_claim(claim)
         except HyssopvaneError as error:
-            return self._flow.take_write_failure(error.message)
-        return self._flow.take_write_failure("the claim was not read in time")
+            return self._flow.handle_write_failure(error.message)
+        return self._flow.handle_write_failure("the claim was not read in time")
 
     async def _place(self) -> Step:
         if self._placed:
@@ -168,13 +168,13 @@
             decision = await self._places.submit(self._work)
         self._placed = isinstance(decision, Placed)
         if isinstance(decision, Placed):
-            return self._flow.take_place(
+            return self._flow.handle_target(
                 decision.target, decision.incarnation, _make_attempt()
             )
         refusal = decision or Refusal(
             RefusalReason.RETRIES_SPENT, Outcome.NOT_RUN, _RETRY_AFTER_S
         )
-        return self._flow.take_refusal(refusal, attempt=_make_attempt())
+        return self._flow.handle_no_target(refusal, attempt=_make_attempt())
 
     async def _write(self, step: Write) -> Step:
         deadline = self._work.deadline
@@ -185,16 +185,16 @@
         with trio.move_on_at(deadline):
             result = await self._claims.change(step.change)
             if result.status is ChangeStatus.SEEN:
-                next_step = self._flow.take_written(result.claim)
+                next_step = self._flow.handle_written(result.claim)
                 if not isinstance(next_step, Send):
                     self._give_up_place()
                 return next_step
             if result.status is ChangeStatus.EXPIRED:
-                return Tell(Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN))
-            return self._flow.take_write_failure(
+                return Refuse(Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN))
+            return self._flow.handle_write_failure(
                 "the key-value service is out; the claim is not confirmed"
             )
-        return self._flow.take_write_failure("the claim was not confirmed in time")
+        return self._flow.handle_write_failure("the claim was not confirmed in time")
 
     async def _exchange(self, step: Send | Join) -> ExchangeEnd:
         claim = step.claim
@@ -227,13 +227,13 @@
 
     def _go_on(self, step: Send | Join, end: ExchangeEnd) -> Step:
         if isinstance(end, NotStarted):
-            return self._flow.take_agent_refusal(
+            return self._flow.handle_agent_refusal(
                 end.reason, joined=isinstance(step, Join)
             )
         if isinstance(end, Lost):
             if isinstance(step, Send) or self._pool.get_connection(step.claim.target):
-                return self._flow.take_lost()
-            return Tell(
+                return self._flow.handle_lost_connection()
+            return Refuse(
                 Refusal(
                     RefusalReason.TARGET_LOST,
                     Outcome.UNKNOWN,
@@ -243,12 +243,12 @@
             )
         if isinstance(end, Failed):
             if end.why == ANSWER_DROPPED:
-                return Tell(Refusal(RefusalReason.ANSWER_DROPPED, Outcome.RAN))
-            return Tell(
+                return Refuse(Refusal(RefusalReason.ANSWER_DROPPED, Outcome.RAN))
+            return Refuse(
                 Refusal(RefusalReason.TARGET_BROKEN, Outcome.UNKNOWN, detail=end.why)
             )
         detail = "the same key, sent again, gets the answer if it comes"
-        return Tell(
+        return Refuse(
             Refusal(RefusalReason.DEADLINE_PASSED, Outcome.UNKNOWN, detail=detail)
         )
 
--- a/tests/unit/test_keyed_machine.py
+++ b/tests/unit/test_keyed_machine.py
@@ -21,10 +21,10 @@
 from hyssopvane._internal.policy.keyed_request import (
     Join,
     KeyedRequest,
-    Look,
     Place,
+    ReadClaim,
+    Refuse,
     Send,
-    Tell,
     Write,
 )
 from hyssopvane._internal.protocol.idempotency import IdempotencyKey, check_key
@@ -123,7 +123,7 @@
             self.requests.pop(which % len(self.requests))
         elif what == "lose connection" and waiting:
             request = waiting[which % len(waiting)]
-            self.go_on(request, request.flow.take_lost())
+            self.go_on(request, request.flow.handle_lost_connection())
         elif what == "restart agent":
             self.restart(AGENTS[which % len(AGENTS)])
         elif what == "land late write" and self.late:
@@ -160,7 +160,7 @@
         active = self.find_active()
         request = active[which % len(active)]
         for how in hows:
-            if isinstance(request.step, Look):
+            if isinstance(request.step, ReadClaim):
                 self.look(request, how, stale)
             elif isinstance(request.step, Place):
                 self.place(request, agent, refuse)
@@ -171,19 +171,19 @@
 
     def look(self, request, how, stale):
         if how == "down":
-            self.go_on(request, request.flow.take_write_failure("out"))
+            self.go_on(request, request.flow.handle_write_failure("out"))
         else:
-            self.go_on(request, request.flow.take_found(self.read(stale)))
+            self.go_on(request, request.flow.handle_claim(self.read(stale)))
 
     def place(self, request, agent, refuse):
         self.attempts += 1
         if refuse is None:
             incarnation = self.agents[agent].register.incarnation
-            step = request.flow.take_place(agent, incarnation, self.attempts)
+            step = request.flow.handle_target(agent, incarnation, self.attempts)
         else:
             reason = RefusalReason.QUEUE_FULL
             refusal = Refusal(reason, Outcome.NOT_RUN, refuse or None)
-            step = request.flow.take_refusal(refusal, attempt=self.attempts)
+            step = request.flow.handle_no_target(refusal, attempt=self.attempts)
         self.go_on(request, step)
 
     def write(self, request, change, how, stale):
@@ -195,16 +195,16 @@
                 return
             self.apply(change)
         if how == "done":
-            self.go_on(request, request.flow.take_written(self.read(0)))
+            self.go_on(request, request.flow.handle_written(self.read(0)))
         elif how == "cached":
             # A writer that finds its change made, or overtaken, in the page that it
             # remembers writes nothing.
             page = self.versions[max(0, len(self.versions) - 1 - stale)]
             if page.apply([change]) == page:
                 claim = page.claims.get(CLAIM_KEY.key_hash)
-                self.go_on(request, request.flow.take_written(claim))
+                self.go_on(request, request.flow.handle_written(claim))
         else:
-            self.go_on(request, request.flow.take_write_failure("unknown"))
+            self.go_on(request, request.flow.handle_write_failure("unknown"))
 
     def send(self, request, how):
         if how == "down":
@@ -326,7 +326,7 @@
 
     def refuse(self, request, step, reason):
         joined = isinstance(step, Join)
-        self.go_on(request, request.flow.take_agent_refusal(reason, joined=joined))
+        self.go_on(request, request.flow.handle_agent_refusal(reason, joined=joined))
 
     def answer(self, request, body):
         assert body == request.body, "a caller gets the answer to its own request"
@@ -336,7 +336,7 @@
     def go_on(self, request, step):
         request.waits = False
         request.step = step
-        if isinstance(step, Tell):
+        if isinstance(step, Refuse):
             self.end(request, step.refusal)
 
     def end(self, request, refusal):
