--- a/bench/poison.py
+++ b/bench/poison.py
@@ -10,7 +10,7 @@
 from bench.output import parse_options, print_table, write_json
 from hyssopvane._internal.models.refusals import Refusal, RefusalReason
 from hyssopvane._internal.policy.scheduler import Scheduler
-from hyssopvane._internal.policy.suspects import SuspectBook
+from hyssopvane._internal.policy.suspects import SuspectTracker
 from hyssopvane._internal.state.table import ServiceRow, Table
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -32,7 +32,7 @@
 _POISON = b"poison"
 
 
-class NoSuspects(SuspectBook):
+class NoSuspects(SuspectTracker):
     """Hold nothing against any body."""
 
     def note_crash(self, *arguments: object, **details: object) -> None:
@@ -135,7 +135,7 @@
         books = [one.planner.suspects for one in self._entries]
         for book in books:
             for body in book.take_changes():
-                known = book.get_case(body)
+                known = book.get_record(body)
                 for other in books:
                     if other is book:
                         continue
--- a/src/hyssopvane/_internal/coordination/quarantine.py
+++ b/src/hyssopvane/_internal/coordination/quarantine.py
@@ -17,11 +17,11 @@
 )
 from hyssopvane._internal.exceptions import HyssopvaneError, KeyValueError
 from hyssopvane._internal.policy.suspects import (
-    MAX_CASES,
+    MAX_RECORDS,
     BodyId,
-    Case,
     Crash,
-    SuspectBook,
+    SuspectRecord,
+    SuspectTracker,
     combine,
 )
 from hyssopvane._internal.state.store_mark import StoreMark
@@ -37,7 +37,7 @@
 REFRESH_S = 30.0
 _FORMAT = 1
 
-Cases = Mapping[BodyId, Case]
+Cases = Mapping[BodyId, SuspectRecord]
 
 
 class QuarantineShare:
@@ -51,7 +51,7 @@
     def __init__(
         self,
         store: KeyValueStore,
-        book: SuspectBook,
+        book: SuspectTracker,
         *,
         random: Random,
         get_quarantine_s: Callable[[str], float],
@@ -120,7 +120,7 @@
 
     async def _write(self, bodies: frozenset[BodyId]) -> None:
         while True:
-            changes = {body: self._book.get_case(body) for body in bodies}
+            changes = {body: self._book.get_record(body) for body in bodies}
             cases = _join(self._shared, changes, now=trio.current_time())
             if cases == self._shared:
                 return
@@ -187,8 +187,8 @@
 
 
 def _join(
-    shared: Cases, changes: Mapping[BodyId, Case | None], *, now: float
-) -> dict[BodyId, Case]:
+    shared: Cases, changes: Mapping[BodyId, SuspectRecord | None], *, now: float
+) -> dict[BodyId, SuspectRecord]:
     cases = {body: case for body, case in shared.items() if case.until > now}
     for body, case in changes.items():
         known = cases.get(body)
@@ -199,7 +199,7 @@
             cases[body] = combine(known, case) if known else case
     # The page must stay within the service's value. Those that end soonest go first.
     kept = sorted(cases, key=lambda body: (cases[body].quarantined, cases[body].until))
-    return {body: cases[body] for body in kept[-MAX_CASES:]}
+    return {body: cases[body] for body in kept[-MAX_RECORDS:]}
 
 
 def format_page(cases: Cases, *, offset: float) -> bytes:
@@ -223,7 +223,7 @@
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-def parse_page(content: bytes, *, offset: float) -> dict[BodyId, Case]:
+def parse_page(content: bytes, *, offset: float) -> dict[BodyId, SuspectRecord]:
     """Read cases; raise `ValueError` when the page is not one."""
     try:
         document = json.loads(content)
@@ -234,13 +234,15 @@
         raise ValueError(f"unreadable page: {error!r}") from error
 
 
-def _parse_case(document: dict[str, object], offset: float) -> tuple[BodyId, Case]:
+def _parse_case(
+    document: dict[str, object], offset: float
+) -> tuple[BodyId, SuspectRecord]:
     crashes = document["crashes"]
     until = document["until"]
     if not isinstance(crashes, list) or not isinstance(until, int | float):
         raise TypeError("crashes or until")
     body = BodyId(str(document["service"]), bytes.fromhex(str(document["digest"])))
-    return body, Case(
+    return body, SuspectRecord(
         crashes=tuple(
             Crash(str(target), int(incarnation), float(at) - offset)
             for target, incarnation, at in crashes
--- a/src/hyssopvane/_internal/policy/attempts.py
+++ b/src/hyssopvane/_internal/policy/attempts.py
@@ -7,7 +7,7 @@
 from hyssopvane._internal.models.refusals import Outcome, Refusal, RefusalReason
 from hyssopvane._internal.policy.placement import Placer
 from hyssopvane._internal.policy.retries import Retrier, RetryAt, RetryDenial
-from hyssopvane._internal.policy.suspects import BodyId, Crash, SuspectBook
+from hyssopvane._internal.policy.suspects import BodyId, Crash, SuspectTracker
 from hyssopvane._internal.state.table import ServiceRow, Table
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -39,7 +39,7 @@
     def __init__(self, *, random: Random, availability_zone: str = "") -> None:
         self.placer = Placer(random=random, availability_zone=availability_zone)
         self.retrier = Retrier(random=random)
-        self.suspects = SuspectBook()
+        self.suspects = SuspectTracker()
         self._table = Table()
         self._suspect_targets: frozenset[str] = frozenset()
         self._plans: dict[str, _Plan] = {}
--- a/src/hyssopvane/_internal/policy/suspects.py
+++ b/src/hyssopvane/_internal/policy/suspects.py
@@ -13,15 +13,15 @@
 # A suspect rests for this long after a crash. Word of crashes at other entries comes
 # within a tenth of a second; three entries that tried again at once would crash three
 # more targets to learn what the first three had told.
-REST_S = 0.25
+SUSPECT_BACKOFF_S = 0.25
 # Two entries see one crash within milliseconds of each other, and a target that crashed
 # is not back within this time; closer reports are of the same crash.
 SAME_CRASH_S = 2.0
 # Crashes that a suspect stood in, kept while reports of its neighbours still come.
-_MAX_EXPLAINED = 256
+_MAX_ATTRIBUTED = 256
 # 32 suspects a crash and 140 crashes on an ordinary day come nowhere near; a caller
 # that varies its body at each try fills it, and the oldest suspects go first.
-MAX_CASES = 2_048
+MAX_RECORDS = 2_048
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class SuspectRecord:
     """Hold what is known against one body."""
 
     crashes: tuple[Crash, ...]
@@ -59,7 +59,7 @@
     """Clock value at which the case is forgotten."""
 
 
-class SuspectBook:
+class SuspectTracker:
     """Hold the cases against bodies, as one entry knows them.
 
     Targets that a body can crash, fleet-wide, while its caller keeps sending it: the
@@ -69,25 +69,25 @@
     and six at most when the key-value service is out.
     """
 
-    def __init__(self, *, max_cases: int = MAX_CASES) -> None:
-        self._max_cases = max_cases
-        self._cases: OrderedDict[BodyId, Case] = OrderedDict()
+    def __init__(self, *, max_records: int = MAX_RECORDS) -> None:
+        self._max_cases = max_records
+        self._records: OrderedDict[BodyId, SuspectRecord] = OrderedDict()
         self._running: dict[str, Counter[BodyId]] = {}
         self._changed: set[BodyId] = set()
-        self._explained: OrderedDict[Crash, None] = OrderedDict()
+        self._attributed: OrderedDict[Crash, None] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._records)
 
     def is_quarantined(self, body: BodyId, *, now: float) -> bool:
         """Tell whether a body is to be refused."""
-        case = self._find(body, now)
-        return case is not None and case.quarantined
+        record = self._find(body, now)
+        return record is not None and record.quarantined
 
     def is_suspect(self, body: BodyId, *, now: float) -> bool:
         """Tell whether a body was running in a crash and has not finished since."""
-        case = self._find(body, now)
-        return case is not None and not case.quarantined
+        record = self._find(body, now)
+        return record is not None and not record.quarantined
 
     def find_excluded(self, body: BodyId, *, now: float) -> frozenset[str] | None:
         """Return the targets that must not run a body now, None when all must not.
@@ -98,8 +98,10 @@
         """
         if not self.is_suspect(body, now=now):
             return frozenset()
-        rested_at = max(crash.at for crash in self._cases[body].crashes) + REST_S
-        if now < rested_at or any(body in one for one in self._running.values()):
+        retry_at = (
+            max(crash.at for crash in self._records[body].crashes) + SUSPECT_BACKOFF_S
+        )
+        if now < retry_at or any(body in one for one in self._running.values()):
             return None
         return frozenset(
             target
@@ -124,9 +126,9 @@
 
     def clear(self, body: BodyId) -> None:
         """Drop the case against a body that finished."""
-        case = self._cases.get(body)
-        if case is not None and not case.quarantined:
-            del self._cases[body]
+        record = self._records.get(body)
+        if record is not None and not record.quarantined:
+            del self._records[body]
             self._changed.add(body)
 
     def note_crash(
@@ -135,40 +137,40 @@
         """Hold a crash against a body that was running in it."""
         known = self._find(body, now)
         if known is not None:
-            self._explain(crash)
-        elif self._is_explained(crash, now):
+            self._mark_attributed(crash)
+        elif self._is_attributed(crash, now):
             # The suspect that ran beside it is the likelier cause. Its neighbours
             # would else stand accused for each crash that it brings about.
             return
         crashes = _add_crash(known.crashes if known else (), crash)
         if known is not None and crashes == known.crashes:
             return
-        self._keep(body, _judge(crashes, quarantine_s, now))
+        self._keep(body, _make_record(crashes, quarantine_s, now))
         self._changed.add(body)
 
     def merge(
-        self, body: BodyId, case: Case, *, quarantine_s: float, now: float
+        self, body: BodyId, record: SuspectRecord, *, quarantine_s: float, now: float
     ) -> None:
         """Add what other entries know against a body."""
         known = self._find(body, now)
-        merged = combine(case, known) if known is not None else case
+        merged = combine(record, known) if known is not None else record
         if merged.quarantined and not (
-            case.quarantined or (known and known.quarantined)
+            record.quarantined or (known and known.quarantined)
         ):
             merged = replace(merged, until=now + quarantine_s)
         if merged != known:
             self._keep(body, merged)
-        if merged != case:
+        if merged != record:
             self._changed.add(body)
 
     def drop(self, body: BodyId) -> None:
         """Forget a case that another entry has cleared."""
         if body not in self._changed:
-            self._cases.pop(body, None)
+            self._records.pop(body, None)
 
-    def get_case(self, body: BodyId) -> Case | None:
+    def get_record(self, body: BodyId) -> SuspectRecord | None:
         """Return the case against a body."""
-        return self._cases.get(body)
+        return self._records.get(body)
 
     def take_changes(self) -> frozenset[BodyId]:
         """Return the bodies whose cases changed here since the last call."""
@@ -180,32 +182,32 @@
         """Give back changes that could not be shared, for the next try."""
         self._changed.update(bodies)
 
-    def _explain(self, crash: Crash) -> None:
-        self._explained[crash] = None
-        if len(self._explained) > _MAX_EXPLAINED:
-            self._explained.popitem(last=False)
+    def _mark_attributed(self, crash: Crash) -> None:
+        self._attributed[crash] = None
+        if len(self._attributed) > _MAX_ATTRIBUTED:
+            self._attributed.popitem(last=False)
 
-    def _is_explained(self, crash: Crash, now: float) -> bool:
-        if any(crash.is_same(other) for other in self._explained):
+    def _is_attributed(self, crash: Crash, now: float) -> bool:
+        if any(crash.is_same(other) for other in self._attributed):
             return True
         running = self._running.get(crash.target, ())
         return any(self._find(other, now) is not None for other in running)
 
-    def _keep(self, body: BodyId, case: Case) -> None:
-        self._cases[body] = case
-        self._cases.move_to_end(body)
-        while len(self._cases) > self._max_cases:
-            self._cases.popitem(last=False)
+    def _keep(self, body: BodyId, record: SuspectRecord) -> None:
+        self._records[body] = record
+        self._records.move_to_end(body)
+        while len(self._records) > self._max_cases:
+            self._records.popitem(last=False)
 
-    def _find(self, body: BodyId, now: float) -> Case | None:
-        case = self._cases.get(body)
-        if case is not None and case.until <= now:
-            del self._cases[body]
+    def _find(self, body: BodyId, now: float) -> SuspectRecord | None:
+        record = self._records.get(body)
+        if record is not None and record.until <= now:
+            del self._records[body]
             return None
-        return case
+        return record
 
 
-def combine(first: Case, second: Case) -> Case:
+def combine(first: SuspectRecord, second: SuspectRecord) -> SuspectRecord:
     """Join what two entries know; the first's time counts where both agree."""
     crashes = first.crashes
     for crash in second.crashes:
@@ -215,7 +217,7 @@
     if second.quarantined:
         return replace(second, crashes=crashes)
     quarantined = len(crashes) >= CRASHES_TO_QUARANTINE
-    return Case(crashes, quarantined, first.until)
+    return SuspectRecord(crashes, quarantined, first.until)
 
 
 def _add_crash(crashes: tuple[Crash, ...], crash: Crash) -> tuple[Crash, ...]:
@@ -224,7 +226,9 @@
     return (*crashes, crash)[:CRASHES_TO_QUARANTINE]
 
 
-def _judge(crashes: tuple[Crash, ...], quarantine_s: float, now: float) -> Case:
+def _make_record(
+    crashes: tuple[Crash, ...], quarantine_s: float, now: float
+) -> SuspectRecord:
     if len(crashes) >= CRASHES_TO_QUARANTINE:
-        return Case(crashes, True, now + quarantine_s)
-    return Case(crashes, False, now + SUSPECT_S)
+        return SuspectRecord(crashes, True, now + quarantine_s)
+    return SuspectRecord(crashes, False, now + SUSPECT_S)
--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -8,7 +8,7 @@
 from hyssopvane._internal.models.refusals import Outcome, Refusal, RefusalReason
 from hyssopvane._internal.policy.attempts import AttemptPlanner
 from hyssopvane._internal.policy.retries import MAX_ATTEMPTS, RetryAt
-from hyssopvane._internal.policy.suspects import REST_S
+from hyssopvane._internal.policy.suspects import SUSPECT_BACKOFF_S
 from hyssopvane._internal.state.table import ServiceRow, Table
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -139,7 +139,7 @@
         for number in range(8):
             request = make_request(f"r{number}", body=bytes([number]))
             run_reports(planner, request, [BROKEN], now=100.0 + number * 20)
-        now = 100.0 + 8 * 20 + REST_S
+        now = 100.0 + 8 * 20 + SUSPECT_BACKOFF_S
         placed = [
             planner.place(make_request(f"s{number}", body=bytes([number])), now=now)
             for number in range(8)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -17,11 +17,11 @@
     parse_page,
 )
 from hyssopvane._internal.policy.suspects import (
-    MAX_CASES,
+    MAX_RECORDS,
     BodyId,
-    Case,
     Crash,
-    SuspectBook,
+    SuspectRecord,
+    SuspectTracker,
 )
 from hyssopvane._internal.standins.key_value_state import KeyValueState, Put
 from tests.lib.fake_key_value import FakeKeyValueStore, Fault
@@ -43,7 +43,7 @@
 async def share_books(count, *, state=None, choose_fault=choose_no_fault, stores=None):
     """Run some entries' shares; their clocks differ from the wall clock."""
     state = state or KeyValueState(trio.current_time)
-    books = [SuspectBook() for _ in range(count)]
+    books = [SuspectTracker() for _ in range(count)]
     stores = [] if stores is None else stores
     async with trio.open_nursery() as nursery:
         for number, book in enumerate(books):
@@ -153,18 +153,22 @@
 
 @pytest.mark.parametrize("quarantined", [False, True])
 def test_page_keeps_cases(quarantined):
-    case = Case((Crash("t0", 7, 10.0), Crash("t1", 8, 11.5)), quarantined, 600.0)
+    case = SuspectRecord(
+        (Crash("t0", 7, 10.0), Crash("t1", 8, 11.5)), quarantined, 600.0
+    )
     page = format_page({POISON: case}, offset=1000.0)
     assert parse_page(page, offset=900.0) == {
-        POISON: Case((Crash("t0", 7, 110.0), Crash("t1", 8, 111.5)), quarantined, 700.0)
+        POISON: SuspectRecord(
+            (Crash("t0", 7, 110.0), Crash("t1", 8, 111.5)), quarantined, 700.0
+        )
     }
 
 
 def test_full_page_fits_the_service():
     crashes = (Crash("t" * 63, 2**63, 1e9), Crash("u" * 63, 2**63, 1e9))
     cases = {
-        BodyId("s" * 20, number.to_bytes(32, "big")): Case(crashes, True, 1e9)
-        for number in range(MAX_CASES)
+        BodyId("s" * 20, number.to_bytes(32, "big")): SuspectRecord(crashes, True, 1e9)
+        for number in range(MAX_RECORDS)
     }
     assert len(format_page(cases, offset=0.0)) < MAX_VALUE_BYTES
 
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from hyssopvane._internal.policy.suspects import (
-    REST_S,
+    SUSPECT_BACKOFF_S,
     SUSPECT_S,
     BodyId,
     Crash,
-    SuspectBook,
+    SuspectTracker,
 )
 
 POISON = BodyId("draft", b"poison")
@@ -36,7 +36,7 @@
     Its neighbours lose their answers each time, and without the book the request
     takes the service's targets down one after another.
     """
-    book = SuspectBook()
+    book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON, OTHER])
     assert book.is_suspect(POISON, now=1.0)
     assert book.is_suspect(OTHER, now=1.0)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("order", [[POISON, OTHER], [OTHER, POISON]])
 def test_neighbours_of_a_suspect_are_not_accused(order):
-    book = SuspectBook()
+    book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
     run_until_crash(book, "t1", now=10.0, bodies=order)
     assert book.is_quarantined(POISON, now=11.0)
@@ -60,7 +60,7 @@
 
 
 def test_target_runs_one_suspect_at_a_time():
-    book = SuspectBook()
+    book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON, OTHER])
     book.start(OTHER, "t1")
     assert book.find_excluded(POISON, now=1.0) == {"t1"}
@@ -68,14 +68,14 @@
 
 
 def test_suspect_rests_until_word_has_spread():
-    book = SuspectBook()
+    book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
-    assert book.find_excluded(POISON, now=REST_S / 2) is None
-    assert book.find_excluded(POISON, now=REST_S) == frozenset()
+    assert book.find_excluded(POISON, now=SUSPECT_BACKOFF_S / 2) is None
+    assert book.find_excluded(POISON, now=SUSPECT_BACKOFF_S) == frozenset()
 
 
 def test_suspect_runs_at_one_target_at_a_time():
-    book = SuspectBook()
+    book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
     assert book.find_excluded(POISON, now=1.0) == frozenset()
     book.start(POISON, "t1")
@@ -93,14 +93,14 @@
     ids=["same-crash", "same-target-later", "restarted-target", "other-target"],
 )
 def test_one_crash_counts_once(second, quarantined):
-    book = SuspectBook()
+    book = SuspectTracker()
     for crash in (Crash("t0", 1, 0.0), second):
         book.note_crash(POISON, crash, quarantine_s=QUARANTINE_S, now=crash.at)
     assert book.is_quarantined(POISON, now=31.0) is quarantined
 
 
 def test_old_suspicion_is_forgotten():
-    book = SuspectBook()
+    book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
     run_until_crash(book, "t1", now=SUSPECT_S + 1, bodies=[POISON])
     assert not book.is_quarantined(POISON, now=SUSPECT_S + 2)
@@ -111,21 +111,21 @@
 
     Each entry sees one crash. Only together they know that it was the same body.
     """
-    books = [SuspectBook(), SuspectBook()]
+    books = [SuspectTracker(), SuspectTracker()]
     for number, book in enumerate(books):
         run_until_crash(book, f"t{number}", now=0.0, bodies=[POISON])
     assert books[0].take_changes() == {POISON}
-    seen = books[0].get_case(POISON)
+    seen = books[0].get_record(POISON)
     books[1].merge(POISON, seen, quarantine_s=QUARANTINE_S, now=0.1)
     assert books[1].is_quarantined(POISON, now=0.2)
-    shared = books[1].get_case(POISON)
+    shared = books[1].get_record(POISON)
     books[0].merge(POISON, shared, quarantine_s=QUARANTINE_S, now=0.3)
     assert books[0].is_quarantined(POISON, now=0.4)
     assert not books[0].take_changes()
 
 
 def test_cases_stay_bounded():
-    book = SuspectBook(max_cases=10)
+    book = SuspectTracker(max_records=10)
     for number in range(50):
         body = BodyId("draft", bytes([number]))
         run_until_crash(book, f"t{number}", now=number * 10.0, bodies=[body])
@@ -152,7 +152,7 @@
     Were two suspects allowed on one target, its crash would not tell which was the
     cause, and an innocent caller would be refused for an hour.
     """
-    book = SuspectBook()
+    book = SuspectTracker()
     running: dict[str, list[BodyId]] = {f"t{number}": [] for number in range(4)}
     for step, (action, index, number) in enumerate(steps):
         now = step * 3.0
