--- a/src/hyssopvane/_internal/policy/attempts.py
+++ b/src/hyssopvane/_internal/policy/attempts.py
@@ -80,7 +80,7 @@
             return None
         body = _get_body(request)
         if request.body_digest and self.suspects.is_quarantined(body, now=now):
-            return Refusal(RefusalReason.QUARANTINED, self.forget(request, now=now))
+            return Refusal(RefusalReason.QUARANTINED, self.discard(request, now=now))
         tried = plan.tried if plan is not None else frozenset()
         excluded = self._find_excluded(request, tried, now)
         if excluded is None:
@@ -96,7 +96,7 @@
             self.suspects.start(body, info.name)
         return Placed(info.name, info.incarnation, plan.attempts)
 
-    def is_held(self, request: WorkRequest, *, now: float) -> bool:
+    def waits_on_own_condition(self, request: WorkRequest, *, now: float) -> bool:
         """Tell whether a request waits for itself alone, not for a free place.
 
         Such a request must not hold back those behind it in the queue: it waits for
@@ -124,12 +124,12 @@
         plan.may_have_run |= report.result is not AttemptResult.NOT_STARTED
         request = plan.request
         if self.suspects.is_quarantined(_get_body(request), now=now):
-            return Refusal(RefusalReason.QUARANTINED, self.forget(request, now=now))
+            return Refusal(RefusalReason.QUARANTINED, self.discard(request, now=now))
         retry = self.retrier.decide(request, report, attempts=plan.attempts, now=now)
         if isinstance(retry, RetryAt):
             plan.not_before = retry.at
             return retry
-        outcome = self.forget(request, now=now)
+        outcome = self.discard(request, now=now)
         if retry is RetryDenial.NOT_REPEATABLE:
             return retry
         return Refusal(
@@ -145,7 +145,7 @@
         ran = plan is not None and plan.may_have_run
         return Outcome.UNKNOWN if ran else Outcome.NOT_RUN
 
-    def forget(self, request: WorkRequest, *, now: float) -> Outcome:
+    def discard(self, request: WorkRequest, *, now: float) -> Outcome:
         """Drop a request, wherever it is; return what may be told of it."""
         outcome = self.get_outcome(request.request_id)
         plan = self._plans.pop(request.request_id, None)
--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -114,7 +114,7 @@
         service = self._get_service(request.service)
         entry = _Request(request, max(1, request.tokens), arrived_at=now)
         decision: Decision | None = None
-        if self.planner.is_held(request, now=now):
+        if self.planner.waits_on_own_condition(request, now=now):
             decision = self._hold(entry, service, now=now)
         elif not service.queue:
             # Nobody is overtaken. With others waiting, only the queue says whose turn
@@ -352,7 +352,9 @@
                 continue
             entry = self._requests[item.request_id]
             placed = self._start(entry, now=now)
-            if placed is None and not self.planner.is_held(entry.request, now=now):
+            if placed is None and not self.planner.waits_on_own_condition(
+                entry.request, now=now
+            ):
                 return
             service.queue.pop()
             if placed is None:
@@ -403,4 +405,4 @@
         return self.planner.place(entry.request, now=now)
 
     def _release(self, entry: _Request) -> None:
-        self.planner.forget(entry.request, now=self._now)
+        self.planner.discard(entry.request, now=self._now)
--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -87,7 +87,7 @@
     planner.place(request, now=100.0)
     retry = planner.finish("r", LOST, now=100.0)
     assert isinstance(retry, RetryAt)
-    assert planner.is_held(request, now=100.0)
+    assert planner.waits_on_own_condition(request, now=100.0)
     assert planner.place(request, now=100.0) is None
     assert planner.place(request, now=retry.at) is not None
 
@@ -97,7 +97,7 @@
     request = make_request()
     assert planner.place(request, now=100.0)
     assert planner.place(make_request("other"), now=100.0) is None
-    planner.forget(request, now=100.0)
+    planner.discard(request, now=100.0)
     assert planner.place(make_request("other"), now=100.0)
 
 
