--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -309,7 +309,7 @@
             self._unreadable.pop(event.key, None)
             self._remove(event.key, why="registration removed")
         else:
-            self._departures.forget(event.key)
+            self._departures.remove(event.key)
             self._put(KeyValue(event.key, event.value, event.revision))
 
     def _replace_replicas(
@@ -420,7 +420,7 @@
     def _drop(self, key: str, *, why: str) -> None:
         self._items.pop(key, None)
         self._missing.pop(key, None)
-        self._departures.stop_doubting(key)
+        self._departures.discard_unconfirmed(key)
         replica = self.replicas.pop(key, None)
         if replica is not None:
             log_event("info", "replica-gone", id=replica.id, why=why)
@@ -441,6 +441,6 @@
         return connected and now - self.connected_at >= LAPSE_S
 
     def _believe_doubted(self) -> None:
-        for key in self._departures.take_doubted():
+        for key in self._departures.take_unconfirmed():
             self._put(self._items[key])
             self._tell()
--- a/src/hyssopvane/_internal/policy/departures.py
+++ b/src/hyssopvane/_internal/policy/departures.py
@@ -9,7 +9,7 @@
 
 from hyssopvane._internal.state.routing import Replica
 
-KEPT_S = 60.0
+RETENTION_S = 60.0
 """Time for which it is known that a replica has left: copies are some seconds old."""
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self._known: dict[str, _Departure] = {}
-        self._doubted: set[str] = set()
+        self._unconfirmed: set[str] = set()
         """Keys whose registrations ended, and are there again in what may be a copy."""
 
     def note(self, key: str, replica: Replica, *, era: int, now: float) -> None:
@@ -39,14 +39,14 @@
             started_ms=replica.started_ms, announced=replica.draining, era=era, at=now
         )
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Forget what was known of a key: its registration is written anew."""
         self._known.pop(key, None)
-        self._doubted.discard(key)
+        self._unconfirmed.discard(key)
 
-    def stop_doubting(self, key: str) -> None:
+    def discard_unconfirmed(self, key: str) -> None:
         """Take note that a key's registration is no longer used."""
-        self._doubted.discard(key)
+        self._unconfirmed.discard(key)
 
     def correct(
         self, key: str, replica: Replica, *, era: int, is_first: bool, now: float
@@ -56,7 +56,7 @@
         `is_first` tells that this is the first registration of the key in the era.
         """
         departure = self._known.get(key)
-        self._doubted.discard(key)
+        self._unconfirmed.discard(key)
         if replica.draining:
             self.note(key, replica, era=era, now=now)
             return replica
@@ -66,18 +66,18 @@
             del self._known[key]
             return replica
         if not departure.announced:
-            self._doubted.add(key)
+            self._unconfirmed.add(key)
         return replace(replica, draining=True)
 
-    def take_doubted(self) -> list[str]:
+    def take_unconfirmed(self) -> list[str]:
         """Return the keys whose registrations are doubted, and doubt them no more."""
-        keys = sorted(self._doubted)
+        keys = sorted(self._unconfirmed)
         for key in keys:
-            self.forget(key)
+            self.remove(key)
         return keys
 
     def expire(self, *, now: float) -> None:
         """Forget what was learnt long ago."""
         for key, departure in list(self._known.items()):
-            if now - departure.at >= KEPT_S and key not in self._doubted:
+            if now - departure.at >= RETENTION_S and key not in self._unconfirmed:
                 del self._known[key]
