--- a/src/hyssopvane/_internal/policy/count_meter.py
+++ b/src/hyssopvane/_internal/policy/count_meter.py
@@ -2,14 +2,14 @@
 
 from hyssopvane._internal.state.group import Counts
 
-LEAST_PAUSE_S = 0.12
+MIN_INTERVAL_S = 0.12
 """Pause between two words on a rank's counts: about two passes."""
 
 LINK_SHARE = 0.2
 """Part of a leader's link that the counts of all ranks may take: it brings the states
 of the ranks and the orders' answers as well."""
 
-BYTES_A_COUNT = 0.7
+BYTES_PER_COUNT = 0.7
 """Bytes of a count in a word, compressed: 2 KB for 12 sets of 256 experts."""
 
 
@@ -24,14 +24,14 @@
         self._last: Counts = ()
         self._start: tuple[int, int] = (0, 0)
 
-    def measure_pause_s(self, *, tellers: int, link_bytes_per_s: float) -> float:
+    def compute_interval_s(self, *, senders: int, link_bytes_per_s: float) -> float:
         """Return the pause between two words, when so many ranks tell their counts.
 
         Twelve ranks with 288 counts tell them every two passes. With 3,072 they would
         fill two thirds of a link of 3 Mbit/s, and no order would be answered in time.
         """
-        round_bytes = tellers * BYTES_A_COUNT * len(self._last)
-        return max(LEAST_PAUSE_S, round_bytes / (LINK_SHARE * link_bytes_per_s))
+        round_bytes = senders * BYTES_PER_COUNT * len(self._last)
+        return max(MIN_INTERVAL_S, round_bytes / (LINK_SHARE * link_bytes_per_s))
 
     def measure(self, counts: Counts, *, started_ms: int, epoch: int) -> Counts:
         """Return the choices since the last call, none after another start."""
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -381,8 +381,8 @@
         now = trio.current_time()
         # Counts that are read and not told would be missing from the demand.
         told = now - self._told_at >= _DUE_SHARE * measure_look_s(report.ranks)
-        pause_s = self._counts.measure_pause_s(
-            tellers=min(report.ranks, COUNTED_RANKS),
+        pause_s = self._counts.compute_interval_s(
+            senders=min(report.ranks, COUNTED_RANKS),
             link_bytes_per_s=self._settings.link_bits_per_s / _BITS,
         )
         # Looks are about as far apart as counts are due. Without the share every other
--- a/tests/unit/test_direct_parts.py
+++ b/tests/unit/test_direct_parts.py
@@ -87,7 +87,7 @@
     """Twelve ranks tell their counts over a link that brings all states as well."""
     meter = CountMeter()
     meter.measure((1,) * counts, started_ms=1, epoch=1)
-    pause_s = meter.measure_pause_s(tellers=12, link_bytes_per_s=link_mbps * 125_000)
+    pause_s = meter.compute_interval_s(senders=12, link_bytes_per_s=link_mbps * 125_000)
     assert pause_s == pytest.approx(expected, rel=0.05)
 
 
