--- a/src/hyssopvane/_internal/policy/ejection.py
+++ b/src/hyssopvane/_internal/policy/ejection.py
@@ -51,7 +51,7 @@
     """Mean of the logarithm, so that one long answer weighs little."""
     failures: float = 0.0
     observations: int = 0
-    until: float = 0.0
+    ejected_until: float = 0.0
     ejection_s: float = FIRST_EJECTION_S
     probes_running: int = 0
     probes_passed: int = 0
@@ -92,7 +92,7 @@
         health = self._absent.pop((name, incarnation), None) or _Health()
         health.probes_running = 0
         if health.state is not HealthState.IN_SERVICE:
-            if self._ejected < self.get_most_ejected():
+            if self._ejected < self.get_max_ejected():
                 self._ejected += 1
             else:
                 health.state = HealthState.IN_SERVICE
@@ -109,18 +109,18 @@
         self._absent[name, self._incarnations.pop(name)] = health
         if len(self._absent) > _MAX_ABSENT:
             self._absent.popitem(last=False)
-        self._return_excess()
+        self._reinstate_excess()
 
-    def set_most_ejected(self, percent: int) -> None:
+    def set_max_ejected(self, percent: int) -> None:
         """Change how many targets may be set aside, in per cent."""
         self._max_ejected_percent = percent
-        self._return_excess()
+        self._reinstate_excess()
 
     def count_ejected(self) -> int:
         """Return the number of targets that are set aside or on trial."""
         return self._ejected
 
-    def get_most_ejected(self) -> int:
+    def get_max_ejected(self) -> int:
         """Return how many targets may be set aside at one time."""
         count = len(self._targets)
         if self._max_ejected_percent == 0 or count < MIN_TARGETS:
@@ -152,7 +152,7 @@
         return (
             health is not None
             and health.state is not HealthState.IN_SERVICE
-            and now >= health.until
+            and now >= health.ejected_until
             and not health.probes_running
         )
 
@@ -185,10 +185,10 @@
         if health.state is HealthState.IN_SERVICE:
             health.observe(latency, failed)
             health.share = self._get_slow_share(health)
-            if self._is_bad(health) and self._ejected < self.get_most_ejected():
+            if self._is_unhealthy(health) and self._ejected < self.get_max_ejected():
                 self._eject(health, now)
         elif probe and health.state is HealthState.PROBING:
-            self._judge_probe(health, latency, failed, now)
+            self._evaluate_probe(health, latency, failed, now)
 
     def observe_wait(
         self, name: str, *, waited_s: float, probe: bool, now: float
@@ -216,13 +216,13 @@
             if health.state is not HealthState.IN_SERVICE
         }
 
-    def _judge_probe(
+    def _evaluate_probe(
         self, health: _Health, latency: float, failed: bool, now: float
     ) -> None:
         if failed or self._get_ratio(latency) > EJECT_RATIO:
             health.state = HealthState.EJECTED
             health.ejection_s = min(health.ejection_s * 2, LONGEST_EJECTION_S)
-            health.until = now + health.ejection_s
+            health.ejected_until = now + health.ejection_s
             return
         health.probes_passed += 1
         if health.probes_passed >= PROBES_TO_RETURN:
@@ -237,9 +237,9 @@
     def _eject(self, health: _Health, now: float) -> None:
         self._ejected += 1
         health.state = HealthState.EJECTED
-        health.until = now + health.ejection_s
+        health.ejected_until = now + health.ejection_s
 
-    def _is_bad(self, health: _Health) -> bool:
+    def _is_unhealthy(self, health: _Health) -> bool:
         if health.observations < MIN_OBSERVATIONS or self._median_latency is None:
             return False
         slow = self._get_ratio(health.log_latency) > EJECT_RATIO
@@ -261,10 +261,10 @@
             return 1.0
         return math.exp(log_latency - self._median_latency)
 
-    def _return_excess(self) -> None:
+    def _reinstate_excess(self) -> None:
         # When targets leave, fewer may be set aside: the rest must carry the work.
         for health in self._targets.values():
-            if self._ejected <= self.get_most_ejected():
+            if self._ejected <= self.get_max_ejected():
                 return
             if health.state is not HealthState.IN_SERVICE:
                 health.state = HealthState.IN_SERVICE
--- a/src/hyssopvane/_internal/policy/failure_detector.py
+++ b/src/hyssopvane/_internal/policy/failure_detector.py
@@ -35,24 +35,24 @@
 
     def get_level(self, now: float) -> float:
         """Return the level of suspicion."""
-        return 0.0 if self._last_at is None else self.judge(now - self._last_at)
+        return 0.0 if self._last_at is None else self.compute_level(now - self._last_at)
 
     @abstractmethod
     def add_interval(self, seconds: float) -> None:
         """Learn from the time between two messages."""
 
     @abstractmethod
-    def judge(self, silent_s: float) -> float:
+    def compute_level(self, silent_s: float) -> float:
         """Return the level after a silence; it never falls as the silence grows."""
 
     def find_silence(self, threshold: float, *, longest_s: float) -> float:
         """Return the silence at which the level reaches a threshold."""
         low, high = 0.0, longest_s
-        if self.judge(high) <= threshold:
+        if self.compute_level(high) <= threshold:
             return longest_s
         for _ in range(_BISECTIONS):
             middle = (low + high) / 2
-            if self.judge(middle) > threshold:
+            if self.compute_level(middle) > threshold:
                 high = middle
             else:
                 low = middle
@@ -65,7 +65,7 @@
     def add_interval(self, seconds: float) -> None:
         """Learn nothing."""
 
-    def judge(self, silent_s: float) -> float:
+    def compute_level(self, silent_s: float) -> float:
         """Return the silence itself."""
         return silent_s
 
@@ -94,24 +94,28 @@
             self._sum -= oldest
             self._squares -= oldest * oldest
 
-    def judge(self, silent_s: float) -> float:
+    def compute_level(self, silent_s: float) -> float:
         """Return -log10 of the chance that a message still comes."""
         count = len(self._intervals)
         if count < _MIN_INTERVALS:
             return 0.0
         mean = max(self._sum / count, 1e-6)
         variance = max(0.0, self._squares / count - mean * mean)
-        return self.judge_by(silent_s, mean, math.sqrt(variance))
+        return self.compute_tail_level(silent_s, mean, math.sqrt(variance))
 
     @abstractmethod
-    def judge_by(self, silent_s: float, mean: float, deviation: float) -> float:
+    def compute_tail_level(
+        self, silent_s: float, mean: float, deviation: float
+    ) -> float:
         """Return the level for intervals of this mean and deviation."""
 
 
 class AccrualNormal(AccrualDetector):
     """Take the intervals for normally distributed."""
 
-    def judge_by(self, silent_s: float, mean: float, deviation: float) -> float:
+    def compute_tail_level(
+        self, silent_s: float, mean: float, deviation: float
+    ) -> float:
         """Return -log10 of the upper tail of the normal distribution."""
         distance = (silent_s - mean) / max(deviation, _MIN_DEVIATION_S)
         if distance < _FAR_TAIL:
@@ -123,6 +127,8 @@
 class AccrualExponential(AccrualDetector):
     """Take the intervals for exponentially distributed."""
 
-    def judge_by(self, silent_s: float, mean: float, deviation: float) -> float:
+    def compute_tail_level(
+        self, silent_s: float, mean: float, deviation: float
+    ) -> float:
         """Return -log10 of the upper tail of the exponential distribution."""
         return silent_s / mean / _LN_10
--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -132,7 +132,7 @@
         self._table = table
         for service, pool in self._pools.items():
             pool.row = _find_service(table, service)
-            pool.ejector.set_most_ejected(pool.row.max_ejected)
+            pool.ejector.set_max_ejected(pool.row.max_ejected)
         for target in self._targets.values():
             self._apply_rows(target)
         for pool in self._pools.values():
--- a/tests/unit/test_ejection.py
+++ b/tests/unit/test_ejection.py
@@ -80,7 +80,7 @@
     [(10, 30, 3), (3, 30, 1), (2, 100, 0), (10, 0, 0), (64, 30, 19)],
 )
 def test_most_ejected(count, percent, most):
-    assert make_ejector(count, percent=percent).get_most_ejected() == most
+    assert make_ejector(count, percent=percent).get_max_ejected() == most
 
 
 def test_target_returns_after_good_probes():
@@ -180,4 +180,4 @@
                 now=now,
             )
         out = len(ejector.describe())
-        assert out == ejector.count_ejected() <= ejector.get_most_ejected()
+        assert out == ejector.count_ejected() <= ejector.get_max_ejected()
