--- a/src/hyssopvane/_internal/policy/limit_shares.py
+++ b/src/hyssopvane/_internal/policy/limit_shares.py
@@ -37,7 +37,7 @@
 An entry that has just started would otherwise take the limit for its own.
 """
 
-COUNT_LASTS_S = 5.0
+COUNT_TTL_S = 5.0
 """Time for which a larger count of entries goes before a smaller one: an entry that is
 cut off from those that count may still send."""
 
@@ -54,12 +54,12 @@
 
     def observe(self, entries: int, *, now: float) -> None:
         """Take the number of entries that the leader of a group hears."""
-        if entries >= self._counted or now - self._counted_at > COUNT_LASTS_S:
+        if entries >= self._counted or now - self._counted_at > COUNT_TTL_S:
             self._counted, self._counted_at = entries, now
 
-    def update(self, own: str, near: Iterable[str]) -> None:
+    def update(self, own: str, zone_peers: Iterable[str]) -> None:
         """Learn the entries of the own zone by their addresses."""
-        names = {own, *near}
+        names = {own, *zone_peers}
         self._own = own
         if names != self._seeds.keys():
             self._seeds = {name: rendezvous.hash_name(name) for name in names}
--- a/src/hyssopvane/_internal/policy/limited_replicas.py
+++ b/src/hyssopvane/_internal/policy/limited_replicas.py
@@ -7,24 +7,24 @@
 from hyssopvane._internal.state.limits import LimitNews
 from hyssopvane._internal.state.routing import Replica
 
-KEPT_S = 30.0
+LIMIT_TTL_S = 30.0
 """Time without news after which a limit no longer counts.
 
 A replica that no entry of its zone is left to send to would get no request for ever.
 """
 
-ENDED_TOLD_S = 5.0
+ENDED_LIMIT_TTL_S = 5.0
 """Time for which other entries are told that a limit has ended."""
 
-MAX_TOLD = 24
+MAX_LIMITS_PER_MESSAGE = 24
 """Limits in one message: some 40 bytes each, less than a packet in all."""
 
 
 @dataclass(slots=True)
-class _Known:
+class _LimitRecord:
     replica: Replica
     per_s: float | None
-    heard_at: float
+    received_at: float
     pace: RequestPace
 
 
@@ -38,12 +38,12 @@
     def __init__(self, *, random: Random, census: EntryCensus) -> None:
         self._random = random
         self._census = census
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _LimitRecord] = {}
         """By the address of the replica."""
-        self._turn = 0
+        self._next_index = 0
 
     def observe(
-        self, replica: Replica, per_s: float | None, *, heard_at: float, now: float
+        self, replica: Replica, per_s: float | None, *, received_at: float, now: float
     ) -> bool:
         """Take what a replica said; tell whether it changes what is believed."""
         known = self._known.get(replica.address)
@@ -56,12 +56,14 @@
             # The place in the own pause is drawn: see `RequestPace`.
             phase = self._random.random()
             pace = RequestPace(per_s=share, now=now, phase=phase)
-            self._known[replica.address] = _Known(replica, per_s, heard_at, pace)
+            self._known[replica.address] = _LimitRecord(
+                replica, per_s, received_at, pace
+            )
             return True
-        if heard_at < known.heard_at:
+        if received_at < known.received_at:
             return False
         is_new = per_s != known.per_s
-        known.per_s, known.heard_at = per_s, heard_at
+        known.per_s, known.received_at = per_s, received_at
         return is_new
 
     def forget(self, address: str) -> None:
@@ -73,7 +75,8 @@
         old = [
             address
             for address, known in self._known.items()
-            if now - known.heard_at > (ENDED_TOLD_S if known.per_s is None else KEPT_S)
+            if now - known.received_at
+            > (ENDED_LIMIT_TTL_S if known.per_s is None else LIMIT_TTL_S)
         ]
         named = [one for one in old if self._known[one].per_s is not None]
         for address in old:
@@ -105,19 +108,19 @@
             return None
         return self._measure_share(replica, known.per_s)
 
-    def list_news(self, now: float) -> list[LimitNews]:
+    def list_updates(self, now: float) -> list[LimitNews]:
         """Return what other entries are told now, a bounded number in turn."""
         known = list(self._known.values())
-        if len(known) > MAX_TOLD:
-            at = self._turn % len(known)
-            self._turn += MAX_TOLD
-            known = (known[at:] + known[:at])[:MAX_TOLD]
+        if len(known) > MAX_LIMITS_PER_MESSAGE:
+            at = self._next_index % len(known)
+            self._next_index += MAX_LIMITS_PER_MESSAGE
+            known = (known[at:] + known[:at])[:MAX_LIMITS_PER_MESSAGE]
         return [
             LimitNews(
                 replica=one.replica.address,
                 started_ms=one.replica.started_ms,
                 per_s=one.per_s,
-                age_s=now - one.heard_at,
+                age_s=now - one.received_at,
             )
             for one in known
         ]
@@ -126,7 +129,7 @@
         """Return the number of replicas that name a limit, or did so lately."""
         return len(self._known)
 
-    def _find(self, replica: Replica) -> _Known | None:
+    def _find(self, replica: Replica) -> _LimitRecord | None:
         known = self._known.get(replica.address)
         if known is None or not _is_same_start(known.replica, replica):
             return None
@@ -141,9 +144,9 @@
 def _is_same_start(known: Replica, other: Replica) -> bool:
     """Tell whether two beliefs of a replica are of one start, as far as known."""
     same_id = known.id == other.id
-    return same_id and may_be_one_start(known.started_ms, other.started_ms)
+    return same_id and may_be_same_start(known.started_ms, other.started_ms)
 
 
-def may_be_one_start(some_ms: int, other_ms: int) -> bool:
+def may_be_same_start(some_ms: int, other_ms: int) -> bool:
     """Tell whether two names of starts differ only where one is not known."""
     return 0 in (some_ms, other_ms) or some_ms == other_ms
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -10,7 +10,7 @@
 from hyssopvane._internal.policy.limit_shares import EntryCensus
 from hyssopvane._internal.policy.limited_replicas import (
     LimitedReplicas,
-    may_be_one_start,
+    may_be_same_start,
 )
 from hyssopvane._internal.policy.opening_times import PATIENCE, OpeningTimes
 from hyssopvane._internal.policy.queueing import FairQueue, QueuedItem
@@ -277,14 +277,14 @@
         one = self._find(replica)
         if one is None:
             return False
-        heard_at = now - age_s
-        return self.limits.observe(one.replica, per_s, heard_at=heard_at, now=now)
+        received_at = now - age_s
+        return self.limits.observe(one.replica, per_s, received_at=received_at, now=now)
 
     def note_news(self, news: LimitNews, *, now: float) -> bool:
         """Take what another entry tells of a limit; tell whether that is new."""
         told = False
         for one in self._by_address.get(news.replica, ()):
-            if may_be_one_start(one.replica.started_ms, news.started_ms):
+            if may_be_same_start(one.replica.started_ms, news.started_ms):
                 told |= self.note_limit(
                     one.replica, news.per_s, now=now, age_s=news.age_s
                 )
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -172,7 +172,7 @@
         for gate in self._gates.values():
             for address in gate.limits.refresh(now):
                 log_event("info", "limit-expired", replica=address)
-            news += gate.limits.list_news(now)
+            news += gate.limits.list_updates(now)
         return ReplicaLimits(tuple(news))
 
     async def wait_for_place(
--- a/tests/lib/limit_model.py
+++ b/tests/lib/limit_model.py
@@ -20,7 +20,7 @@
 ANSWER_S = 0.06
 NEWS_S = 0.5
 COUNT_S = 0.125
-FORGOTTEN_S = 5.0
+COUNTED_SILENCE_S = 5.0
 """Silence after which an entry is no longer counted."""
 PASSED_ON_S = 0.5
 """Time after which an entry that has seen the limit is bound by it."""
@@ -102,13 +102,13 @@
                 act(now)
             for entry in self.fleet:
                 if entry.is_awake(now):
-                    self._look(entry, now)
+                    self._dispatch(entry, now)
             if step % round(COUNT_S / STEP_S) == 0:
                 self._count(now)
             if step % round(NEWS_S / STEP_S) == 0:
-                self._tell(now)
+                self._publish(now)
 
-    def _look(self, entry: Entry, now: float) -> None:
+    def _dispatch(self, entry: Entry, now: float) -> None:
         if not entry.has_callers or not entry.limits.may_send(self.replica, now):
             return
         if entry.limits.get_share(self.replica) is None:
@@ -124,13 +124,13 @@
             self._schedule(entry.asleep[1], lambda at: self._answer(entry, at))
             return
         limit = self.limit_at(now)
-        entry.limits.observe(self.replica, limit, heard_at=now, now=now)
+        entry.limits.observe(self.replica, limit, received_at=now, now=now)
         if limit is not None and entry.passed_on_at is None:
             entry.passed_on_at = now
 
     def _count(self, now: float) -> None:
         live = sum(
-            entry.is_awake(now) or now - entry.asleep[0] < FORGOTTEN_S
+            entry.is_awake(now) or now - entry.asleep[0] < COUNTED_SILENCE_S
             for entry in self.fleet
         )
         for entry in self.fleet:
@@ -139,27 +139,29 @@
                 near = [one.name for one in self.fleet if one.zone == entry.zone]
                 entry.census.update(entry.name, near)
 
-    def _tell(self, now: float) -> None:
+    def _publish(self, now: float) -> None:
         for entry in self.fleet:
             if not entry.is_awake(now):
                 continue
             entry.limits.refresh(now)
             near = [one for one in self.fleet if one.zone == entry.zone]
             far = [one for one in self.fleet if one.zone != entry.zone]
-            for news in entry.limits.list_news(now):
+            for news in entry.limits.list_updates(now):
                 for to in near + self.random.sample(far, min(1, len(far))):
                     if to is not entry and self.random.random() >= self.loss:
-                        heard_at = now - news.age_s
+                        received_at = now - news.age_s
                         at = now + self.random.uniform(0, self.delay_s)
-                        self._schedule(at, self._bring(to, news.per_s, heard_at))
+                        self._schedule(
+                            at, self._make_delivery(to, news.per_s, received_at)
+                        )
 
-    def _bring(
-        self, to: Entry, per_s: float | None, heard_at: float
+    def _make_delivery(
+        self, to: Entry, per_s: float | None, received_at: float
     ) -> Callable[[float], None]:
-        def bring(now: float) -> None:
-            to.limits.observe(self.replica, per_s, heard_at=heard_at, now=now)
+        def deliver(now: float) -> None:
+            to.limits.observe(self.replica, per_s, received_at=received_at, now=now)
 
-        return bring
+        return deliver
 
     def _schedule(self, at: float, act: Callable[[float], None]) -> None:
         heappush(self._events, (at, next(self._numbers), act))
--- a/tests/unit/test_request_limits.py
+++ b/tests/unit/test_request_limits.py
@@ -11,7 +11,7 @@
 from hyssopvane._internal.policy import limit_shares, limited_replicas
 from hyssopvane._internal.policy.limit_shares import EntryCensus, RequestPace
 from hyssopvane._internal.policy.limited_replicas import (
-    MAX_TOLD,
+    MAX_LIMITS_PER_MESSAGE,
     LimitedReplicas,
 )
 from hyssopvane._internal.protocol.group_messages import (
@@ -198,14 +198,14 @@
     return LimitedReplicas(random=random, census=census)
 
 
-@pytest.mark.parametrize("replicas", [1, MAX_TOLD, 10_000])
+@pytest.mark.parametrize("replicas", [1, MAX_LIMITS_PER_MESSAGE, 10_000])
 def test_what_is_told_at_once_fits_a_packet_and_all_get_their_turn(replicas, rng):
     limits = make_limits(rng)
     for number in range(replicas):
-        limits.observe(make_replica(number), 2.0, heard_at=0.0, now=0.0)
+        limits.observe(make_replica(number), 2.0, received_at=0.0, now=0.0)
     told = set()
-    for _ in range(replicas // MAX_TOLD + 1):
-        news = limits.list_news(1.0)
+    for _ in range(replicas // MAX_LIMITS_PER_MESSAGE + 1):
+        news = limits.list_updates(1.0)
         assert len(encode_message(ReplicaLimits(tuple(news)))) < 1_400
         told |= {one.replica for one in news}
     assert len(told) == replicas
@@ -214,7 +214,7 @@
 def test_new_start_of_a_replica_has_no_limit(rng):
     """A replica in need crashes and comes back under its id, and is well."""
     limits = make_limits(rng)
-    limits.observe(make_replica(1), 0.0, heard_at=0.0, now=0.0)
+    limits.observe(make_replica(1), 0.0, received_at=0.0, now=0.0)
     assert limits.get_share(make_replica(1)) is not None
     assert limits.may_send(make_replica(1, started_ms=2), 0.1)
     assert limits.get_share(make_replica(1, started_ms=2)) is None
@@ -222,9 +222,9 @@
 
 def test_older_word_does_not_bring_back_a_limit_that_has_ended(rng):
     limits = make_limits(rng)
-    limits.observe(make_replica(1), 2.0, heard_at=1.0, now=1.0)
-    limits.observe(make_replica(1), None, heard_at=2.0, now=2.0)
-    assert not limits.observe(make_replica(1), 2.0, heard_at=1.5, now=2.5)
+    limits.observe(make_replica(1), 2.0, received_at=1.0, now=1.0)
+    limits.observe(make_replica(1), None, received_at=2.0, now=2.0)
+    assert not limits.observe(make_replica(1), 2.0, received_at=1.5, now=2.5)
     assert limits.get_share(make_replica(1)) is None
 
 
