--- a/src/hyssopvane/_internal/policy/repeat_budget.py
+++ b/src/hyssopvane/_internal/policy/repeat_budget.py
@@ -31,19 +31,19 @@
         """Count a caller's request."""
         counts = self._services.setdefault(service, _Counts())
         counts.fresh.append(now)
-        _forget(counts, now)
+        _expire(counts, now)
 
     def take(self, service: str, *, now: float) -> bool:
         """Allow one repeat, or deny it."""
         counts = self._services.setdefault(service, _Counts())
-        _forget(counts, now)
+        _expire(counts, now)
         if len(counts.repeats) >= self._share * len(counts.fresh) + self._slack:
             return False
         counts.repeats.append(now)
         return True
 
 
-def _forget(counts: _Counts, now: float) -> None:
+def _expire(counts: _Counts, now: float) -> None:
     for times in (counts.fresh, counts.repeats):
         while times and times[0] <= now - WINDOW_S:
             times.popleft()
--- a/src/hyssopvane/_internal/policy/replica_notices.py
+++ b/src/hyssopvane/_internal/policy/replica_notices.py
@@ -6,14 +6,14 @@
 
 from hyssopvane._internal.state.routing import Replica
 
-LONGEST_REST_S = 3_600.0
+MAX_PAUSE_S = 3_600.0
 """Longest time for which an answer may keep requests away from a replica."""
 
-START_NEWS_S = 1.0
+START_PROPAGATION_S = 1.0
 """Time that the news of a replica's start may take: a rest that was told so shortly
 before may be of that start already."""
 
-LEAVING_KEPT_S = 3_600.0
+LEAVING_TTL_S = 3_600.0
 """Time without a registration after which it is forgotten that a replica leaves."""
 
 
@@ -24,8 +24,8 @@
     started_ms: int
     seen_at: float
     """Time at which the replica was last known to be registered."""
-    rest_until: float = -inf
-    rest_told_at: float = -inf
+    pause_until: float = -inf
+    pause_received_at: float = -inf
     leaving: bool = False
 
 
@@ -46,13 +46,13 @@
         Tell whether it wanted some before. A shorter time takes nothing back from a
         longer one.
         """
-        until = now + min(rest_s, LONGEST_REST_S)
+        until = now + min(rest_s, MAX_PAUSE_S)
         if until <= now:
             return False
         notice = self._get(replica, now)
-        notice.rest_told_at = now
-        is_new = notice.rest_until <= now
-        notice.rest_until = max(notice.rest_until, until)
+        notice.pause_received_at = now
+        is_new = notice.pause_until <= now
+        notice.pause_until = max(notice.pause_until, until)
         return is_new
 
     def note_leaving(self, replica: Replica, *, now: float) -> bool:
@@ -72,12 +72,12 @@
                 continue
             notice.seen_at = now
             if replica.started_ms not in (0, notice.started_ms):
-                _begin(notice, replica.started_ms, now)
+                _reset_for_new_start(notice, replica.started_ms, now)
 
     def takes_requests(self, replica: Replica, now: float) -> bool:
         """Tell whether a replica takes requests, as far as it has said."""
         notice = self._known.get(replica.id)
-        return notice is None or not (notice.leaving or now < notice.rest_until)
+        return notice is None or not (notice.leaving or now < notice.pause_until)
 
     def is_leaving(self, replica: Replica) -> bool:
         """Tell whether a replica has said that it leaves."""
@@ -87,24 +87,24 @@
     def measure_rest_s(self, replica: Replica, now: float) -> float:
         """Return the time for which a replica still wants no requests."""
         notice = self._known.get(replica.id)
-        return 0.0 if notice is None else max(0.0, notice.rest_until - now)
+        return 0.0 if notice is None else max(0.0, notice.pause_until - now)
 
     def expire(self, now: float) -> list[str]:
         """Forget what is over; return the ids of replicas whose rest has ended."""
         rested = []
         for key, notice in list(self._known.items()):
-            if -inf < notice.rest_until <= now:
-                notice.rest_until = -inf
+            if -inf < notice.pause_until <= now:
+                notice.pause_until = -inf
                 rested.append(key)
-            resting = now < notice.rest_until
-            leaving = notice.leaving and now - notice.seen_at < LEAVING_KEPT_S
+            resting = now < notice.pause_until
+            leaving = notice.leaving and now - notice.seen_at < LEAVING_TTL_S
             if not resting and not leaving:
                 del self._known[key]
         return rested
 
-    def count_resting(self, now: float) -> int:
+    def count_paused(self, now: float) -> int:
         """Return the number of replicas that want no requests for a time."""
-        return sum(now < notice.rest_until for notice in self._known.values())
+        return sum(now < notice.pause_until for notice in self._known.values())
 
     def __len__(self) -> int:
         """Return the number of replicas of which something is known."""
@@ -118,12 +118,12 @@
         return notice
 
 
-def _begin(notice: _Notice, started_ms: int, now: float) -> None:
+def _reset_for_new_start(notice: _Notice, started_ms: int, now: float) -> None:
     """Let what an earlier start of the replica has said end."""
     if notice.started_ms:
         # A new start that leaves says so again. One that was taken for leaving by the
         # last answer of the start before would never get a request.
         notice.leaving = False
-        if now - notice.rest_told_at > START_NEWS_S:
-            notice.rest_until = -inf
+        if now - notice.pause_received_at > START_PROPAGATION_S:
+            notice.pause_until = -inf
     notice.started_ms = started_ms
--- a/src/hyssopvane/_internal/policy/retries.py
+++ b/src/hyssopvane/_internal/policy/retries.py
@@ -21,7 +21,7 @@
 LONGEST_BACKOFF_S = 2.0
 # These say that another target is needed, not that there is too much work: a wait
 # would only delay the caller.
-_AT_ONCE = frozenset(
+_IMMEDIATE_RETRY_REASONS = frozenset(
     {
         AgentRefusal.LEAVING.value,
         AgentRefusal.WRONG_INCARNATION.value,
@@ -60,25 +60,25 @@
     def __init__(self, *, percent: int) -> None:
         self.percent = percent
         self._credit = BUDGET_BURST
-        self._filled_at: float | None = None
+        self._refilled_at: float | None = None
 
     def add_fresh(self, *, now: float) -> None:
         """Earn credit by a fresh request."""
-        self._fill(now)
+        self._refill(now)
         self._add(self.percent / 100)
 
     def take(self, *, now: float) -> bool:
         """Spend the credit for one retry; return False when there is none."""
-        self._fill(now)
+        self._refill(now)
         if not self.percent or self._credit < 1.0:
             return False
         self._credit -= 1.0
         return True
 
-    def _fill(self, now: float) -> None:
-        if self._filled_at is not None:
-            self._add((now - self._filled_at) * BUDGET_PER_S)
-        self._filled_at = now
+    def _refill(self, now: float) -> None:
+        if self._refilled_at is not None:
+            self._add((now - self._refilled_at) * BUDGET_PER_S)
+        self._refilled_at = now
 
     def _add(self, credit: float) -> None:
         self._credit = min(BUDGET_BURST, self._credit + credit)
@@ -121,7 +121,7 @@
         return RetryAt(at, report.reason or report.result.value)
 
     def _get_delay(self, report: AttemptReport, attempts: int) -> float:
-        if report.reason in _AT_ONCE:
+        if report.reason in _IMMEDIATE_RETRY_REASONS:
             return report.retry_after_s
         # Whole groups fail together, and 32 callers that come back in one step would
         # hit the next group together.
--- a/src/hyssopvane/_internal/policy/target_rest.py
+++ b/src/hyssopvane/_internal/policy/target_rest.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from hyssopvane._internal.policy.replica_notices import LONGEST_REST_S
+from hyssopvane._internal.policy.replica_notices import MAX_PAUSE_S
 
 
 class TargetRest:
@@ -21,7 +21,7 @@
         A shorter time takes nothing back from a longer one.
         """
         is_new = not self.measure_left_s(now)
-        self._until = max(self._until, now + min(rest_s, LONGEST_REST_S))
+        self._until = max(self._until, now + min(rest_s, MAX_PAUSE_S))
         return is_new and self.measure_left_s(now) > 0
 
     def measure_left_s(self, now: float) -> float:
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -143,7 +143,7 @@
                 "replica-resting",
                 replica=replica.id,
                 rest_s=rest_s,
-                resting=self._notices.count_resting(trio.current_time()),
+                resting=self._notices.count_paused(trio.current_time()),
             )
 
     def observe_leaving(self, service: str, replica: Replica) -> None:
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -4,9 +4,9 @@
 
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.policy.replica_notices import (
-    LEAVING_KEPT_S,
-    LONGEST_REST_S,
-    START_NEWS_S,
+    LEAVING_TTL_S,
+    MAX_PAUSE_S,
+    START_PROPAGATION_S,
     ReplicaNotices,
 )
 from hyssopvane._internal.protocol.headers import read_retry_after
@@ -58,7 +58,7 @@
         ([(0.0, 1.0), (0.5, 3.0)], 3.5),
         ([(0.0, 1.0), (1.0, 1.0)], 2.0),
         # More than anybody can mean.
-        ([(0.0, 1e19)], LONGEST_REST_S),
+        ([(0.0, 1e19)], MAX_PAUSE_S),
     ],
 )
 def test_longest_time_that_was_asked_for_is_kept(told, ends_at):
@@ -113,7 +113,8 @@
 
 @pytest.mark.parametrize("told_by", ["registration", "load"])
 @pytest.mark.parametrize(
-    ("after_s", "rests"), [(START_NEWS_S, True), (START_NEWS_S + 0.1, False)]
+    ("after_s", "rests"),
+    [(START_PROPAGATION_S, True), (START_PROPAGATION_S + 0.1, False)],
 )
 def test_rest_ends_with_the_start_that_asked_for_it(told_by, after_s, rests):
     """Guards against a replica that idles for what an earlier start of it asked for.
@@ -212,7 +213,7 @@
     assert send(gate, now=60.0) == {"i-0"}
 
 
-@pytest.mark.parametrize("after_s", [0.1, START_NEWS_S + 0.1])
+@pytest.mark.parametrize("after_s", [0.1, START_PROPAGATION_S + 0.1])
 def test_leaving_ends_with_the_start_that_said_it(after_s):
     """Guards against a replica that idles for what an earlier start of it said."""
     gate = make_gate(0, engine=None)
@@ -228,7 +229,7 @@
     for number in range(1_000):
         notices.note_leaving(make_replica(number), now=0.0)
     notices.note_registered([make_replica(0)], now=10.0)
-    notices.expire(LEAVING_KEPT_S)
+    notices.expire(LEAVING_TTL_S)
     assert len(notices) == 1
     assert notices.is_leaving(make_replica(0))
 
