--- a/src/hyssopvane/_internal/coordination/demand.py
+++ b/src/hyssopvane/_internal/coordination/demand.py
@@ -7,7 +7,7 @@
 from hyssopvane._internal.exceptions import HyssopvaneError
 from hyssopvane._internal.policy.admission import Admission
 from hyssopvane._internal.policy.entry_views import EntryView
-from hyssopvane._internal.policy.share_grants import ShareGiver
+from hyssopvane._internal.policy.share_grants import ShareGranter
 from hyssopvane._internal.policy.shares import ShareHolder
 from hyssopvane._internal.protocol.demand import (
     DEMAND_TOPIC,
@@ -44,7 +44,7 @@
         self._ask = ask
         self._get_customers = get_customers
         self._view = EntryView(own_vm=own_vm)
-        self._giver = ShareGiver(self._view, own_vm=own_vm)
+        self._giver = ShareGranter(self._view, own_vm=own_vm)
         self._holder = ShareHolder(self._view, admission)
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -71,7 +71,7 @@
         now = trio.current_time()
         customers = self._get_customers()
         self._holder.update_view(now=now)
-        self._giver.review(customers, now=now)
+        self._giver.update_customers(customers, now=now)
         self._holder.measure_demand(customers, now=now)
         for vm, asks in self._holder.choose_asks(now=now).items():
             nursery.start_soon(self._exchange, vm, asks, now)
--- a/src/hyssopvane/_internal/policy/entry_views.py
+++ b/src/hyssopvane/_internal/policy/entry_views.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from hyssopvane._internal.policy import rendezvous
-from hyssopvane._internal.policy.share_limits import KNOWN_S
+from hyssopvane._internal.policy.share_limits import ENTRY_RETENTION_S
 
 
 class EntryView:
@@ -32,7 +32,7 @@
     def count_known(self, *, now: float) -> int:
         """Return the number of entries that are or may still be at work."""
         for name, seen_at in list(self._seen_at.items()):
-            if name not in self._seeds and now - seen_at > KNOWN_S:
+            if name not in self._seeds and now - seen_at > ENTRY_RETENTION_S:
                 del self._seen_at[name]
         return max(1, len(self._seen_at))
 
--- a/src/hyssopvane/_internal/policy/share_grants.py
+++ b/src/hyssopvane/_internal/policy/share_grants.py
@@ -33,7 +33,7 @@
     def drop_expired(self, now: float) -> None:
         self.grants = [one for one in self.grants if one.expires_at > now]
 
-    def measure_most(self) -> float:
+    def get_largest_amount(self) -> float:
         return max((one.amount for one in self.grants), default=0.0)
 
 
@@ -46,7 +46,7 @@
     holders: dict[EntryId, _Holder] = field(default_factory=dict)
 
 
-class ShareGiver:
+class ShareGranter:
     """Divide the pool of each customer that this entry aggregates.
 
     An entry that dies or is cut off stops asking, and its grant ends by its lease. The
@@ -61,17 +61,17 @@
         self._own_vm = own_vm
         self._pools: dict[str, _Pool] = {}
 
-    def review(self, customers: Mapping[str, object], *, now: float) -> None:
+    def update_customers(self, customers: Mapping[str, object], *, now: float) -> None:
         """Take up customers that this entry aggregates and drop others."""
         for customer in list(self._pools):
             pool = self._pools[customer]
             self._drop_gone(pool, now=now)
-            if customer not in customers or not self._is_mine(customer):
+            if customer not in customers or not self._aggregates(customer):
                 # What was given stays in force for its lease, but the successor
                 # waits that long, and so does this entry should it come back.
                 del self._pools[customer]
         for customer in customers:
-            if customer not in self._pools and self._is_mine(customer):
+            if customer not in self._pools and self._aggregates(customer):
                 self._pools[customer] = _Pool(since=now)
 
     def answer(
@@ -79,14 +79,14 @@
     ) -> ShareAnswer | None:
         """Grant a share; None when this entry does not aggregate the customer."""
         pool = self._pools.get(ask.customer)
-        if pool is None or not self._is_mine(ask.customer):
+        if pool is None or not self._aggregates(ask.customer):
             return None
         self._drop_gone(pool, now=now)
         holder = pool.holders.setdefault(entry, _Holder())
         if ask.sequence <= holder.last_sequence:
             # A late copy tells what the entry held once; it may hold more by now.
             return None
-        self._note(holder, ask, now=now)
+        self._record_ask(holder, ask, now=now)
         lease_s = self._choose_lease(now=now)
         holder.asked_until = now + lease_s
         amount = self._choose_amount(pool, entry, holder, now=now)
@@ -95,7 +95,7 @@
             ask.customer, ask.sequence, amount, lease_s, RENEW_SHARE * lease_s
         )
 
-    def _note(self, holder: _Holder, ask: ShareAsk, *, now: float) -> None:
+    def _record_ask(self, holder: _Holder, ask: ShareAsk, *, now: float) -> None:
         # What the entry names is all it has in force, and the only answer that it will
         # still take is the one to this ask; so grants that it never heard of end here.
         # What a predecessor gave is counted in the same way.
@@ -108,17 +108,19 @@
         self, pool: _Pool, entry: EntryId, holder: _Holder, *, now: float
     ) -> float:
         known = self._view.count_known(now=now)
-        whole = (1 - RESERVE) * self._view.live / known
+        total = (1 - RESERVE) * self._view.live / known
         needs = {key: one.need for key, one in pool.holders.items()}
-        fair = fill_shares(needs, whole)[entry]
+        fair = divide_max_min(needs, total)[entry]
         given = sum(
-            one.measure_most() for key, one in pool.holders.items() if key != entry
+            one.get_largest_amount()
+            for key, one in pool.holders.items()
+            if key != entry
         )
-        amount = max(0.0, min(fair, whole - given))
+        amount = max(0.0, min(fair, total - given))
         if now < pool.since + get_longest_lease(known) + LIST_LAG_S:
             # Grants of a predecessor are in force that this entry knows nothing of. To
             # renew one adds nothing to them; to give more might.
-            amount = min(amount, holder.measure_most())
+            amount = min(amount, holder.get_largest_amount())
         return amount
 
     def _choose_lease(self, *, now: float) -> float:
@@ -132,21 +134,23 @@
             if not holder.grants and holder.asked_until <= now:
                 del pool.holders[key]
 
-    def _is_mine(self, customer: str) -> bool:
+    def _aggregates(self, customer: str) -> bool:
         return (
             self._view.live > 0 and self._view.find_aggregator(customer) == self._own_vm
         )
 
 
-def fill_shares(needs: Mapping[EntryId, float], whole: float) -> dict[EntryId, float]:
+def divide_max_min(
+    needs: Mapping[EntryId, float], total: float
+) -> dict[EntryId, float]:
     """Divide a whole so that nobody gets more than it needs (max-min fairness)."""
-    return dict(_fill(needs, whole))
+    return dict(_fill(needs, total))
 
 
 def _fill(
-    needs: Mapping[EntryId, float], whole: float
+    needs: Mapping[EntryId, float], total: float
 ) -> Iterator[tuple[EntryId, float]]:
-    left = whole
+    left = total
     for number, key in enumerate(sorted(needs, key=lambda key: needs[key])):
         share = min(needs[key], left / (len(needs) - number))
         left -= share
--- a/src/hyssopvane/_internal/policy/share_limits.py
+++ b/src/hyssopvane/_internal/policy/share_limits.py
@@ -47,7 +47,7 @@
 # An entry that vanishes from the list may be at work for a while yet, behind a
 # partition. Its part is kept free for the shortest lease and the lag, twice; longer
 # would keep a fourth of a limit from callers whenever one of four entries is replaced.
-KNOWN_S = 20.0
+ENTRY_RETENTION_S = 20.0
 # Demand is measured each second; a grant follows it in steps, not with each request.
 HEADROOM = 1.25
 GROWTH = 1.1
--- a/src/hyssopvane/_internal/policy/shares.py
+++ b/src/hyssopvane/_internal/policy/shares.py
@@ -19,7 +19,7 @@
 
 # Demand falls slowly in the eyes of the measure, so that a pause of seconds gives
 # nothing back that is asked for again.
-_FADE = 0.8
+_DEMAND_DECAY = 0.8
 _INTERVAL_S = 1.0
 
 
@@ -85,7 +85,7 @@
             use.start_over()
         for customer in list(self._holdings):
             holding = self._holdings[customer]
-            holding.demand *= _FADE
+            holding.demand *= _DEMAND_DECAY
             idle = holding.demand < self._safe / 2 or customer not in rows
             if idle and now >= holding.expires_at:
                 del self._holdings[customer]
@@ -98,8 +98,8 @@
         for customer, holding in self._holdings.items():
             if not self._is_due(holding, now=now):
                 continue
-            giver = self._view.find_aggregator(customer)
-            asks.setdefault(giver, []).append(self._make_ask(customer, holding, now))
+            granter = self._view.find_aggregator(customer)
+            asks.setdefault(granter, []).append(self._make_ask(customer, holding, now))
         return asks
 
     def apply(self, answers: Iterable[ShareAnswer], *, sent_at: float) -> None:
@@ -130,7 +130,7 @@
         if demand:
             holding = self._holdings.setdefault(row.name, _Holding())
             # The next line of the caller fades it once.
-            demand = min(1.0, demand * HEADROOM) / _FADE
+            demand = min(1.0, demand * HEADROOM) / _DEMAND_DECAY
             holding.demand = max(holding.demand, demand)
 
     def _get_need(self, holding: _Holding) -> float:
--- a/tests/lib/share_network.py
+++ b/tests/lib/share_network.py
@@ -7,7 +7,7 @@
 
 from hyssopvane._internal.policy.admission import Admission
 from hyssopvane._internal.policy.entry_views import EntryView
-from hyssopvane._internal.policy.share_grants import ShareGiver
+from hyssopvane._internal.policy.share_grants import ShareGranter
 from hyssopvane._internal.policy.shares import ShareHolder
 from hyssopvane._internal.state.shares import EntryId, ShareAsk
 from hyssopvane._internal.state.table import CustomerRow
@@ -27,7 +27,7 @@
         self.admission = Admission()
         self.admission.update_rows(ROWS)
         self.holder = ShareHolder(self.view, self.admission)
-        self.giver = ShareGiver(self.view, own_vm=vm)
+        self.granter = ShareGranter(self.view, own_vm=vm)
         self.rate = 0.0
         self.cut_off = False
         self.listed: frozenset[str] = frozenset()
@@ -57,14 +57,14 @@
         """Start an entry, or start it anew."""
         node = ShareNode(vm, next(self._incarnations))
         self.nodes[vm] = node
-        self._tell_lists()
-        self._later(0.0, lambda: self._tick(node))
+        self._publish_lists()
+        self._schedule(0.0, lambda: self._tick(node))
         return node
 
     def kill(self, vm: str) -> None:
         """End an entry without a word."""
         del self.nodes[vm]
-        self._tell_lists()
+        self._publish_lists()
 
     def run(self, seconds: float, check: Callable[[], None] = lambda: None) -> None:
         """Let time pass; check after every event."""
@@ -90,17 +90,17 @@
         """Return the safe shares of all entries."""
         return sum(node.holder.safe_share for node in self.nodes.values())
 
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay_s, next(self._sequence), action))
 
-    def _tell_lists(self) -> None:
+    def _publish_lists(self) -> None:
         names = frozenset(self.nodes)
         at = next(self._sequence)
         for node in self.nodes.values():
             lag_s = self._random.uniform(0, _MAX_LIST_LAG_S)
-            self._later(lag_s, lambda one=node: self._tell(one, names, at))
+            self._schedule(lag_s, lambda one=node: self._deliver_list(one, names, at))
 
-    def _tell(self, node: ShareNode, names: frozenset[str], at: int) -> None:
+    def _deliver_list(self, node: ShareNode, names: frozenset[str], at: int) -> None:
         # A list that lags never replaces a later one.
         if at > node.listed_at:
             node.listed_at = at
@@ -113,12 +113,12 @@
     def _tick(self, node: ShareNode) -> None:
         if not self._is_up(node):
             return
-        self._later(_TICK_S, lambda: self._tick(node))
+        self._schedule(_TICK_S, lambda: self._tick(node))
         if not node.view.live:
             return
         node.view.update(node.listed - {node.id.vm}, now=self.now)
         node.holder.update_view(now=self.now)
-        node.giver.review(ROWS, now=self.now)
+        node.granter.update_customers(ROWS, now=self.now)
         node.ask_for_requests(now=self.now)
         node.holder.measure_demand(ROWS, now=self.now)
         for vm, asks in node.holder.choose_asks(now=self.now).items():
@@ -136,12 +136,12 @@
     def _answer(
         self, node: ShareNode, vm: str, asks: list[ShareAsk], at: float
     ) -> None:
-        giver = self.nodes.get(vm)
-        if giver is None or giver.cut_off != node.cut_off:
+        granter = self.nodes.get(vm)
+        if granter is None or granter.cut_off != node.cut_off:
             return
-        found = [giver.giver.answer(node.id, ask, now=self.now) for ask in asks]
+        found = [granter.granter.answer(node.id, ask, now=self.now) for ask in asks]
         answers = [one for one in found if one is not None]
-        if giver is node:
+        if granter is node:
             node.holder.apply(answers, sent_at=at)
         else:
             self._deliver(node, lambda: self._apply(node, answers, at))
@@ -152,4 +152,4 @@
 
     def _deliver(self, node: ShareNode, action: Callable[[], None]) -> None:
         if not node.cut_off and self._random.random() >= self._loss:
-            self._later(self._random.uniform(0, self._delay_s), action)
+            self._schedule(self._random.uniform(0, self._delay_s), action)
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hyssopvane._internal.policy.share_grants import fill_shares
+from hyssopvane._internal.policy.share_grants import divide_max_min
 from hyssopvane._internal.policy.share_limits import (
-    KNOWN_S,
+    ENTRY_RETENTION_S,
     LIST_LAG_S,
     MIN_LEASE_S,
     RESERVE,
@@ -69,7 +69,7 @@
     network = start_network([50, 50, 50, 50])
     network.run(60)
     network.kill(dead)
-    network.run(KNOWN_S + _WARM_UP_S)
+    network.run(ENTRY_RETENTION_S + _WARM_UP_S)
     assert network.sum_in_force() == pytest.approx(1.0, abs=0.02)
 
 
@@ -170,7 +170,7 @@
 @given(st.lists(st.floats(0, 1), min_size=1, max_size=20), st.floats(0, 1))
 def test_fill_gives_all_that_is_needed(needs, whole):
     named = {EntryId(str(number), 1): need for number, need in enumerate(needs)}
-    shares = fill_shares(named, whole)
+    shares = divide_max_min(named, whole)
     assert sum(shares.values()) == pytest.approx(min(whole, sum(needs)))
     assert all(shares[key] <= need + 1e-9 for key, need in named.items())
     unmet = [shares[key] for key, need in named.items() if shares[key] < need - 1e-9]
@@ -185,14 +185,14 @@
     return node
 
 
-def make_giver():
+def make_granter():
     """Return a giver that is past its warm-up, and its clock."""
     for name in ("entry-0", "entry-1"):
         others = {"entry-0", "entry-1"} - {name}
         node = make_node(name, others)
-        node.giver.review(ROWS, now=0.0)
+        node.granter.update_customers(ROWS, now=0.0)
         if node.view.find_aggregator(CUSTOMER) == name:
-            return node.giver
+            return node.granter
     raise AssertionError("no entry aggregates the customer")
 
 
@@ -210,11 +210,13 @@
     If the giver believed that the entry holds nothing, it would give its share away
     while the entry uses it.
     """
-    giver = make_giver()
-    first = giver.answer(ONE, ask(1, 0.8), now=LATER_S)
+    granter = make_granter()
+    first = granter.answer(ONE, ask(1, 0.8), now=LATER_S)
     assert first.amount == pytest.approx(0.8)
-    assert giver.answer(ONE, ask(1, 0.0), now=LATER_S + 1) is None
-    assert giver.answer(OTHER, ask(1, 0.8), now=LATER_S + 2).amount == pytest.approx(0)
+    assert granter.answer(ONE, ask(1, 0.0), now=LATER_S + 1) is None
+    assert granter.answer(OTHER, ask(1, 0.8), now=LATER_S + 2).amount == pytest.approx(
+        0
+    )
 
 
 def test_larger_grant_counts_until_its_end():
@@ -222,13 +224,13 @@
 
     It still uses what it had; whoever got that share meanwhile would double it.
     """
-    giver = make_giver()
-    giver.answer(ONE, ask(1, 0.8), now=LATER_S)
+    granter = make_granter()
+    granter.answer(ONE, ask(1, 0.8), now=LATER_S)
     less = ask(2, 0.1, held=0.8, held_s=9.0)
-    assert giver.answer(ONE, less, now=LATER_S + 1).amount == pytest.approx(0.1)
-    early = giver.answer(OTHER, ask(1, 0.8), now=LATER_S + 2)
+    assert granter.answer(ONE, less, now=LATER_S + 1).amount == pytest.approx(0.1)
+    early = granter.answer(OTHER, ask(1, 0.8), now=LATER_S + 2)
     assert early.amount == pytest.approx(0.0)
-    late = giver.answer(OTHER, ask(2, 0.8), now=LATER_S + 10.5)
+    late = granter.answer(OTHER, ask(2, 0.8), now=LATER_S + 10.5)
     assert late.amount == pytest.approx(0.7)
 
 
@@ -276,5 +278,5 @@
     """
     node = make_node(others=("entry-1", "entry-2"))
     node.view.update(("entry-1",), now=1_000.0)
-    assert node.view.count_known(now=1_000.0 + KNOWN_S) == 3
-    assert node.view.count_known(now=1_000.1 + KNOWN_S) == 2
+    assert node.view.count_known(now=1_000.0 + ENTRY_RETENTION_S) == 3
+    assert node.view.count_known(now=1_000.1 + ENTRY_RETENTION_S) == 2
