--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -7,7 +7,12 @@
 from random import Random
 
 from bench.output import parse_options, print_table, write_json
-from hyssopvane._internal.policy.subsets import Member, SubsetMap, ZoneMap, fill_up
+from hyssopvane._internal.policy.subsets import (
+    Member,
+    SubsetMap,
+    ZoneMap,
+    add_minimum_targets,
+)
 
 # The target: 960 entries, 10,000 targets, 6 services, 14 zones in 4 regions.
 _ZONES = {f"z{number}": f"region{number % 4}" for number in range(14)}
@@ -121,7 +126,7 @@
         for name in names:
             chosen[name].add(target.name)
     for entry in entries:
-        for name in fill_up(entry, chosen[entry.name], targets, zones):
+        for name in add_minimum_targets(entry, chosen[entry.name], targets, zones):
             picks[by_name[name]].add(entry.name)
     return {one: frozenset(names) for one, names in picks.items()}
 
--- a/src/hyssopvane/_internal/policy/subsets.py
+++ b/src/hyssopvane/_internal/policy/subsets.py
@@ -141,7 +141,7 @@
         self._picks: dict[Member, bool] = {}
         """Whether a target that picks in this entry's zone picks this entry."""
         self._chosen: frozenset[str] = frozenset()
-        self._led: frozenset[str] | None = None
+        self._primary_targets: frozenset[str] | None = None
 
     def update(
         self, *, entries: Iterable[Member], targets: Iterable[Member]
@@ -153,21 +153,21 @@
         if new_entries == self._entries and new_targets == self._targets:
             return self._chosen
         if new_entries != self._entries:
-            self._take_entries(new_entries)
+            self._update_entries(new_entries)
         self._targets = new_targets
         self._chosen = frozenset(self._choose())
-        self._led = None
+        self._primary_targets = None
         return self._chosen
 
-    def find_led(self) -> frozenset[str]:
+    def find_primary_targets(self) -> frozenset[str]:
         """Return the targets that rank this entry first among all that they pick."""
-        if self._led is None:
-            self._led = frozenset(
+        if self._primary_targets is None:
+            self._primary_targets = frozenset(
                 one.name
                 for one in self._targets
                 if one.name in self._chosen and self._is_first(one)
             )
-        return self._led
+        return self._primary_targets
 
     def _is_first(self, target: Member) -> bool:
         # All its entries work this out alike, as long as their lists agree.
@@ -176,12 +176,12 @@
         seeds = {name: rendezvous.hash_name(name) for name in names}
         return rendezvous.rank(key, seeds, count=1) == [self._own.name]
 
-    def _take_entries(self, entries: frozenset[Member]) -> None:
+    def _update_entries(self, entries: frozenset[Member]) -> None:
         zones = ZoneMap(entries, self._region_of)
         own_zone = self._own.availability_zone
         counts = {zone: len(seeds) for zone, seeds in zones.seeds.items()}
         old = {zone: len(seeds) for zone, seeds in self._zones.seeds.items()}
-        if zones.sizes != self._zones.sizes or _cap(counts) != _cap(old):
+        if zones.sizes != self._zones.sizes or _cap_counts(counts) != _cap_counts(old):
             self._shares.clear()
             self._picks.clear()
         elif zones.seeds[own_zone] != self._zones.seeds[own_zone]:
@@ -202,7 +202,7 @@
         for target, share in self._shares.items():
             if share and self._is_picked(target, share):
                 chosen.add(target.name)
-        return fill_up(self._own, chosen, self._targets, self._zones)
+        return add_minimum_targets(self._own, chosen, self._targets, self._zones)
 
     def _is_picked(self, target: Member, share: int) -> bool:
         picked = self._picks.get(target)
@@ -212,7 +212,7 @@
         return picked
 
 
-def fill_up(
+def add_minimum_targets(
     own: Member, chosen: set[str], targets: Iterable[Member], zones: ZoneMap
 ) -> set[str]:
     """Add the targets that rank highest for an entry to services with too few."""
@@ -238,5 +238,5 @@
     return chosen
 
 
-def _cap(counts: Mapping[str, int]) -> dict[str, int]:
+def _cap_counts(counts: Mapping[str, int]) -> dict[str, int]:
     return {zone: min(count, ENTRIES_PER_TARGET) for zone, count in counts.items()}
--- a/src/hyssopvane/_internal/policy/watchers.py
+++ b/src/hyssopvane/_internal/policy/watchers.py
@@ -47,10 +47,12 @@
         return Duties(neighbours=tuple(sorted(zones))[:FAN_OUT])
     members = rank_zone(zone, zones)
     watchers = members[:WATCHERS_PER_ZONE]
-    receivers = [one for tree in _make_trees(members) for one in _below(own, tree)]
+    receivers = [
+        one for tree in _make_trees(members) for one in _list_children(own, tree)
+    ]
     if own in watchers:
         receivers += watchers
-        receivers += _list_next_zone(watchers.index(own), zone, zones)
+        receivers += _list_next_zone_watchers(watchers.index(own), zone, zones)
     others = [one for one in (*watchers, *receivers, *members) if one != own]
     return Duties(
         watches=own in watchers,
@@ -79,14 +81,16 @@
     return trees
 
 
-def _below(own: str, tree: Sequence[str]) -> Sequence[str]:
+def _list_children(own: str, tree: Sequence[str]) -> Sequence[str]:
     if own not in tree:
         return ()
     position = tree.index(own)
     return tree[FAN_OUT * position + 1 : FAN_OUT * (position + 1) + 1]
 
 
-def _list_next_zone(rank_of_own: int, zone: str, zones: Mapping[str, str]) -> list[str]:
+def _list_next_zone_watchers(
+    rank_of_own: int, zone: str, zones: Mapping[str, str]
+) -> list[str]:
     # A change that reached one zone before the service went down still reaches the
     # others, each of which tells the next.
     names = sorted(set(zones.values()))
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -406,7 +406,7 @@
             entries=_list_members(records, VmRole.ENTRY),
             targets=_list_members(records, VmRole.AGENT),
         )
-        self.scheduler.planner.set_suspect_targets(self._subset.find_led())
+        self.scheduler.planner.set_suspect_targets(self._subset.find_primary_targets())
         return frozenset(
             PeerAddress(record.name, record.address)
             for record in records
--- a/tests/unit/test_subsets.py
+++ b/tests/unit/test_subsets.py
@@ -71,8 +71,8 @@
     for one in entries:
         subset = SubsetMap(one)
         chosen = subset.update(entries=entries, targets=targets)
-        assert subset.find_led() <= chosen
-        led.update(subset.find_led())
+        assert subset.find_primary_targets() <= chosen
+        led.update(subset.find_primary_targets())
     assert led == {one.name: 1 for one in targets}
 
 
