--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -59,7 +59,7 @@
         ([NOT_STARTED, NOT_STARTED, LOST], Outcome.UNKNOWN),
     ],
 )
-def test_not_run_is_told_only_when_proved(reports, outcome):
+def test_not_run_is_reported_only_when_proved(reports, outcome):
     """A request is lost with its target, and the next targets refuse it.
 
     The first target may have run it. A caller that hears "not run" would send it anew
@@ -92,7 +92,7 @@
     assert planner.place(request, now=retry.at) is not None
 
 
-def test_forgotten_request_frees_its_place():
+def test_discarded_request_releases_its_place():
     planner = make_planner(["t0"], target_concurrency=1)
     request = make_request()
     assert planner.place(request, now=100.0)
@@ -120,13 +120,13 @@
         assert refusal.reason is RefusalReason.QUARANTINED
 
 
-def test_quarantine_of_no_time_is_none():
+def test_zero_quarantine_time_disables_quarantine():
     planner = make_planner(quarantine_s=0)
     run_reports(planner, make_request(body=b"b"), [BROKEN, BROKEN])
     assert planner.refuse(make_request("next", body=b"b"), now=200.0) is None
 
 
-def test_suspects_of_two_entries_do_not_meet():
+def test_suspects_of_two_entries_use_different_targets():
     """Two bodies run when a target crashes, each sent by another entry.
 
     Were both tried at the same target, the next crash would be held against both,
@@ -149,7 +149,7 @@
         assert len(targets) == len(own)
 
 
-def test_suspect_leaves_a_led_target_that_refuses_it():
+def test_suspect_moves_on_from_a_target_that_refuses_it():
     planner = make_planner()
     planner.set_suspect_targets(frozenset({"t0"}))
     run_reports(planner, make_request(body=b"b"), [BROKEN])
--- a/tests/unit/test_direct_parts.py
+++ b/tests/unit/test_direct_parts.py
@@ -26,7 +26,7 @@
     assert budget.take("checks", now=BUDGET_S * 3)
 
 
-def test_request_that_loses_replicas_is_refused_for_a_while():
+def test_request_that_crashes_replicas_is_refused_for_a_time():
     """One request crashes each replica that runs it, and its caller sends it again."""
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
@@ -37,21 +37,21 @@
     assert not suspects.is_banned(1, now=BAN_AFTER + BAN_S)
 
 
-def test_replica_that_breaks_off_again_and_again_bans_nobody():
+def test_repeated_loss_of_one_replica_bans_no_request():
     suspects = CrashSuspects()
     for number in range(20):
         suspects.note_loss(1, ("i-1", 0), now=number)
     assert not suspects.is_banned(1, now=20)
 
 
-def test_demand_is_what_came_within_the_window():
+def test_demand_is_measured_within_the_window():
     window = DemandWindow()
     window.observe((10, 0, 0, 4), now=0.1)
     assert window.measure(sets=2, now=0.1) == [[10.0, 0.0], [0.0, 4.0]]
     assert window.measure(sets=2, now=0.2 + WINDOW_S) == []
 
 
-def test_demand_that_has_moved_on_counts_alone():
+def test_only_current_demand_counts_after_a_shift():
     """Other experts are in demand from one moment to the next.
 
     A map that is worked out from the whole window eases the experts of before, and the
@@ -71,7 +71,7 @@
     assert sum(window.measure(sets=1, now=0.55)[0]) > 12_000
 
 
-def test_counts_are_told_as_what_came_since_the_last_word():
+def test_counts_are_reported_as_differences():
     meter = CountMeter()
     assert meter.measure((10, 0, 5, 5), started_ms=1, epoch=1) == ()
     assert meter.measure((20, 0, 5, 9), started_ms=1, epoch=1) == (10, 0, 0, 4)
@@ -81,9 +81,7 @@
     ("counts", "link_mbps", "expected"),
     [(288, 10, 0.12), (2_016, 4, 0.17), (3_072, 3, 0.34), (3_072, 1_000, 0.12)],
 )
-def test_counts_are_told_as_often_as_the_leaders_link_bears(
-    counts, link_mbps, expected
-):
+def test_interval_between_counts_respects_the_leaders_link(counts, link_mbps, expected):
     """Twelve ranks tell their counts over a link that brings all states as well."""
     meter = CountMeter()
     meter.measure((1,) * counts, started_ms=1, epoch=1)
@@ -92,7 +90,7 @@
 
 
 @pytest.mark.parametrize("start", [(2, 1), (1, 2), (2, 2)])
-def test_counts_of_another_start_are_not_taken_for_choices(start):
+def test_counts_of_another_start_are_not_reported_as_choices(start):
     """A rank starts anew, or its group is formed anew, and its counts begin at zero.
 
     The difference to the counts before would be a demand that nobody has, and a map
@@ -115,7 +113,7 @@
 @pytest.mark.parametrize(
     ("now", "expected"), [(0.54, 0.06), (0.7, 0.16), (0.77, 0.23), (1.54, 0.06)]
 )
-def test_pass_time_follows_the_steps_and_shows_what_is_overdue(now, expected):
+def test_pass_time_follows_steps_and_includes_an_overdue_pass(now, expected):
     """A pass that is overdue is a long one; after four of them the group stands still.
 
     How long it stands tells nothing of what its requests cost.
@@ -123,7 +121,7 @@
     assert make_meter().measure(now=now) == pytest.approx(expected)
 
 
-def test_group_that_goes_on_after_a_standstill_has_its_usual_passes():
+def test_stall_does_not_change_the_pass_time():
     """A machine stands still for four seconds while its rank holds the group.
 
     Counted as one pass, the time makes each request look twenty times as dear, and
@@ -135,7 +133,7 @@
     assert meter.measure(now=4.66) == pytest.approx(0.06)
 
 
-def test_pass_time_begins_anew_in_a_new_epoch():
+def test_pass_time_is_reset_in_a_new_epoch():
     meter = PassMeter()
     meter.observe(500, now=0.0)
     meter.observe(1, now=1.0)
@@ -149,7 +147,7 @@
     return reader, writer, sink
 
 
-def test_stuck_reader_of_the_log_stops_nothing():
+def test_stuck_log_reader_does_not_block():
     """Whatever collects standard output has stopped reading.
 
     The next line would stop the process with all its requests. It goes on, drops the
@@ -175,7 +173,7 @@
     os.close(writer)
 
 
-def test_reader_that_is_gone_stops_nothing():
+def test_closed_log_reader_does_not_block():
     reader, writer, sink = open_pipe()
     os.close(reader)
     for _ in range(10):
@@ -185,7 +183,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_lines_come_whole_and_in_order(seed):
+def test_log_lines_are_complete_and_in_order(seed):
     reader, writer, sink = open_pipe()
     random = Random(seed)
     lines = [f"event=e{n} pad={'p' * random.randrange(300)}\n" for n in range(100)]
--- a/tests/unit/test_ejection.py
+++ b/tests/unit/test_ejection.py
@@ -67,7 +67,7 @@
     assert ejector.count_ejected() == ejected
 
 
-def test_slow_target_gets_gently_less():
+def test_slow_target_gets_a_reduced_share():
     ejector = make_ejector()
     run_rounds(ejector, get_latencies(t0=0.25))
     assert ejector.get_state("t0") is HealthState.IN_SERVICE
@@ -79,7 +79,7 @@
     ("count", "percent", "most"),
     [(10, 30, 3), (3, 30, 1), (2, 100, 0), (10, 0, 0), (64, 30, 19)],
 )
-def test_most_ejected(count, percent, most):
+def test_max_ejected(count, percent, most):
     assert make_ejector(count, percent=percent).get_max_ejected() == most
 
 
@@ -128,7 +128,7 @@
     assert ejector.get_state("t0") is HealthState.EJECTED
 
 
-def test_new_connection_does_not_wipe_history():
+def test_reconnection_keeps_history():
     ejector = make_ejector()
     run_rounds(ejector, get_latencies(t0=0.5))
     ejector.disconnect("t0")
@@ -151,7 +151,7 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(_EVENTS, st.sampled_from([0, 10, 30, 100]))
-def test_floor_of_targets_in_service_is_held(events, percent):
+def test_ejections_never_exceed_the_maximum(events, percent):
     ejector = make_ejector(percent=percent)
     now = 0.0
     probes: set[str] = set()
--- a/tests/unit/test_failure_detector.py
+++ b/tests/unit/test_failure_detector.py
@@ -50,7 +50,7 @@
     st.lists(st.floats(0.001, 20.0), max_size=150),
     st.floats(0.1, 50.0),
 )
-def test_level_only_grows_with_silence(kind, intervals, threshold):
+def test_level_never_falls_with_silence(kind, intervals, threshold):
     """A peer that stays silent must be suspected once, and then for good.
 
     A level that fell again would open and close the same connection in turn.
--- a/tests/unit/test_keyed_machine.py
+++ b/tests/unit/test_keyed_machine.py
@@ -92,7 +92,7 @@
         self.deleted = False
         self.runs = 0
         self.bodies_run = set()
-        self.told_not_run = False
+        self.reported_not_run = False
         self.attempts = 0
         self.requests = []
         self.frames = []
@@ -123,7 +123,7 @@
             self.requests.pop(which % len(self.requests))
         elif what == "lose connection" and waiting:
             request = waiting[which % len(waiting)]
-            self.go_on(request, request.flow.handle_lost_connection())
+            self.set_step(request, request.flow.handle_lost_connection())
         elif what == "restart agent":
             self.restart(AGENTS[which % len(AGENTS)])
         elif what == "land late write" and self.late:
@@ -171,9 +171,9 @@
 
     def look(self, request, how, stale):
         if how == "down":
-            self.go_on(request, request.flow.handle_write_failure("out"))
+            self.set_step(request, request.flow.handle_write_failure("out"))
         else:
-            self.go_on(request, request.flow.handle_claim(self.read(stale)))
+            self.set_step(request, request.flow.handle_claim(self.read(stale)))
 
     def place(self, request, agent, refuse):
         self.attempts += 1
@@ -184,7 +184,7 @@
             reason = RefusalReason.QUEUE_FULL
             refusal = Refusal(reason, Outcome.NOT_RUN, refuse or None)
             step = request.flow.handle_no_target(refusal, attempt=self.attempts)
-        self.go_on(request, step)
+        self.set_step(request, step)
 
     def write(self, request, change, how, stale):
         if how == "late":
@@ -195,16 +195,16 @@
                 return
             self.apply(change)
         if how == "done":
-            self.go_on(request, request.flow.handle_written(self.read(0)))
+            self.set_step(request, request.flow.handle_written(self.read(0)))
         elif how == "cached":
             # A writer that finds its change made, or overtaken, in the page that it
             # remembers writes nothing.
             page = self.versions[max(0, len(self.versions) - 1 - stale)]
             if page.apply([change]) == page:
                 claim = page.claims.get(CLAIM_KEY.key_hash)
-                self.go_on(request, request.flow.handle_written(claim))
+                self.set_step(request, request.flow.handle_written(claim))
         else:
-            self.go_on(request, request.flow.handle_write_failure("unknown"))
+            self.set_step(request, request.flow.handle_write_failure("unknown"))
 
     def send(self, request, how):
         if how == "down":
@@ -296,8 +296,8 @@
         assert self.runs <= 1
 
     @invariant()
-    def told_not_run_holds(self):
-        assert not (self.told_not_run and self.runs)
+    def outcome_not_run_holds(self):
+        assert not (self.reported_not_run and self.runs)
 
     # How the parts are put together.
 
@@ -326,14 +326,14 @@
 
     def refuse(self, request, step, reason):
         joined = isinstance(step, Join)
-        self.go_on(request, request.flow.handle_agent_refusal(reason, joined=joined))
+        self.set_step(request, request.flow.handle_agent_refusal(reason, joined=joined))
 
     def answer(self, request, body):
         assert body == request.body, "a caller gets the answer to its own request"
         assert self.runs == 1
         request.step, request.waits, request.answer = None, False, body
 
-    def go_on(self, request, step):
+    def set_step(self, request, step):
         request.waits = False
         request.step = step
         if isinstance(step, Refuse):
@@ -342,7 +342,7 @@
     def end(self, request, refusal):
         request.step, request.waits, request.told = None, False, refusal
         if refusal.outcome is Outcome.NOT_RUN:
-            self.told_not_run = True
+            self.reported_not_run = True
 
 
 def to_bytes(attempt):
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -51,6 +51,6 @@
     assert [one.cause for one in losses] == ([] if cause is None else [cause])
 
 
-def test_lines_of_others_are_left_out():
+def test_other_log_lines_are_ignored():
     refused_early = "time=2026-08-04T08:00:10 level=info event=request request=r"
     assert read_losses(["nonsense", refused_early]) == ([], 0)
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -61,7 +61,7 @@
         ([(0.0, 1e19)], MAX_PAUSE_S),
     ],
 )
-def test_longest_time_that_was_asked_for_is_kept(told, ends_at):
+def test_longest_requested_pause_is_kept(told, ends_at):
     """Guards against a shorter pause that takes the place of a longer one."""
     notices = ReplicaNotices()
     for at, rest_s in told:
@@ -78,7 +78,7 @@
     return {one.replica.id for one in list_places(gate.settle(now))}
 
 
-def lapse(gate, now):
+def expire_registration(gate, now):
     gate.update([make_replica(0)], None, now=now)
     gate.update([make_replica(0), make_replica(1)], None, now=now)
 
@@ -93,7 +93,7 @@
         gate.finish(make_replica(1), failed=True, now=now)
 
 
-def hear(gate, now):
+def receive_load(gate, now):
     gate.observe_load(make_load(1), now=now)
 
 
@@ -101,8 +101,10 @@
     gate.note_full(make_replica(1), now=now, until=now + 0.1)
 
 
-@pytest.mark.parametrize("happen", [lapse, move, fail, hear, fill])
-def test_rest_is_kept_whatever_else_becomes_known(happen):
+@pytest.mark.parametrize(
+    "happen", [expire_registration, move, fail, receive_load, fill]
+)
+def test_pause_is_kept_when_other_records_change(happen):
     """Guards against a rest that is forgotten with other beliefs of the replica."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(1), 10.0, now=0.0)
@@ -116,7 +118,7 @@
     ("after_s", "rests"),
     [(START_PROPAGATION_S, True), (START_PROPAGATION_S + 0.1, False)],
 )
-def test_rest_ends_with_the_start_that_asked_for_it(told_by, after_s, rests):
+def test_pause_ends_with_the_start_that_requested_it(told_by, after_s, rests):
     """Guards against a replica that idles for what an earlier start of it asked for.
 
     An answer of the new start may come before the news of that start.
@@ -131,7 +133,7 @@
     assert (send(gate, now=5.0) == set()) is rests
 
 
-def test_rest_that_is_told_after_the_news_of_a_start_binds_that_start():
+def test_pause_received_after_the_update_of_a_start_applies_to_it():
     """Guards against an answer that is taken for an earlier start's."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
@@ -140,7 +142,7 @@
     assert send(gate, now=5.0) == set()
 
 
-def test_callers_hear_at_once_when_all_replicas_rest():
+def test_callers_are_refused_at_once_when_all_replicas_are_paused():
     """Guards against callers that wait in vain, or come back too early."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(0), 4.0, now=0.0)
@@ -155,7 +157,7 @@
     assert max(times) - min(times) > 0.2
 
 
-def test_callers_wait_for_a_rest_that_ends_in_their_time():
+def test_callers_wait_for_a_pause_that_ends_in_time():
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
     gate.add(make_waiting(1), weight=1.0)
@@ -169,7 +171,7 @@
     # there for callers isn't.
     [((0, 1), True), ((0, 1, 2), False)],
 )
-def test_resting_replicas_do_not_keep_a_failing_one_in_use(resting, ejected):
+def test_paused_replicas_do_not_keep_a_failing_one_in_use(resting, ejected):
     """Guards against rests that count as ejections."""
     gate = make_gate(4, engine=None)
     for number in resting:
@@ -179,14 +181,14 @@
     assert ("i-3" not in send(gate, now=0.1)) is ejected
 
 
-def test_rest_of_one_rank_closes_no_group():
+def test_pause_of_one_rank_does_not_close_its_group():
     """Guards against one rank's wish that is taken for a refusal of all its group."""
     gate = make_gate(12)
     gate.note_rest(make_replica(1), 10.0, now=0.0)
     assert len(send(gate, now=0.0)) > 1
 
 
-def test_rest_binds_no_other_replica_at_the_address():
+def test_pause_does_not_apply_to_another_replica_at_the_address():
     """Guards against a rest that the next replica at an address inherits."""
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 10.0, now=0.0)
@@ -194,7 +196,7 @@
     assert send(gate, now=1.0) == {"i-next"}
 
 
-def test_queue_that_waits_for_a_rest_is_not_sent_in_one_burst():
+def test_queue_is_not_sent_in_one_burst_after_a_pause():
     """Guards against a replica that is flooded as its rest ends."""
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
@@ -203,8 +205,10 @@
     assert 1 <= len(list_places(gate.settle(0.1))) <= 6
 
 
-@pytest.mark.parametrize("happen", [lapse, move, fail, hear, fill])
-def test_replica_that_said_that_it_leaves_stays_out(happen):
+@pytest.mark.parametrize(
+    "happen", [expire_registration, move, fail, receive_load, fill]
+)
+def test_leaving_replica_stays_out(happen):
     """Guards against a leaving replica that a registration or a load brings back."""
     gate = make_gate(2, engine=None)
     gate.note_leaving(make_replica(1), now=0.0)
@@ -214,7 +218,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.1, START_PROPAGATION_S + 0.1])
-def test_leaving_ends_with_the_start_that_said_it(after_s):
+def test_leaving_ends_with_the_start_that_reported_it(after_s):
     """Guards against a replica that idles for what an earlier start of it said."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
@@ -223,7 +227,7 @@
     assert send(gate, now=5.0) == {"i-0"}
 
 
-def test_what_replicas_said_is_forgotten_when_it_no_longer_matters():
+def test_expired_records_are_removed():
     """Guards against a memory that grows with every release of a service."""
     notices = ReplicaNotices()
     for number in range(1_000):
@@ -234,7 +238,7 @@
     assert notices.is_leaving(make_replica(0))
 
 
-def test_resting_replicas_are_told_from_leaving_ones():
+def test_paused_replicas_are_distinguished_from_leaving_ones():
     """Guards against callers that are asked to wait for a replica that leaves."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(0), 4.0, now=0.0)
--- a/tests/unit/test_request_limits.py
+++ b/tests/unit/test_request_limits.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
 @pytest.mark.parametrize("per_s", [0.0, 0.4, 1.0, 2.5, 8.0, 40.0])
-def test_replica_in_need_gets_no_more_than_it_takes(entries, per_s):
+def test_overloaded_replica_gets_no_more_than_its_limit(entries, per_s):
     """A replica is near its end and asks all entries together for fewer requests.
 
     Each entry sees only its own. Were each to send what the replica takes from all,
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
 @pytest.mark.parametrize("per_s", [2.5, 8.0, 40.0])
-def test_what_the_replica_takes_is_used_while_callers_wait(entries, per_s):
+def test_limit_is_used_while_callers_wait(entries, per_s):
     model = LimitModel(entries, lambda now: per_s)
     model.run(30.0)
     assert model.measure_rate(10.0, 30.0) >= 0.9 * per_s
@@ -57,7 +57,7 @@
     delay_s=st.floats(0, 0.4),
     asleep=st.integers(0, 4),
 )
-def test_limit_holds_with_lost_and_late_words_and_entries_that_stand_still(
+def test_limit_holds_with_lost_and_late_messages_and_stalled_entries(
     entries, per_s, seed, loss, delay_s, asleep
 ):
     """Some entries stand still for seconds and wake, while words between them are lost.
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
-def test_replica_gets_its_part_again_soon_after_its_limit_ends(entries):
+def test_replica_gets_requests_soon_after_its_limit_ends(entries):
     """A replica has recovered and names no limit any more.
 
     The entries that send it nothing can't see that. Were they to wait for an answer of
@@ -129,7 +129,7 @@
         (EntryCensus, "measure_share", ignore_others, {}),
     ],
 )
-def test_without_a_protection_the_limit_is_broken(
+def test_limit_is_exceeded_without_each_protection(
     monkeypatch, owner, name, replaced, options
 ):
     """Each protection is taken out by itself: the model must see what it prevents."""
@@ -168,13 +168,13 @@
 
 
 @pytest.mark.parametrize("per_s", [None, 0.0, 2.5])
-def test_limits_are_told_between_entries(per_s):
+def test_limits_survive_encoding(per_s):
     told = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
     assert decode_message(encode_message(told)) == told
 
 
 @pytest.mark.parametrize("per_s", [-1.0, float("nan"), float("inf")])
-def test_limit_that_no_entry_tells_is_refused(per_s):
+def test_invalid_limit_in_a_message_is_refused(per_s):
     told = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
     with pytest.raises(ProtocolError):
         decode_message(encode_message(told))
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("replicas", [1, MAX_LIMITS_PER_MESSAGE, 10_000])
-def test_what_is_told_at_once_fits_a_packet_and_all_get_their_turn(replicas, rng):
+def test_updates_fit_a_packet_and_include_all_in_rotation(replicas, rng):
     limits = make_limits(rng)
     for number in range(replicas):
         limits.observe(make_replica(number), 2.0, received_at=0.0, now=0.0)
@@ -220,7 +220,7 @@
     assert limits.get_share(make_replica(1, started_ms=2)) is None
 
 
-def test_older_word_does_not_bring_back_a_limit_that_has_ended(rng):
+def test_older_update_does_not_restore_an_ended_limit(rng):
     limits = make_limits(rng)
     limits.observe(make_replica(1), 2.0, received_at=1.0, now=1.0)
     limits.observe(make_replica(1), None, received_at=2.0, now=2.0)
--- a/tests/unit/test_retries.py
+++ b/tests/unit/test_retries.py
@@ -35,7 +35,7 @@
         (AttemptResult.CANCELLED, True, False),
     ],
 )
-def test_only_what_is_safe_runs_again(result, repeatable, retried):
+def test_only_safe_attempts_are_retried(result, repeatable, retried):
     """A connection breaks while a bid confirmation may be running.
 
     Sent to a second target, it would confirm the bid twice, and two bidders would
@@ -47,7 +47,7 @@
     assert isinstance(decision, RetryAt) is retried
 
 
-def test_begun_answer_is_never_followed_by_another():
+def test_started_answer_is_never_retried():
     report = AttemptReport(AttemptResult.BROKEN, "target-broken", final=True)
     decision = Retrier(random=Random(1)).decide(
         make_request(repeatable=True), report, attempts=1, now=0.0
@@ -75,7 +75,7 @@
     assert (decision.at > 5.0) is waits
 
 
-def test_wait_that_target_asks_for_is_kept():
+def test_retry_after_of_the_target_is_respected():
     report = AttemptReport(AttemptResult.NOT_STARTED, "target-full", retry_after_s=2.0)
     decision = Retrier(random=Random(1)).decide(
         make_request(), report, attempts=1, now=0.0
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("dead", ["entry-0", "entry-1", "entry-2", "entry-3"])
-def test_dead_entry_gives_its_share_back(dead):
+def test_share_of_a_dead_entry_is_granted_again(dead):
     """An entry VM that had a large share of a customer's limit dies.
 
     If its share stayed with it, the customer's callers at the other entries would be
@@ -88,7 +88,7 @@
     assert fraction == pytest.approx(RESERVE / 3)
 
 
-def test_lone_first_list_does_not_give_the_whole():
+def test_incomplete_first_list_does_not_grant_the_whole_limit():
     """All entries start at once, and the platform's list lags.
 
     An entry that finds only itself in the list would use the whole limit, as would
@@ -168,7 +168,7 @@
 
 @settings(derandomize=True, max_examples=50, deadline=None)
 @given(st.lists(st.floats(0, 1), min_size=1, max_size=20), st.floats(0, 1))
-def test_fill_gives_all_that_is_needed(needs, whole):
+def test_division_meets_needs_up_to_the_total(needs, whole):
     named = {EntryId(str(number), 1): need for number, need in enumerate(needs)}
     shares = divide_max_min(named, whole)
     assert sum(shares.values()) == pytest.approx(min(whole, sum(needs)))
--- a/tests/unit/test_store_watch.py
+++ b/tests/unit/test_store_watch.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_replicas_that_lapsed_in_an_outage_that_only_a_peer_saw_are_believed(told):
+def test_replicas_that_expired_in_an_outage_detected_only_by_a_peer_are_kept(told):
     """The store is away for seconds, and the registrations of all replicas lapse.
 
     An entry whose watch waited all the while hears of that as soon as the store is
@@ -46,7 +46,7 @@
     run(test)
 
 
-def test_only_a_return_from_a_silence_is_told():
+def test_only_a_reconnection_is_reported():
     async def test():
         feed = make_feed()
         feed._note_connection("servers/", True)
--- a/tests/unit/test_subsets.py
+++ b/tests/unit/test_subsets.py
@@ -37,7 +37,7 @@
     return Counter(name for chosen in subsets.values() for name in chosen)
 
 
-def test_small_fleet_is_known_whole():
+def test_every_entry_connects_to_all_targets_of_a_small_fleet():
     targets = make_targets(FULL_SUBSET)
     subsets = choose_all(make_entries(30), targets)
     assert all(len(chosen) == FULL_SUBSET for chosen in subsets.values())
@@ -53,7 +53,7 @@
     )
 
 
-def test_zones_first_and_services_covered():
+def test_own_zone_is_preferred_and_services_are_covered():
     entries, targets = make_entries(24), make_targets(150)
     zone_of = {one.name: one.availability_zone for one in (*entries, *targets)}
     own_zone = Counter()
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("target_count", [12, 150])
-def test_each_target_is_led_by_one_entry(target_count):
+def test_each_target_has_one_primary_entry(target_count):
     entries, targets = make_entries(24), make_targets(target_count)
     led = Counter()
     for one in entries:
@@ -140,7 +140,7 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(_CHANGES)
-def test_history_does_not_matter(changes):
+def test_subset_does_not_depend_on_history(changes):
     """Entries learn of changes in different order, some after a restart.
 
     Were an entry's subset to depend on what it saw before, no two entries would agree
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -30,7 +30,7 @@
     crash_target(book, target, now=now, bodies=bodies)
 
 
-def test_second_crash_quarantines_and_neighbours_are_cleared():
+def test_second_crash_quarantines_and_clears_other_requests():
     """A request crashes the target that runs it, and its caller sends it again.
 
     Its neighbours lose their answers each time, and without the book the request
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("order", [[POISON, OTHER], [OTHER, POISON]])
-def test_neighbours_of_a_suspect_are_not_accused(order):
+def test_requests_next_to_a_suspect_do_not_become_suspects(order):
     book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
     run_until_crash(book, "t1", now=10.0, bodies=order)
@@ -67,7 +67,7 @@
     assert book.find_excluded(BodyId("draft", b"clean"), now=1.0) == frozenset()
 
 
-def test_suspect_rests_until_word_has_spread():
+def test_suspect_backs_off_until_reports_have_spread():
     book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
     assert book.find_excluded(POISON, now=SUSPECT_BACKOFF_S / 2) is None
@@ -99,7 +99,7 @@
     assert book.is_quarantined(POISON, now=31.0) is quarantined
 
 
-def test_old_suspicion_is_forgotten():
+def test_old_suspicion_expires():
     book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON])
     run_until_crash(book, "t1", now=SUSPECT_S + 1, bodies=[POISON])
