--- a/src/hyssopvane/_internal/policy/attempts.py
+++ b/src/hyssopvane/_internal/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Plan the attempts of each request: where, when, and whether another follows."""
+"""Plan the attempts of each request: target, time and retries."""
 
 from collections.abc import Set
 from dataclasses import dataclass, field
@@ -18,8 +18,8 @@
     WorkRequest,
 )
 
-# Told to callers whose retries are spent. Failing targets are set aside or seen to be
-# gone within this time, so the next try meets others.
+# Sent to callers whose retries are spent. Failing targets are ejected or detected as
+# gone within this time, so the next request reaches other targets.
 _RETRY_AFTER_S = 1.0
 
 
@@ -34,7 +34,7 @@
 
 
 class AttemptPlanner:
-    """Join placement, retries and crash suspects for the requests of one entry."""
+    """Combine placement, retries and crash suspects for the requests of one entry."""
 
     def __init__(self, *, random: Random, availability_zone: str = "") -> None:
         self.placer = Placer(random=random, availability_zone=availability_zone)
@@ -45,22 +45,22 @@
         self._plans: dict[str, _Plan] = {}
 
     def update_table(self, table: Table) -> None:
-        """Put the limits of a table in force."""
+        """Apply the limits of a table."""
         self._table = table
         self.placer.update_table(table)
         for service in table.services.values():
             self.retrier.set_percent(service.name, service.retry_budget)
 
     def connect(self, info: TargetInfo, *, now: float) -> None:
-        """Start to place work on a target."""
+        """Start placing work on a target."""
         self.placer.connect(info, now=now)
 
     def disconnect(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Stop placing work on a target."""
         self.placer.disconnect(name)
 
     def observe_load(self, name: str, report: LoadReport, *, now: float) -> None:
-        """Take note of what a target's agent reports."""
+        """Record the load that a target's agent reports."""
         self.placer.observe_load(name, report, now=now)
 
     def refuse(self, request: WorkRequest, *, now: float) -> Refusal | None:
@@ -70,7 +70,7 @@
         return None
 
     def add_fresh(self, request: WorkRequest, *, now: float) -> None:
-        """Count an accepted request as fresh work, which earns retries."""
+        """Count an accepted request as fresh work, which adds to the retry budget."""
         self.retrier.add_fresh(request.service, now=now)
 
     def place(self, request: WorkRequest, *, now: float) -> Placed | Refusal | None:
@@ -97,10 +97,10 @@
         return Placed(info.name, info.incarnation, plan.attempts)
 
     def waits_on_own_condition(self, request: WorkRequest, *, now: float) -> bool:
-        """Tell whether a request waits for itself alone, not for a free place.
+        """Return whether a request waits for a condition of its own, not for capacity.
 
-        Such a request must not hold back those behind it in the queue: it waits for
-        its retry's time, or for another suspect to end.
+        The condition is the time of its retry or the end of another suspect. Such a
+        request must not block the requests behind it in the queue.
         """
         plan = self._plans.get(request.request_id)
         if plan is not None and now < plan.not_before:
@@ -110,9 +110,10 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> RetryAt | RetryDenial | Refusal | None:
-        """Take note of an attempt's end; return None when it was answered.
+        """Record the end of an attempt; return None when it was answered or cancelled.
 
-        After a `RetryAt` the request is to be placed again; else it is forgotten.
+        After a `RetryAt` the request must be placed again; otherwise its plan is
+        removed.
         """
         plan = self._plans.get(request_id)
         if plan is None:
@@ -137,16 +138,16 @@
         )
 
     def get_outcome(self, request_id: str) -> Outcome:
-        """Return what may be told of a request that runs nowhere now."""
-        # A repeatable request may have run at a target that was lost, and then be
-        # refused when it comes to its second attempt. Its caller must not be told
-        # that it was not run.
+        """Return the provable outcome of a request that has no running attempt."""
+        # A repeatable request may have run at a target that was lost and then be
+        # refused at its second attempt. The caller must not receive the outcome "not
+        # run" for it.
         plan = self._plans.get(request_id)
         ran = plan is not None and plan.may_have_run
         return Outcome.UNKNOWN if ran else Outcome.NOT_RUN
 
     def discard(self, request: WorkRequest, *, now: float) -> Outcome:
-        """Drop a request, wherever it is; return what may be told of it."""
+        """Remove a request in any state; return its provable outcome."""
         outcome = self.get_outcome(request.request_id)
         plan = self._plans.pop(request.request_id, None)
         if plan is not None and plan.target is not None:
@@ -156,8 +157,8 @@
     def set_suspect_targets(self, names: frozenset[str]) -> None:
         """Set the targets that run this entry's suspects.
 
-        Each target runs the suspects of one entry only. Two entries would else try
-        a suspect each at one target, and its crash would be held against both.
+        Each target runs the suspects of one entry only. Otherwise two entries could
+        each try a suspect at the same target, and its crash would count against both.
         """
         self._suspect_targets = names
 
@@ -175,8 +176,8 @@
             return excluded
         names = self.placer.list_targets(request.service)
         own = names & self._suspect_targets - tried
-        # An entry without such a target uses any: a suspect is mostly innocent, and
-        # must not wait for its deadline.
+        # An entry without such a target uses any target: most suspects are not the
+        # cause of the crash and must not wait until their deadline.
         return excluded | (names - own) if own else excluded
 
     def _end_attempt(self, plan: _Plan, report: AttemptReport, now: float) -> None:
@@ -187,8 +188,8 @@
         body = _get_body(plan.request)
         if report.result is AttemptResult.ANSWERED:
             self.suspects.clear(body)
-        # A lost connection is mostly the network or the VM, and 140 VMs fail on an
-        # ordinary day; an agent that lives and says that its target broke is proof.
+        # A lost connection is usually caused by the network or the VM, and 140 VMs fail
+        # on an ordinary day. A report of a broken target from a live agent is proof.
         elif report.result is AttemptResult.BROKEN and plan.request.body_digest:
             self.suspects.note_crash(
                 body,
--- a/src/hyssopvane/_internal/policy/crash_suspects.py
+++ b/src/hyssopvane/_internal/policy/crash_suspects.py
@@ -1,4 +1,4 @@
-"""Find requests that crash each replica that runs them."""
+"""Detect requests that crash each replica that runs them."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -6,15 +6,16 @@
 from hyssopvane._internal.state.routing import Incarnation
 
 BAN_AFTER = 3
-"""Lost replicas after which a request is sent no more.
+"""Number of lost replicas after which a request is refused.
 
-A group that breaks takes down all that runs on it, so one or two losses may be chance.
+A group that fails takes down all requests that run on it, so one or two losses may be
+coincidence.
 """
 
 BAN_S = 60.0
 WINDOW_S = 30.0
 _MAX_KNOWN = 10_000
-"""Requests that are remembered; far more than fail at once."""
+"""Maximum number of tracked requests; far more than fail at the same time."""
 
 
 @dataclass(slots=True)
@@ -24,20 +25,21 @@
 
 
 class CrashSuspects:
-    """Remember which request was running when a replica broke off.
+    """Track which requests were running when a replica was lost.
 
-    Made for a request that kills its replica and whose caller sends it again. Each
-    repeat takes another replica, and with it a group and the work of all others there.
-    Its body, path and customer stay the same, so it is known by them.
+    This stops a request that crashes its replica and that its caller sends again. Each
+    repeat goes to another replica and takes down its group and all other requests
+    there. The body, path and customer stay the same, so their fingerprint identifies
+    the request.
     """
 
     def __init__(self) -> None:
         self._losses: OrderedDict[int, _Losses] = OrderedDict()
 
     def note_loss(self, fingerprint: int, lost: Incarnation, *, now: float) -> None:
-        """Take note that a replica was lost while it ran a request.
+        """Record that a replica was lost while it ran a request.
 
-        A replica that comes back under its id and is lost again counts again.
+        A replica that restarts under the same id and is lost again counts again.
         """
         losses = self._losses.setdefault(fingerprint, _Losses())
         self._losses.move_to_end(fingerprint)
@@ -51,6 +53,6 @@
             losses.banned_until = now + BAN_S
 
     def is_banned(self, fingerprint: int, *, now: float) -> bool:
-        """Tell whether a request is refused."""
+        """Return whether a request is refused."""
         losses = self._losses.get(fingerprint)
         return losses is not None and now < losses.banned_until
--- a/src/hyssopvane/_internal/policy/repeat_budget.py
+++ b/src/hyssopvane/_internal/policy/repeat_budget.py
@@ -1,10 +1,10 @@
-"""Bound how much of a service's work may be sent a second time."""
+"""Limit the share of a service's requests that may be repeated."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 WINDOW_S = 10.0
-"""Time over which repeats are counted against fresh requests."""
+"""Seconds over which repeats are counted against fresh requests."""
 
 
 @dataclass(slots=True)
@@ -16,10 +16,10 @@
 class RepeatBudget:
     """Allow repeats as a share of this entry's own fresh requests.
 
-    Made for an outage in which every request fails: repeats would double the load on
-    replicas that are about to come back. A share of what each entry itself has sent
-    needs no talk between entries, and the sum over all of them keeps to the bound
-    whichever of them the failing requests reach.
+    In an outage in which every request fails, unlimited repeats would double the load
+    on replicas that are about to recover. A share of what each entry itself has sent
+    needs no communication between entries, and the sum over all entries stays within
+    the limit no matter which of them receive the failing requests.
     """
 
     def __init__(self, *, share: float, slack: int) -> None:
@@ -34,7 +34,7 @@
         _expire(counts, now)
 
     def take(self, service: str, *, now: float) -> bool:
-        """Allow one repeat, or deny it."""
+        """Return whether one repeat is allowed, and count it if so."""
         counts = self._services.setdefault(service, _Counts())
         _expire(counts, now)
         if len(counts.repeats) >= self._share * len(counts.fresh) + self._slack:
--- a/src/hyssopvane/_internal/policy/retries.py
+++ b/src/hyssopvane/_internal/policy/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether and when a failed attempt is followed by another."""
+"""Decide whether and when a failed attempt is retried."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,20 +7,20 @@
 from hyssopvane._internal.models.refusals import AgentRefusal
 from hyssopvane._internal.state.work import AttemptReport, AttemptResult, WorkRequest
 
-# Three attempts meet three targets. If all three fail, a fourth is more likely to
-# carry the harm on than to find a target that works.
+# Three attempts reach three targets. If all three fail, a fourth is more likely to
+# spread the damage than to find a target that works.
 MAX_ATTEMPTS = 3
-# Retries that an entry may save up: a target with 32 requests in flight that leaves
-# must not have half of them refused on a quiet afternoon.
+# Maximum number of saved retries. When a target with 32 requests in flight leaves at a
+# time of low load, half of them must not be refused.
 BUDGET_BURST = 32.0
-# Retries a second beside the share of fresh work. A service with a request a minute
-# would else never earn one; 960 entries add at most 960 a second to 87,000.
+# Retries a second in addition to the share of fresh work. Otherwise a service with one
+# request a minute would never earn one. 960 entries add at most 960 a second to 87,000.
 BUDGET_PER_S = 1.0
-# Bounds of the random wait before the second attempt, doubled before the third.
+# Bounds of the random backoff before the second attempt, doubled before the third.
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 2.0
-# These say that another target is needed, not that there is too much work: a wait
-# would only delay the caller.
+# These reasons mean that another target is needed, not that there is too much work: a
+# backoff would only delay the caller.
 _IMMEDIATE_RETRY_REASONS = frozenset(
     {
         AgentRefusal.LEAVING.value,
@@ -32,7 +32,7 @@
 
 
 class RetryDenial(StrEnum):
-    """Name why an attempt is not followed by another."""
+    """Name the reason why an attempt is not retried."""
 
     NOT_REPEATABLE = "not-repeatable"
     ATTEMPTS_SPENT = "attempts-spent"
@@ -46,15 +46,15 @@
 
     at: float
     reason: str
-    """Why the last attempt failed, to be counted."""
+    """Why the last attempt failed, for the count of retries by reason."""
 
 
 class RetryBudget:
     """Allow retries as a share of fresh work.
 
-    When a service is saturated, each refused attempt asks for another, and the load
-    grows by the number of attempts just when there is no room. With 10% the retries
-    add at most 10% to the load, whatever fails.
+    When a service is saturated, each refused attempt leads to another, so the load
+    grows by the number of attempts exactly when there is no capacity. With 10% the
+    retries add at most 10% to the load, whatever fails.
     """
 
     def __init__(self, *, percent: int) -> None:
@@ -63,7 +63,7 @@
         self._refilled_at: float | None = None
 
     def add_fresh(self, *, now: float) -> None:
-        """Earn credit by a fresh request."""
+        """Add credit for a fresh request."""
         self._refill(now)
         self._add(self.percent / 100)
 
@@ -85,19 +85,19 @@
 
 
 class Retrier:
-    """Decide about retries of one entry; each service has its own budget."""
+    """Decide on the retries of one entry, with a budget for each service."""
 
     def __init__(self, *, random: Random) -> None:
         self._random = random
         self._budgets: dict[str, RetryBudget] = {}
 
     def set_percent(self, service: str, percent: int) -> None:
-        """Set the retries of a service in per cent of fresh requests."""
+        """Set the retry budget of a service in percent of fresh requests."""
         budget = self._get_budget(service)
         budget.percent = percent
 
     def add_fresh(self, service: str, *, now: float) -> None:
-        """Take note of a fresh request."""
+        """Count a fresh request."""
         self._get_budget(service).add_fresh(now=now)
 
     def decide(
@@ -108,7 +108,7 @@
         attempts: int,
         now: float,
     ) -> RetryAt | RetryDenial:
-        """Decide about the next attempt after one that failed."""
+        """Decide whether and when a failed attempt is retried."""
         if not is_retry_safe(request, report):
             return RetryDenial.NOT_REPEATABLE
         if attempts >= MAX_ATTEMPTS:
@@ -123,7 +123,7 @@
     def _get_delay(self, report: AttemptReport, attempts: int) -> float:
         if report.reason in _IMMEDIATE_RETRY_REASONS:
             return report.retry_after_s
-        # Whole groups fail together, and 32 callers that come back in one step would
+        # Whole groups fail together, and 32 callers that retry in the same step would
         # hit the next group together.
         bound = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2 ** (attempts - 1))
         return report.retry_after_s + self._random.uniform(bound / 2, bound)
@@ -139,7 +139,7 @@
 
 
 def is_retry_safe(request: WorkRequest, report: AttemptReport) -> bool:
-    """Tell whether another attempt can't run the request a second time against rule.
+    """Return whether a retry cannot run a request twice that must run once.
 
     A timeout or a lost connection proves nothing. Only a refusal by the agent, which
     keeps a tombstone for the attempt, proves that it did not run and never will.
