--- a/src/hyssopvane/_internal/policy/departures.py
+++ b/src/hyssopvane/_internal/policy/departures.py
@@ -1,8 +1,8 @@
-"""Remember replicas that have left, against registrations that are older than that.
+"""Track replicas that have left, to override older registrations.
 
-The store may come back from a copy in which a replica that has said that it leaves, or
-whose registration has ended, is still ready. Until the registration is written again,
-what was known before holds.
+The store may be restored from a copy in which a replica is still ready although it has
+reported that it is leaving, or its registration has ended. Until the registration is
+written again, the earlier knowledge takes precedence.
 """
 
 from dataclasses import dataclass, replace
@@ -10,50 +10,52 @@
 from hyssopvane._internal.state.routing import Replica
 
 RETENTION_S = 60.0
-"""Time for which it is known that a replica has left: copies are some seconds old."""
+"""Seconds for which a departure is remembered; copies of the store are some seconds
+old."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Departure:
-    """Tell that one start of a replica is leaving or gone."""
+    """Record that one start of a replica is leaving or gone."""
 
     started_ms: int
     announced: bool
-    """Whether the replica itself said so, and not only its registration ended."""
+    """Whether the replica itself reported it; otherwise only its registration ended."""
     era: int
-    """Era of the store in which this was learnt."""
+    """Era of the store in which the departure was recorded."""
     at: float
 
 
 class Departures:
-    """Know which replicas are leaving or gone, by the keys of their registrations."""
+    """Track which replicas are leaving or gone, by the keys of their registrations."""
 
     def __init__(self) -> None:
         self._known: dict[str, _Departure] = {}
         self._unconfirmed: set[str] = set()
-        """Keys whose registrations ended, and are there again in what may be a copy."""
+        """Keys whose registrations ended and are present again in what may be a
+        copy."""
 
     def note(self, key: str, replica: Replica, *, era: int, now: float) -> None:
-        """Take note that a replica is leaving, or that its registration has ended."""
+        """Record that a replica is leaving, or that its registration has ended."""
         self._known[key] = _Departure(
             started_ms=replica.started_ms, announced=replica.draining, era=era, at=now
         )
 
     def remove(self, key: str) -> None:
-        """Forget what was known of a key: its registration is written anew."""
+        """Remove the departure of a key whose registration is written again."""
         self._known.pop(key, None)
         self._unconfirmed.discard(key)
 
     def discard_unconfirmed(self, key: str) -> None:
-        """Take note that a key's registration is no longer used."""
+        """Mark a key's registration as no longer used."""
         self._unconfirmed.discard(key)
 
     def correct(
         self, key: str, replica: Replica, *, era: int, is_first: bool, now: float
     ) -> Replica:
-        """Return a replica as draining where only a copy may say that it is ready.
+        """Return a replica as draining if its ready state may come from an old copy.
 
-        `is_first` tells that this is the first registration of the key in the era.
+        `is_first` is true for the first registration of the key in the era.
         """
         departure = self._known.get(key)
         self._unconfirmed.discard(key)
@@ -70,14 +72,14 @@
         return replace(replica, draining=True)
 
     def take_unconfirmed(self) -> list[str]:
-        """Return the keys whose registrations are doubted, and doubt them no more."""
+        """Return keys with unconfirmed registrations, and remove their departures."""
         keys = sorted(self._unconfirmed)
         for key in keys:
             self.remove(key)
         return keys
 
     def expire(self, *, now: float) -> None:
-        """Forget what was learnt long ago."""
+        """Remove departures older than `RETENTION_S`, except unconfirmed ones."""
         for key, departure in list(self._known.items()):
             if now - departure.at >= RETENTION_S and key not in self._unconfirmed:
                 del self._known[key]
--- a/src/hyssopvane/_internal/policy/ejection.py
+++ b/src/hyssopvane/_internal/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Give slow or failing targets less work, then set them aside for a time."""
+"""Reduce the load of slow or failing targets, then eject them for a time."""
 
 import math
 from collections import OrderedDict
@@ -6,38 +6,40 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Weight of one observation. At 10 requests a second and target of an entry, two
-# seconds of slowness show; one long answer alone does not.
+# Weight of one observation. At 10 requests a second per target and entry, two seconds
+# of slowness have an effect; a single long answer has not.
 _WEIGHT = 0.1
-# Fewer observations say nothing: a cold cache or one long prompt looks slow.
+# Minimum number of observations: a cold cache or one long prompt looks like a slow
+# target.
 MIN_OBSERVATIONS = 8
-# Up to this multiple of the others' median a target gets its whole share.
+# Up to this multiple of the service's median latency a target gets its full share.
 SLOW_RATIO = 1.5
-# From this multiple on a target is set aside. A rank that stalls holds back its whole
-# lock-step group, so whoever is sent there waits with it.
+# Above this multiple of the median a target is ejected. A rank that stalls delays its
+# whole lock-step group and every request sent there.
 EJECT_RATIO = 3.0
-# From this share of failed attempts on a target is set aside.
+# Fraction of failed attempts at which a target is ejected.
 EJECT_FAILURES = 0.5
-# The least share of a slow target in service: enough to see it become well again.
+# Minimum share of a slow target in service: enough to detect its recovery.
 MIN_SHARE = 0.1
-# A target set aside comes back after this time, doubled each time it fails its trial.
+# An ejected target is probed after this time, which doubles each time a probe fails.
 FIRST_EJECTION_S = 5.0
 LONGEST_EJECTION_S = 60.0
-# Good answers of its trial after which a target is in service again.
+# Successful probes after which a target is in service again.
 PROBES_TO_RETURN = 3
-# The median is taken anew at most this often: it costs a sort of the service's targets.
+# Minimum interval between two computations of the median, which sorts the service's
+# targets.
 _MEDIAN_INTERVAL_S = 0.25
-# Below this, latencies count as equal: three times one millisecond harms no caller.
+# Latencies below this count as equal: three times one millisecond harms no caller.
 LATENCY_FLOOR_S = 0.01
-# Histories of targets that are not connected. Without them a slow target whose
-# connection flaps would come back each time as a new one.
+# Maximum number of histories of disconnected targets. Without a history, a slow target
+# with a flapping connection would return as a new target each time.
 _MAX_ABSENT = 256
-# With fewer targets than this there is no majority to tell which one is slow.
+# With fewer targets than this there is no majority to compare a target with.
 MIN_TARGETS = 3
 
 
 class HealthState(StrEnum):
-    """Name how far a target is trusted."""
+    """Name the health of a target."""
 
     IN_SERVICE = "in-service"
     EJECTED = "ejected"
@@ -48,7 +50,7 @@
 class _Health:
     state: HealthState = HealthState.IN_SERVICE
     log_latency: float = 0.0
-    """Mean of the logarithm, so that one long answer weighs little."""
+    """Mean of the logarithm, which limits the effect of a single long answer."""
     failures: float = 0.0
     observations: int = 0
     ejected_until: float = 0.0
@@ -56,24 +58,24 @@
     probes_running: int = 0
     probes_passed: int = 0
     share: float = 1.0
-    """Share of its usual work, as of the last observation."""
+    """Fraction of its usual work, as of the last observation."""
 
     def observe(self, log_latency: float, failed: bool) -> None:
         self.observations += 1
         weight = max(_WEIGHT, 1 / self.observations)
         self.failures += weight * (failed - self.failures)
-        # How fast a target fails says nothing of how fast it answers.
+        # The time until a failure says nothing about the latency of answers.
         if not failed:
             self.log_latency += weight * (log_latency - self.log_latency)
 
 
 class Ejector:
-    """Judge the targets of one service against one another.
+    """Compare the targets of one service with one another.
 
-    One entry cannot tell a slow target from a slow service but by comparison. When
-    all are slow, the median is slow too and nobody is set aside; when more fail than
-    may be set aside, the rest stays in service: half of the targets under twice the
-    load would fail as well.
+    An entry can only distinguish a slow target from a slow service by comparison. If
+    all targets are slow, the median is slow too and none is ejected. If more targets
+    fail than may be ejected, the others stay in service: half of the targets under
+    twice the load would fail as well.
     """
 
     def __init__(self, *, max_ejected_percent: int = 30) -> None:
@@ -87,7 +89,7 @@
         self._median_at = float("-inf")
 
     def connect(self, name: str, incarnation: int) -> None:
-        """Judge a target from now on; only a new incarnation has no history."""
+        """Start observing a target; only a new incarnation has no history."""
         self.disconnect(name)
         health = self._absent.pop((name, incarnation), None) or _Health()
         health.probes_running = 0
@@ -100,7 +102,7 @@
         self._incarnations[name] = incarnation
 
     def disconnect(self, name: str) -> None:
-        """Stop to judge a target."""
+        """Stop observing a target and keep its history."""
         health = self._targets.pop(name, None)
         if health is None:
             return
@@ -112,29 +114,29 @@
         self._reinstate_excess()
 
     def set_max_ejected(self, percent: int) -> None:
-        """Change how many targets may be set aside, in per cent."""
+        """Set the maximum percentage of ejected targets."""
         self._max_ejected_percent = percent
         self._reinstate_excess()
 
     def count_ejected(self) -> int:
-        """Return the number of targets that are set aside or on trial."""
+        """Return the number of targets that are ejected or probing."""
         return self._ejected
 
     def get_max_ejected(self) -> int:
-        """Return how many targets may be set aside at one time."""
+        """Return the maximum number of targets that may be ejected at the same time."""
         count = len(self._targets)
         if self._max_ejected_percent == 0 or count < MIN_TARGETS:
             return 0
-        # Three targets at 30% would allow none; one slow of three can be told and
-        # the other two carry its work.
+        # 30% of three targets would allow none. One slow target of three can be
+        # detected, and the other two can carry its work.
         return max(1, count * self._max_ejected_percent // 100)
 
     def get_state(self, name: str) -> HealthState:
-        """Return how far a target is trusted."""
+        """Return the health state of a target."""
         return self._targets[name].state
 
     def get_share(self, name: str) -> float:
-        """Return the share of its usual work that a target gets, 0 to 1."""
+        """Return the fraction of its usual work that a target gets, 0 to 1."""
         health = self._targets.get(name)
         if health is None:
             return 1.0
@@ -143,10 +145,10 @@
         return health.share
 
     def is_probe_due(self, name: str, *, now: float) -> bool:
-        """Tell whether a target that was set aside should get one request.
+        """Return whether an ejected target should get one request as a probe.
 
-        The probe is a caller's request: nobody else can say what a target's answer
-        should be. One at a time costs at most one caller a slow answer.
+        The probe is a caller's request, because only callers know what the answer
+        should be. One probe at a time delays at most one caller.
         """
         health = self._targets.get(name)
         return (
@@ -157,7 +159,7 @@
         )
 
     def start(self, name: str) -> bool:
-        """Take note of a request that is sent; return whether it is a probe."""
+        """Record a request that is sent; return whether it is a probe."""
         health = self._targets.get(name)
         if health is None or health.state is HealthState.IN_SERVICE:
             return False
@@ -168,7 +170,7 @@
         return True
 
     def finish_probe(self, name: str) -> None:
-        """Take note that a probe has left a target, whatever its result."""
+        """Record that a probe has left a target, whatever its result."""
         health = self._targets.get(name)
         if health is not None and health.probes_running:
             health.probes_running -= 1
@@ -176,7 +178,7 @@
     def observe(
         self, name: str, *, latency_s: float, failed: bool, probe: bool, now: float
     ) -> None:
-        """Judge a target by the time to the first byte of one answer."""
+        """Record the time to the first byte of one answer, and update the health."""
         health = self._targets.get(name)
         if health is None:
             return
@@ -193,10 +195,10 @@
     def observe_wait(
         self, name: str, *, waited_s: float, probe: bool, now: float
     ) -> None:
-        """Judge a target by a wait that ended at the deadline without an answer.
+        """Record a wait that ended at the deadline without an answer.
 
-        The answer's latency would have been longer. A short wait, of a request that
-        had spent its time in the queue, shows nothing.
+        The latency of the answer would have been longer than the wait. A short wait, of
+        a request that had spent its time in the queue, shows nothing.
         """
         health = self._targets.get(name)
         if health is None:
@@ -262,7 +264,8 @@
         return math.exp(log_latency - self._median_latency)
 
     def _reinstate_excess(self) -> None:
-        # When targets leave, fewer may be set aside: the rest must carry the work.
+        # When targets disconnect, fewer may be ejected, because the others must carry
+        # the work.
         for health in self._targets.values():
             if self._ejected <= self.get_max_ejected():
                 return
--- a/src/hyssopvane/_internal/policy/failure_detector.py
+++ b/src/hyssopvane/_internal/policy/failure_detector.py
@@ -1,52 +1,52 @@
-"""Judge from the times of its messages whether a peer has gone silent."""
+"""Detect silent peers from the arrival times of their messages."""
 
 import math
 from abc import ABC, abstractmethod
 from collections import deque
 
-# Intervals that the accrual detectors remember: a minute of heartbeats of 0.5 s.
+# Number of intervals that the accrual detectors keep: a minute of heartbeats of 0.5 s.
 WINDOW = 120
-# Before this many intervals the estimate means little.
+# With fewer intervals than this the estimate is not reliable.
 _MIN_INTERVALS = 5
-# A spread of no more than this is taken for the clock's own noise.
+# A smaller deviation is treated as noise of the clock.
 _MIN_DEVIATION_S = 0.02
 _SQRT_2 = math.sqrt(2)
 _LN_10 = math.log(10)
-# From here on the tail of the normal distribution is too small for erfc.
+# From this distance on, the tail of the normal distribution is too small for erfc.
 _FAR_TAIL = 30.0
 _BISECTIONS = 50
 
 
 class FailureDetector(ABC):
-    """Turn the silence of a peer into a level that grows with suspicion."""
+    """Convert the silence of a peer into a suspicion level."""
 
     def __init__(self) -> None:
         self._last_at: float | None = None
 
     def observe(self, now: float) -> None:
-        """Take note of a message."""
+        """Record the arrival of a message."""
         if self._last_at is not None:
             self.add_interval(now - self._last_at)
         self._last_at = now
 
     def is_suspect(self, now: float, *, threshold: float) -> bool:
-        """Tell whether the peer is to be taken for lost."""
+        """Return whether the peer is considered lost."""
         return self._last_at is not None and self.get_level(now) > threshold
 
     def get_level(self, now: float) -> float:
-        """Return the level of suspicion."""
+        """Return the suspicion level at a time."""
         return 0.0 if self._last_at is None else self.compute_level(now - self._last_at)
 
     @abstractmethod
     def add_interval(self, seconds: float) -> None:
-        """Learn from the time between two messages."""
+        """Add the interval between two messages."""
 
     @abstractmethod
     def compute_level(self, silent_s: float) -> float:
         """Return the level after a silence; it never falls as the silence grows."""
 
     def find_silence(self, threshold: float, *, longest_s: float) -> float:
-        """Return the silence at which the level reaches a threshold."""
+        """Return the silence in seconds at which the level reaches a threshold."""
         low, high = 0.0, longest_s
         if self.compute_level(high) <= threshold:
             return longest_s
@@ -63,7 +63,7 @@
     """Suspect a peer by its silence alone; the level is in seconds."""
 
     def add_interval(self, seconds: float) -> None:
-        """Learn nothing."""
+        """Ignore the interval."""
 
     def compute_level(self, silent_s: float) -> float:
         """Return the silence itself."""
@@ -71,10 +71,10 @@
 
 
 class AccrualDetector(FailureDetector):
-    r"""Suspect a peer by how unlikely its silence is, as -log10 of the chance.
+    r"""Suspect a peer by the probability of its silence, as -log10.
 
-    After "\varphi-Accrual Failure Detection", which keeps rolling sums of the
-    intervals and leaves the distribution open.
+    After "\varphi-Accrual Failure Detection", which keeps rolling sums of the intervals
+    and does not prescribe the distribution.
     """
 
     def __init__(self, *, window: int = WINDOW) -> None:
@@ -95,7 +95,7 @@
             self._squares -= oldest * oldest
 
     def compute_level(self, silent_s: float) -> float:
-        """Return -log10 of the chance that a message still comes."""
+        """Return -log10 of the probability that a message still arrives."""
         count = len(self._intervals)
         if count < _MIN_INTERVALS:
             return 0.0
@@ -107,11 +107,11 @@
     def compute_tail_level(
         self, silent_s: float, mean: float, deviation: float
     ) -> float:
-        """Return the level for intervals of this mean and deviation."""
+        """Return the level for intervals with this mean and standard deviation."""
 
 
 class AccrualNormal(AccrualDetector):
-    """Take the intervals for normally distributed."""
+    """Assume normally distributed intervals."""
 
     def compute_tail_level(
         self, silent_s: float, mean: float, deviation: float
@@ -125,7 +125,7 @@
 
 
 class AccrualExponential(AccrualDetector):
-    """Take the intervals for exponentially distributed."""
+    """Assume exponentially distributed intervals."""
 
     def compute_tail_level(
         self, silent_s: float, mean: float, deviation: float
--- a/src/hyssopvane/_internal/policy/suspects.py
+++ b/src/hyssopvane/_internal/policy/suspects.py
@@ -1,32 +1,36 @@
-"""Find the request that crashes its targets, and keep it from the others."""
+"""Find requests that crash their targets, and keep them from other targets."""
 
 from collections import Counter, OrderedDict
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-# Crashes after which a body is refused. At the first crash every request that ran at
-# the target may be the cause; a second one with the same suspect is hardly chance.
+# Crashes after which a body is refused. After the first crash, every request that ran
+# at the target may be the cause; a second crash with the same suspect is unlikely to be
+# a coincidence.
 CRASHES_TO_QUARANTINE = 2
-# Time for which a body that was running in a crash is a suspect. Callers that repeat
-# do so within minutes; an unrelated second crash that late must not be held against it.
+# Seconds for which a body that was running in a crash is a suspect. Callers that repeat
+# a request do so within minutes; an unrelated crash after this time must not count
+# against the body.
 SUSPECT_S = 600.0
-# A suspect rests for this long after a crash. Word of crashes at other entries comes
-# within a tenth of a second; three entries that tried again at once would crash three
-# more targets to learn what the first three had told.
+# Backoff of a suspect after a crash. Reports of crashes at other entries arrive within
+# a tenth of a second; three entries that retried at once would crash three more targets
+# to learn what the first three crashes had shown.
 SUSPECT_BACKOFF_S = 0.25
-# Two entries see one crash within milliseconds of each other, and a target that crashed
-# is not back within this time; closer reports are of the same crash.
+# Two entries detect one crash within milliseconds of each other, and a target that
+# crashed is not back within this time. So reports within it are of the same crash.
 SAME_CRASH_S = 2.0
-# Crashes that a suspect stood in, kept while reports of its neighbours still come.
+# Maximum number of crashes attributed to a known suspect. They are kept while reports
+# about other requests that ran at the same target still arrive.
 _MAX_ATTRIBUTED = 256
-# 32 suspects a crash and 140 crashes on an ordinary day come nowhere near; a caller
-# that varies its body at each try fills it, and the oldest suspects go first.
+# 32 suspects a crash and 140 crashes on an ordinary day stay far below this. A caller
+# that varies its body on each attempt can fill it; then the oldest suspects are removed
+# first.
 MAX_RECORDS = 2_048
 
 
 @dataclass(frozen=True, slots=True)
 class BodyId:
-    """Name a body by its service and digest."""
+    """Identify a body by its service and digest."""
 
     service: str
     digest: bytes
@@ -34,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """Name one crash of a target."""
+    """Identify one crash of a target."""
 
     target: str
     incarnation: int
     at: float
 
     def is_same(self, other: "Crash") -> bool:
-        """Tell whether two reports are of one crash."""
+        """Return whether two reports are of the same crash."""
         return (
             self.target == other.target
             and self.incarnation == other.incarnation
@@ -51,22 +55,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectRecord:
-    """Hold what is known against one body."""
+    """Hold the crashes that count against one body, and whether it is quarantined."""
 
     crashes: tuple[Crash, ...]
     quarantined: bool
     until: float
-    """Clock value at which the case is forgotten."""
+    """Clock value at which the record expires."""
 
 
 class SuspectTracker:
-    """Hold the cases against bodies, as one entry knows them.
+    """Track suspect and quarantined bodies, as known to one entry.
 
-    Targets that a body can crash, fleet-wide, while its caller keeps sending it: the
-    copies that run when word of the first crash arrives, and at most one more for
-    each entry that gets the body before word of the second crash arrives. A copy
-    through one entry crashes two, copies through three entries at once crash three,
-    and six at most when the key-value service is out.
+    A body can crash these targets, in the whole fleet, while its caller keeps sending
+    it: the copies that run when the report of the first crash arrives, and at most one
+    more for each entry that gets the body before the report of the second crash
+    arrives. A copy through one entry crashes two targets, copies through three entries
+    at once crash three, and six at most when the key-value service is unavailable.
     """
 
     def __init__(self, *, max_records: int = MAX_RECORDS) -> None:
@@ -80,21 +84,21 @@
         return len(self._records)
 
     def is_quarantined(self, body: BodyId, *, now: float) -> bool:
-        """Tell whether a body is to be refused."""
+        """Return whether a body must be refused."""
         record = self._find(body, now)
         return record is not None and record.quarantined
 
     def is_suspect(self, body: BodyId, *, now: float) -> bool:
-        """Tell whether a body was running in a crash and has not finished since."""
+        """Return whether a body was running in a crash and has not finished since."""
         record = self._find(body, now)
         return record is not None and not record.quarantined
 
     def find_excluded(self, body: BodyId, *, now: float) -> frozenset[str] | None:
-        """Return the targets that must not run a body now, None when all must not.
+        """Return the targets that must not run a body now, None for all targets.
 
-        A target runs at most one suspect at a time, so that the next crash tells
-        which one it was. A suspect runs at one target at a time: two copies would
-        crash two targets to learn what one tells.
+        A target runs at most one suspect at a time, so that the next crash identifies
+        the cause. A suspect runs at one target at a time: two copies would crash two
+        targets to learn what one crash shows.
         """
         if not self.is_suspect(body, now=now):
             return frozenset()
@@ -110,11 +114,11 @@
         )
 
     def start(self, body: BodyId, target: str) -> None:
-        """Take note that a body begins to run at a target."""
+        """Record that a body starts to run at a target."""
         self._running.setdefault(target, Counter())[body] += 1
 
     def stop(self, body: BodyId, target: str) -> None:
-        """Take note that a body no longer runs at a target."""
+        """Record that a body no longer runs at a target."""
         bodies = self._running.get(target)
         if bodies is None:
             return
@@ -125,7 +129,7 @@
             del self._running[target]
 
     def clear(self, body: BodyId) -> None:
-        """Drop the case against a body that finished."""
+        """Remove the record of a suspect body that finished."""
         record = self._records.get(body)
         if record is not None and not record.quarantined:
             del self._records[body]
@@ -134,13 +138,14 @@
     def note_crash(
         self, body: BodyId, crash: Crash, *, quarantine_s: float, now: float
     ) -> None:
-        """Hold a crash against a body that was running in it."""
+        """Record a crash of a target at which a body was running."""
         known = self._find(body, now)
         if known is not None:
             self._mark_attributed(crash)
         elif self._is_attributed(crash, now):
-            # The suspect that ran beside it is the likelier cause. Its neighbours
-            # would else stand accused for each crash that it brings about.
+            # The suspect that ran at the same target is the likelier cause. Otherwise
+            # the requests next to it would become suspects at each crash that it
+            # causes.
             return
         crashes = _add_crash(known.crashes if known else (), crash)
         if known is not None and crashes == known.crashes:
@@ -151,7 +156,7 @@
     def merge(
         self, body: BodyId, record: SuspectRecord, *, quarantine_s: float, now: float
     ) -> None:
-        """Add what other entries know against a body."""
+        """Merge what other entries recorded about a body."""
         known = self._find(body, now)
         merged = combine(record, known) if known is not None else record
         if merged.quarantined and not (
@@ -164,22 +169,22 @@
             self._changed.add(body)
 
     def drop(self, body: BodyId) -> None:
-        """Forget a case that another entry has cleared."""
+        """Remove a record that another entry has cleared."""
         if body not in self._changed:
             self._records.pop(body, None)
 
     def get_record(self, body: BodyId) -> SuspectRecord | None:
-        """Return the case against a body."""
+        """Return the record of a body."""
         return self._records.get(body)
 
     def take_changes(self) -> frozenset[BodyId]:
-        """Return the bodies whose cases changed here since the last call."""
+        """Return the bodies whose records changed here since the last call."""
         changed = frozenset(self._changed)
         self._changed.clear()
         return changed
 
     def return_changes(self, bodies: Iterable[BodyId]) -> None:
-        """Give back changes that could not be shared, for the next try."""
+        """Put back changes that could not be shared, for the next attempt."""
         self._changed.update(bodies)
 
     def _mark_attributed(self, crash: Crash) -> None:
@@ -208,7 +213,7 @@
 
 
 def combine(first: SuspectRecord, second: SuspectRecord) -> SuspectRecord:
-    """Join what two entries know; the first's time counts where both agree."""
+    """Combine two records of a body; the first one's expiry applies if both agree."""
     crashes = first.crashes
     for crash in second.crashes:
         crashes = _add_crash(crashes, crash)
