--- a/src/hyssopvane/_internal/policy/keyed_request.py
+++ b/src/hyssopvane/_internal/policy/keyed_request.py
@@ -1,4 +1,4 @@
-"""Decide step by step how a request with an idempotency key runs at most once."""
+"""Decide the steps by which a request with an idempotency key runs at most once."""
 
 from dataclasses import dataclass, replace
 
@@ -16,10 +16,10 @@
 )
 
 MAX_JOINS = 4
-"""Attempts of other entries that one request follows before it gives up.
+"""Attempts of other entries that one request joins before it gives up.
 
-Each has its tombstone at its agent before the next is looked at; more of them come
-only from callers who send one key over and over while targets refuse it.
+Each of them has a tombstone at its agent before the next one is read. More of them only
+occur when a caller sends one key repeatedly while targets refuse it.
 """
 
 _RETRY_AFTER_S = 1.0
@@ -37,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Ask for a target."""
+    """Request a target."""
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Make a change to the claim and tell which claim is there afterwards."""
+    """Write a change to the claim and return the claim that is stored afterwards."""
 
     change: ClaimChange
 
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """Ask the agent of this claim for the answer of its attempt; start nothing.
+    """Request the answer of this claim's attempt from its agent; start nothing.
 
-    An agent that does not know the attempt buries it.
+    An agent that does not know the attempt writes a tombstone for it.
     """
 
     claim: Claim
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Tell the caller why there is no answer."""
+    """Return a refusal to the caller."""
 
     refusal: Refusal
 
@@ -75,50 +75,51 @@
 
 
 class KeyedRequest:
-    """Take what happened to a request and return what to do next.
+    """Map each event of a request to its next step.
 
-    Made for callers who send a request again through another entry while the first
-    still works on it. The harm prevented is a second run, and a caller who is told
-    that nothing ran while something did or will.
+    A caller may send a request again through another entry while the first entry still
+    works on it. The steps prevent a second run, and prevent the outcome "not run" for a
+    request that did run or will run.
     """
 
     def __init__(self, key: ClaimKey, body_digest: int) -> None:
         self._key = key
         self._body_digest = body_digest
         self._expected = NO_ATTEMPT
-        """Attempt in the claim of which an agent proved that it never runs."""
+        """Attempt in the claim that an agent proved will never run."""
         self._claim: Claim | None = None
-        """Claim that this request sends or joins now."""
+        """Claim that this request currently sends or joins."""
         self._wanted: Claim | None = None
-        """Claim of the write that is under way."""
+        """Claim of the write that is in flight."""
         self._refusal: Refusal | None = None
-        """Refusal that waits for its void claim."""
+        """Refusal that is returned after its void claim is written."""
         self._joins = 0
 
     def begin(self, *, look: bool) -> Step:
-        """Begin; `look` where the key may well have been seen before."""
+        """Return the first step; `look` if the key has probably been used before."""
         return ReadClaim() if look else Place()
 
     def handle_claim(self, claim: Claim | None) -> Step:
-        """Go on with the claim that was read."""
+        """Handle the claim that was read."""
         return Place() if claim is None else self._handle_existing_claim(claim)
 
     def handle_target(self, target: str, incarnation: int, attempt: int) -> Step:
-        """Go on with a target and the number of a new attempt."""
+        """Handle a placement: a target and the number of a new attempt."""
         return self._write(Claim(attempt, self._body_digest, target, incarnation))
 
     def handle_no_target(self, refusal: Refusal, *, attempt: int) -> Step:
-        """Go on without a target; `attempt` is a new number."""
+        """Handle a refused placement; `attempt` is a new attempt number."""
         if refusal.retry_after_s is not None:
-            # Coming back with the same key helps, so the key must stay usable. No
-            # write is spent on it either: under a burst these refusals are many.
+            # A retry with the same key may succeed, so the key must stay usable. The
+            # claim is not written either: under a burst there are many of these
+            # refusals.
             return Refuse(make_outcome_unknown(refusal))
         self._refusal = refusal
         number = attempt if self._expected == NO_ATTEMPT else self._expected
         return self._write(Claim(number, self._body_digest, void=True))
 
     def handle_written(self, claim: Claim | None) -> Step:
-        """Go on with the claim that is in the page after the write."""
+        """Handle the claim that is in the page after the write."""
         wanted, refusal = self._wanted, self._refusal
         self._wanted = self._refusal = None
         if wanted is None or claim is None:
@@ -126,26 +127,27 @@
         if claim != wanted:
             return self._handle_existing_claim(claim)
         if refusal is not None:
-            # The page now says that no attempt of this key may run, whoever still
-            # waits with one; before that, another entry could have started it.
+            # The page now records that no attempt of this key may run, including
+            # attempts that are still pending elsewhere. Before the write another entry
+            # could have started one.
             return Refuse(replace(refusal, outcome=Outcome.NOT_RUN))
         self._claim = claim
         return Send(claim)
 
     def handle_write_failure(self, why: str) -> Step:
-        """Go on when it is not known which claim is in the page."""
+        """Handle a write after which it is unknown which claim is in the page."""
         refusal, self._refusal = self._refusal, None
         if refusal is not None:
             return Refuse(make_outcome_unknown(refusal))
         return self._refuse_unavailable(why)
 
     def handle_agent_refusal(self, reason: AgentRefusal, *, joined: bool) -> Step:
-        """Go on after the agent said that it did not start the attempt."""
+        """Handle the agent's report that it did not start the attempt."""
         assert self._claim is not None
         if joined and reason is AgentRefusal.NOT_CONNECTED:
             return self._join(self._claim)
         if joined and reason is AgentRefusal.WRONG_INCARNATION:
-            # What the agent knew is gone; the attempt may have run before.
+            # The agent lost its state; the attempt may have run before.
             detail = "the agent that held the key has been restarted"
             return _refuse_unknown(RefusalReason.TARGET_LOST, detail)
         if not reason.proves_not_run:
@@ -156,7 +158,7 @@
         return Place()
 
     def handle_lost_connection(self) -> Step:
-        """Go on after the connection to the agent was lost."""
+        """Handle a lost connection to the agent."""
         assert self._claim is not None
         return self._join(self._claim)
 
@@ -196,10 +198,11 @@
 
 
 def make_outcome_unknown(refusal: Refusal) -> Refusal:
-    """Return a refusal of this attempt that says nothing about the key's others.
+    """Return a refusal that proves nothing about the key's other attempts.
 
-    The caller may have come back through another entry while the first still claims
-    the key; what this entry did not do proves nothing about that one.
+    The caller may have sent the key again through another entry while the first entry
+    still claims it. That this entry did not run the request proves nothing about the
+    first entry.
     """
     if refusal.outcome is not Outcome.NOT_RUN:
         return refusal
--- a/src/hyssopvane/_internal/policy/limited_replicas.py
+++ b/src/hyssopvane/_internal/policy/limited_replicas.py
@@ -1,4 +1,4 @@
-"""Keep to the request limits that the replicas of one service name."""
+"""Enforce the request limits that the replicas of one service set."""
 
 from dataclasses import dataclass
 from random import Random
@@ -8,16 +8,17 @@
 from hyssopvane._internal.state.routing import Replica
 
 LIMIT_TTL_S = 30.0
-"""Time without news after which a limit no longer counts.
+"""Seconds without an update after which a limit expires.
 
-A replica that no entry of its zone is left to send to would get no request for ever.
+Without it, a limited replica in a zone without entries would never receive a request
+again.
 """
 
 ENDED_LIMIT_TTL_S = 5.0
-"""Time for which other entries are told that a limit has ended."""
+"""Seconds for which the end of a limit is published to other entries."""
 
 MAX_LIMITS_PER_MESSAGE = 24
-"""Limits in one message: some 40 bytes each, less than a packet in all."""
+"""Limits in one message: some 40 bytes each, less than a packet in total."""
 
 
 @dataclass(slots=True)
@@ -29,10 +30,10 @@
 
 
 class LimitedReplicas:
-    """Hold the replicas of one service that name a limit, or did so lately.
+    """Track the replicas of one service that have a limit or had one recently.
 
-    Made for replicas in need, which ask all entries together for fewer requests: one
-    that is not spared fails, and takes the requests that it has along.
+    Overloaded replicas ask all entries together for fewer requests. A replica that gets
+    more fails, and all its requests fail with it.
     """
 
     def __init__(self, *, random: Random, census: EntryCensus) -> None:
@@ -45,7 +46,7 @@
     def observe(
         self, replica: Replica, per_s: float | None, *, received_at: float, now: float
     ) -> bool:
-        """Take what a replica said; tell whether it changes what is believed."""
+        """Record a limit that a replica reported; return whether it is a change."""
         known = self._known.get(replica.address)
         if known is not None and not _is_same_start(known.replica, replica):
             known = None
@@ -53,7 +54,8 @@
             if per_s is None:
                 return False
             share = self._measure_share(replica, per_s)
-            # The place in the own pause is drawn: see `RequestPace`.
+            # The phase is random so that entries do not send at the same moment; see
+            # `RequestPace`.
             phase = self._random.random()
             pace = RequestPace(per_s=share, now=now, phase=phase)
             self._known[replica.address] = _LimitRecord(
@@ -67,11 +69,11 @@
         return is_new
 
     def forget(self, address: str) -> None:
-        """Drop what was said by a replica that has left or started anew."""
+        """Remove the limit of a replica that has left or restarted."""
         self._known.pop(address, None)
 
     def refresh(self, now: float) -> list[str]:
-        """Drop limits that nobody has heard of for long; return their addresses."""
+        """Remove expired limits; return the addresses of those that were in force."""
         old = [
             address
             for address, known in self._known.items()
@@ -84,11 +86,11 @@
         return named
 
     def may_send(self, replica: Replica, now: float) -> bool:
-        """Tell whether a replica takes one more request of this entry now."""
+        """Return whether a replica accepts one more request of this entry now."""
         return not self.measure_due_s(replica, now)
 
     def measure_due_s(self, replica: Replica, now: float) -> float:
-        """Return the time until a replica takes the next request of this entry."""
+        """Return the seconds until a replica accepts the next request of this entry."""
         known = self._find(replica)
         if known is None or known.per_s is None:
             return 0.0
@@ -102,14 +104,14 @@
             known.pace.take(now)
 
     def get_share(self, replica: Replica) -> float | None:
-        """Return the requests a second that this entry may send, None without limit."""
+        """Return this entry's share of requests a second, None without a limit."""
         known = self._find(replica)
         if known is None or known.per_s is None:
             return None
         return self._measure_share(replica, known.per_s)
 
     def list_updates(self, now: float) -> list[LimitNews]:
-        """Return what other entries are told now, a bounded number in turn."""
+        """Return a bounded number of limits for other entries, in rotation."""
         known = list(self._known.values())
         if len(known) > MAX_LIMITS_PER_MESSAGE:
             at = self._next_index % len(known)
@@ -126,7 +128,7 @@
         ]
 
     def __len__(self) -> int:
-        """Return the number of replicas that name a limit, or did so lately."""
+        """Return the number of replicas that have a limit or had one recently."""
         return len(self._known)
 
     def _find(self, replica: Replica) -> _LimitRecord | None:
@@ -142,11 +144,11 @@
 
 
 def _is_same_start(known: Replica, other: Replica) -> bool:
-    """Tell whether two beliefs of a replica are of one start, as far as known."""
+    """Return whether two records of a replica may be of the same start."""
     same_id = known.id == other.id
     return same_id and may_be_same_start(known.started_ms, other.started_ms)
 
 
 def may_be_same_start(some_ms: int, other_ms: int) -> bool:
-    """Tell whether two names of starts differ only where one is not known."""
+    """Return whether two start times are equal, or one of them is unknown (0)."""
     return 0 in (some_ms, other_ms) or some_ms == other_ms
--- a/src/hyssopvane/_internal/policy/replica_notices.py
+++ b/src/hyssopvane/_internal/policy/replica_notices.py
@@ -1,4 +1,4 @@
-"""Keep what replicas say of themselves in their answers to this entry."""
+"""Track what replicas report about themselves in their answers to this entry."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,19 +7,20 @@
 from hyssopvane._internal.state.routing import Replica
 
 MAX_PAUSE_S = 3_600.0
-"""Longest time for which an answer may keep requests away from a replica."""
+"""Maximum seconds for which an answer may keep requests away from a replica."""
 
 START_PROPAGATION_S = 1.0
-"""Time that the news of a replica's start may take: a rest that was told so shortly
-before may be of that start already."""
+"""Seconds that the update about a replica's start may take. A pause received at most
+this long before the update may already be from the new start."""
 
 LEAVING_TTL_S = 3_600.0
-"""Time without a registration after which it is forgotten that a replica leaves."""
+"""Seconds without a registration after which the record of a leaving replica is
+removed."""
 
 
 @dataclass(slots=True)
 class _Notice:
-    """Hold what one replica has said."""
+    """Record what one replica has reported."""
 
     started_ms: int
     seen_at: float
@@ -30,10 +31,10 @@
 
 
 class ReplicaNotices:
-    """Hold which replicas want no requests of this entry, for a time or for good.
+    """Track which replicas want no requests of this entry, for a time or for good.
 
-    What a replica said holds whatever becomes of its registration, its address or other
-    beliefs. A rest ends with its time, and both end when the replica starts anew.
+    A report stays in force regardless of the replica's registration, address or other
+    records. A pause ends with its time, and both kinds end when the replica restarts.
     """
 
     def __init__(self) -> None:
@@ -41,10 +42,9 @@
         """By the id of the replica."""
 
     def note_rest(self, replica: Replica, rest_s: float, *, now: float) -> bool:
-        """Take the time for which a replica wants no requests.
+        """Record a pause in seconds that a replica asked for; return whether it is new.
 
-        Tell whether it wanted some before. A shorter time takes nothing back from a
-        longer one.
+        A shorter pause does not replace a longer one.
         """
         until = now + min(rest_s, MAX_PAUSE_S)
         if until <= now:
@@ -56,14 +56,14 @@
         return is_new
 
     def note_leaving(self, replica: Replica, *, now: float) -> bool:
-        """Take note that a replica leaves; tell whether that is new."""
+        """Record that a replica is leaving; return whether that is new."""
         notice = self._get(replica, now)
         is_new = not notice.leaving
         notice.leaving = True
         return is_new
 
     def note_registered(self, replicas: Iterable[Replica], *, now: float) -> None:
-        """Learn which starts of replicas are the present ones."""
+        """Update the current starts of replicas from registrations or loads."""
         if not self._known:
             return
         for replica in replicas:
@@ -75,22 +75,22 @@
                 _reset_for_new_start(notice, replica.started_ms, now)
 
     def takes_requests(self, replica: Replica, now: float) -> bool:
-        """Tell whether a replica takes requests, as far as it has said."""
+        """Return whether a replica accepts requests, according to its own reports."""
         notice = self._known.get(replica.id)
         return notice is None or not (notice.leaving or now < notice.pause_until)
 
     def is_leaving(self, replica: Replica) -> bool:
-        """Tell whether a replica has said that it leaves."""
+        """Return whether a replica has reported that it is leaving."""
         notice = self._known.get(replica.id)
         return notice is not None and notice.leaving
 
     def measure_rest_s(self, replica: Replica, now: float) -> float:
-        """Return the time for which a replica still wants no requests."""
+        """Return the remaining seconds of a replica's pause."""
         notice = self._known.get(replica.id)
         return 0.0 if notice is None else max(0.0, notice.pause_until - now)
 
     def expire(self, now: float) -> list[str]:
-        """Forget what is over; return the ids of replicas whose rest has ended."""
+        """Remove expired records; return the ids of replicas whose pause has ended."""
         rested = []
         for key, notice in list(self._known.items()):
             if -inf < notice.pause_until <= now:
@@ -103,11 +103,11 @@
         return rested
 
     def count_paused(self, now: float) -> int:
-        """Return the number of replicas that want no requests for a time."""
+        """Return the number of replicas that are paused."""
         return sum(now < notice.pause_until for notice in self._known.values())
 
     def __len__(self) -> int:
-        """Return the number of replicas of which something is known."""
+        """Return the number of replicas with a record."""
         return len(self._known)
 
     def _get(self, replica: Replica, now: float) -> _Notice:
@@ -119,10 +119,10 @@
 
 
 def _reset_for_new_start(notice: _Notice, started_ms: int, now: float) -> None:
-    """Let what an earlier start of the replica has said end."""
+    """End what an earlier start of the replica reported."""
     if notice.started_ms:
-        # A new start that leaves says so again. One that was taken for leaving by the
-        # last answer of the start before would never get a request.
+        # A new start that leaves reports it again. If the last answer of the previous
+        # start marked the new start as leaving, it would never get a request.
         notice.leaving = False
         if now - notice.pause_received_at > START_PROPAGATION_S:
             notice.pause_until = -inf
