--- a/src/hyssopvane/_internal/policy/share_grants.py
+++ b/src/hyssopvane/_internal/policy/share_grants.py
@@ -1,4 +1,4 @@
-"""Give out shares of customers' limits, as the aggregating entry."""
+"""Grant shares of customers' limits, as the aggregating entry."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class _Holder:
-    """Hold what one entry may have in force of one customer's limits."""
+    """Track what one entry may have in force of one customer's limits."""
 
     need: float = 0.0
     last_sequence: int = 0
@@ -39,21 +39,21 @@
 
 @dataclass(slots=True)
 class _Pool:
-    """Hold who has a part of one customer's limits."""
+    """Track the entries that hold grants of one customer's limits."""
 
     since: float
-    """When this entry became the one that gives."""
+    """When this entry became the one that grants."""
     holders: dict[EntryId, _Holder] = field(default_factory=dict)
 
 
 class ShareGranter:
     """Divide the pool of each customer that this entry aggregates.
 
-    An entry that dies or is cut off stops asking, and its grant ends by its lease. The
-    giver counts a grant until it has surely ended at its holder: the holder counts the
-    lease from when it asked, the giver from when the ask came. When a grant is renewed
-    with less, the larger one counts until its end or the holder's next ask, since the
-    answer may be lost.
+    An entry that dies or is cut off stops asking, and its grant ends with its lease.
+    The granter counts a grant until it has certainly ended at its holder: the holder
+    counts the lease from when it sent the ask, the granter from when it received the
+    ask. When a grant is renewed with a smaller amount, the larger one counts until its
+    end or the holder's next ask, since the answer may be lost.
     """
 
     def __init__(self, view: EntryView, *, own_vm: str) -> None:
@@ -62,13 +62,14 @@
         self._pools: dict[str, _Pool] = {}
 
     def update_customers(self, customers: Mapping[str, object], *, now: float) -> None:
-        """Take up customers that this entry aggregates and drop others."""
+        """Add customers that this entry now aggregates and remove the others."""
         for customer in list(self._pools):
             pool = self._pools[customer]
             self._drop_gone(pool, now=now)
             if customer not in customers or not self._aggregates(customer):
-                # What was given stays in force for its lease, but the successor
-                # waits that long, and so does this entry should it come back.
+                # Grants stay in force for their lease. The successor waits that long
+                # before it grants, and so does this entry if it aggregates the customer
+                # again.
                 del self._pools[customer]
         for customer in customers:
             if customer not in self._pools and self._aggregates(customer):
@@ -77,14 +78,14 @@
     def answer(
         self, entry: EntryId, ask: ShareAsk, *, now: float
     ) -> ShareAnswer | None:
-        """Grant a share; None when this entry does not aggregate the customer."""
+        """Grant a share; return None for a stale ask or another granter's customer."""
         pool = self._pools.get(ask.customer)
         if pool is None or not self._aggregates(ask.customer):
             return None
         self._drop_gone(pool, now=now)
         holder = pool.holders.setdefault(entry, _Holder())
         if ask.sequence <= holder.last_sequence:
-            # A late copy tells what the entry held once; it may hold more by now.
+            # A delayed copy shows what the entry held earlier; it may hold more by now.
             return None
         self._record_ask(holder, ask, now=now)
         lease_s = self._choose_lease(now=now)
@@ -96,9 +97,9 @@
         )
 
     def _record_ask(self, holder: _Holder, ask: ShareAsk, *, now: float) -> None:
-        # What the entry names is all it has in force, and the only answer that it will
-        # still take is the one to this ask; so grants that it never heard of end here.
-        # What a predecessor gave is counted in the same way.
+        # An ask contains all that the entry has in force, and the entry will only
+        # accept the answer to this ask. So grants that it never received end here.
+        # Grants of a predecessor are counted in the same way.
         held = _Grant(ask.held, now + ask.held_s)
         holder.grants = [held] if ask.held else []
         holder.need = ask.need
@@ -118,8 +119,8 @@
         )
         amount = max(0.0, min(fair, total - given))
         if now < pool.since + get_longest_lease(known) + LIST_LAG_S:
-            # Grants of a predecessor are in force that this entry knows nothing of. To
-            # renew one adds nothing to them; to give more might.
+            # Grants of a predecessor that this entry does not know may be in force.
+            # Renewing a grant adds nothing to them; a larger one might.
             amount = min(amount, holder.get_largest_amount())
         return amount
 
@@ -143,7 +144,7 @@
 def divide_max_min(
     needs: Mapping[EntryId, float], total: float
 ) -> dict[EntryId, float]:
-    """Divide a whole so that nobody gets more than it needs (max-min fairness)."""
+    """Divide a total so that no entry gets more than it needs (max-min fairness)."""
     return dict(_fill(needs, total))
 
 
--- a/src/hyssopvane/_internal/policy/shares.py
+++ b/src/hyssopvane/_internal/policy/shares.py
@@ -1,4 +1,4 @@
-"""Hold this entry's shares of customers' limits, and ask for what it needs."""
+"""Hold this entry's shares of customers' limits, and ask for the needed grants."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -17,8 +17,8 @@
 from hyssopvane._internal.state.shares import ShareAnswer, ShareAsk
 from hyssopvane._internal.state.table import CustomerRow
 
-# Demand falls slowly in the eyes of the measure, so that a pause of seconds gives
-# nothing back that is asked for again.
+# The measured demand decreases slowly, so that a pause of some seconds does not return
+# a grant that is needed again.
 _DEMAND_DECAY = 0.8
 _INTERVAL_S = 1.0
 
@@ -46,34 +46,35 @@
         self._started_at: float | None = None
         self._measured_at: float | None = None
         self._safe = 0.0
-        # Until a list of entries is known, one request at a time: all entries may
-        # have started at once, each taking itself for the only one.
+        # Until a list of entries is known, one request at a time: all entries may have
+        # started at once, each assuming to be the only one.
         admission.set_safe_share(0.0)
 
     @property
     def safe_share(self) -> float:
-        """Return the part of every limit that this entry may always use."""
+        """Return the fraction of every limit that this entry may always use."""
         return self._safe
 
     def update_view(self, *, now: float) -> None:
-        """Put the safe share in force; due every second, as known entries age."""
+        """Put the safe share in force; call every second, as known entries expire."""
         if self._started_at is None:
             self._started_at = now
         known = self._view.count_known(now=now)
         alone = known == 1 and now >= self._started_at + LIST_LAG_S
-        # Many entries that start at once may each be first in a list that lags.
+        # Each of several entries that start at once may be the only one in its lagging
+        # list.
         self._safe = 1.0 if alone else RESERVE / known
         self._admission.set_safe_share(self._safe)
 
     def get_fraction(self, customer: str, *, now: float) -> float:
-        """Return the part of a customer's limits that is in force here."""
+        """Return the fraction of a customer's limits that is in force at this entry."""
         holding = self._holdings.get(customer)
         if holding is None or now >= holding.expires_at:
             return self._safe
         return min(1.0, self._safe + holding.granted)
 
     def measure_demand(self, rows: Mapping[str, CustomerRow], *, now: float) -> None:
-        """Measure what customers asked of this entry since the last time."""
+        """Measure what customers requested from this entry since the last call."""
         elapsed_s = _INTERVAL_S
         if self._measured_at is not None:
             elapsed_s = max(_INTERVAL_S / 2, now - self._measured_at)
@@ -91,7 +92,7 @@
                 del self._holdings[customer]
 
     def choose_asks(self, *, now: float) -> dict[str, list[ShareAsk]]:
-        """Return the asks that are due, by the entry that gives."""
+        """Return the asks that are due, by the entry that grants."""
         asks: dict[str, list[ShareAsk]] = {}
         if self._view.count_known(now=now) == 1:
             return asks
@@ -103,11 +104,11 @@
         return asks
 
     def apply(self, answers: Iterable[ShareAnswer], *, sent_at: float) -> None:
-        """Put answers in force; the lease counts from when they were asked for."""
+        """Put answers in force; each lease counts from when its ask was sent."""
         for answer in answers:
             holding = self._holdings.get(answer.customer)
             if holding is None or answer.sequence != holding.asked_sequence:
-                # An answer to an earlier ask: the giver no longer counts it in full.
+                # An answer to an earlier ask: the granter no longer counts it in full.
                 continue
             need = self._get_need(holding)
             holding.granted = answer.amount
@@ -129,7 +130,7 @@
         demand = max((part / limit for part, limit in parts if limit), default=0.0)
         if demand:
             holding = self._holdings.setdefault(row.name, _Holding())
-            # The next line of the caller fades it once.
+            # The caller applies the decay once after this.
             demand = min(1.0, demand * HEADROOM) / _DEMAND_DECAY
             holding.demand = max(holding.demand, demand)
 
