--- a/src/hyssopvane/_internal/policy/subsets.py
+++ b/src/hyssopvane/_internal/policy/subsets.py
@@ -6,20 +6,23 @@
 
 from hyssopvane._internal.policy import rendezvous
 
-# A fleet of today's size is known whole by every entry: nothing is gained by a subset
-# of a dozen targets, and each choice gets better by each of them.
+# Up to this number of targets every entry connects to all of them, as in a fleet of
+# today's size. A subset of a dozen targets saves nothing, and each additional target
+# improves the choice.
 FULL_SUBSET = 64
-# Entries that each target is connected to. At 960 entries and 10,000 targets this is
-# 42 targets an entry, 7 of each of 6 services. A heartbeat is a frame of 92 bytes,
-# about 200 with TCP/IP and its acknowledgement: every 4 s both ways over 42
-# connections it takes 4.1 of the 6 KB/s that a daemon may use for control. Every
-# 0.5 s, as at today's sizes, it would take 33; 8 entries a target would take 8.2.
+# Entries that each target is connected to. At 960 entries and 10,000 targets this is 42
+# targets an entry, 7 of each of 6 services. A heartbeat is a frame of 92 bytes, about
+# 200 with TCP/IP and its acknowledgement: every 4 s both ways over 42 connections it
+# takes 4.1 of the 6 KB/s that a daemon may use for control. Every 0.5 s, as at today's
+# sizes, it would take 33; 8 entries a target would take 8.2.
 ENTRIES_PER_TARGET = 4
-# Of these in the target's own zone, where a hop is shortest. The others let its zone's
-# work spill out and keep it in use when its zone's entries fail.
+# Number of these entries in the target's own zone, where a hop is shortest. The others
+# let work of the zone go to other zones, and keep the target in use when the entries of
+# its zone fail.
 OWN_ZONE_ENTRIES = 2
-# Targets of each service that an entry is connected to at least. With fewer, two
-# random choices are none, and one loss leaves the entry without a choice.
+# Minimum number of targets of each service that an entry connects to. With fewer,
+# choosing between two random targets is no choice, and one loss leaves the entry
+# without an alternative.
 TARGETS_PER_SERVICE = 4
 
 
@@ -36,10 +39,10 @@
 
 
 class ZoneMap:
-    """Group entries by availability zone and share each target's picks among zones.
+    """Group entries by availability zone and divide each target's picks among zones.
 
-    The shares depend on the zones and the rough number of their entries alone, so an
-    entry that comes or goes moves connections only in its own zone.
+    The division depends only on the zones and the approximate number of their entries,
+    so an entry that joins or leaves moves connections only in its own zone.
     """
 
     def __init__(self, entries: Iterable[Member], region_of: Mapping[str, str]) -> None:
@@ -52,7 +55,7 @@
         self.sizes = {
             zone: 1 << len(seeds).bit_length() for zone, seeds in self.seeds.items()
         }
-        """Entries of each zone, in powers of two."""
+        """Number of entries of each zone, as the next higher power of two."""
 
     def share_picks(self, target: Member) -> dict[str, int]:
         """Return how many entries of each zone a target picks."""
@@ -69,8 +72,8 @@
     def _share_among(
         self, zones: list[str], shares: dict[str, int], own: str, missing: int
     ) -> int:
-        # Round after round, so that a zone which has lost its entries does not leave
-        # its targets with fewer.
+        # In rounds, so that the targets of a zone that has lost its entries still get
+        # their full number of entries.
         free = {zone: len(self.seeds[zone]) for zone in zones}
         while missing and any(free.values()):
             for zone in zones:
@@ -86,11 +89,11 @@
         return rendezvous.rank(target.name.encode(), self.seeds[zone], count=count)
 
     def is_picked(self, target: Member, entry: Member, count: int) -> bool:
-        """Tell whether an entry is among those of its zone that a target picks."""
+        """Return whether an entry is among those of its zone that a target picks."""
         key = target.name.encode()
         seeds = self.seeds[entry.availability_zone]
         own = (rendezvous.score(key, seeds[entry.name]), entry.name)
-        # Most entries are not picked, and the first few that rank higher show it.
+        # Most entries are not picked, which the first few with a higher rank show.
         for name, seed in seeds.items():
             if (rendezvous.score(key, seed), name) > own:
                 count -= 1
@@ -108,24 +111,24 @@
         ]
 
     def is_same_region(self, zone: str, other: str) -> bool:
-        """Tell whether two zones are in one region, as far as that is known."""
+        """Return whether two zones are in the same region, as far as that is known."""
         return self._region_of.get(zone, "") == self._region_of.get(other, "")
 
     def _rank_zone(self, key: bytes, own: str, zone: str) -> float:
         if zone == own:
             return -1.0
-        # A zone with twice the entries wins twice as often.
+        # A zone with twice the entries is first twice as often.
         rank = rendezvous.score(key, self._zone_seeds[zone])
         return -math.log((rank + 1) / _HASH_RANGE) / self.sizes[zone]
 
 
 class SubsetMap:
-    """Hold which targets pick an entry, kept up to date as members come and go.
+    """Track which targets pick an entry, updated as members join and leave.
 
-    Each target picks its entries by rendezvous hash, so that every entry works out the
-    same map from the same list without a word between them, a target that joins or
-    leaves moves its own connections only, and an entry that leaves moves only the
-    targets that had picked it. Every target has the same number of entries.
+    Each target picks its entries by rendezvous hash. So every entry computes the same
+    map from the same list without communication, a target that joins or leaves moves
+    only its own connections, and an entry that leaves moves only the targets that had
+    picked it. Every target has the same number of entries.
     """
 
     def __init__(
@@ -137,7 +140,7 @@
         self._targets: frozenset[Member] = frozenset()
         self._zones = ZoneMap((), {})
         self._shares: dict[Member, int] = {}
-        """Picks that each target makes in this entry's zone."""
+        """Number of entries that each target picks in this entry's zone."""
         self._picks: dict[Member, bool] = {}
         """Whether a target that picks in this entry's zone picks this entry."""
         self._chosen: frozenset[str] = frozenset()
@@ -146,7 +149,7 @@
     def update(
         self, *, entries: Iterable[Member], targets: Iterable[Member]
     ) -> frozenset[str]:
-        """Take the live list; return the names of this entry's targets."""
+        """Apply the live list; return the names of this entry's targets."""
         # This entry may not be on the lagging list yet.
         new_entries = frozenset((*entries, self._own))
         new_targets = frozenset(targets)
@@ -170,7 +173,7 @@
         return self._primary_targets
 
     def _is_first(self, target: Member) -> bool:
-        # All its entries work this out alike, as long as their lists agree.
+        # All its entries get the same result, provided that their lists agree.
         names = self._zones.pick_all(target)
         key = target.name.encode()
         seeds = {name: rendezvous.hash_name(name) for name in names}
--- a/src/hyssopvane/_internal/policy/watchers.py
+++ b/src/hyssopvane/_internal/policy/watchers.py
@@ -1,4 +1,4 @@
-"""Choose who watches the platform's services, and whom each entry passes news on to."""
+"""Choose which entries watch the platform's services and how updates are forwarded."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -8,30 +8,31 @@
 WATCHERS_PER_ZONE = 2
 """Entries of a zone that watch the platform's services.
 
-At the target 25,000 changes a day would wake 960 entries: 280 calls a second to the
-key-value service, which also carries the claims. 28 watchers cost 8. The second is
-there for the time until the list of VMs shows that the first has gone.
+At the target size 25,000 changes a day would reach 960 entries: 280 calls a second to
+the key-value service, which also carries the claims. 28 watchers need 8. The second
+watcher covers the time until the list of VMs shows that the first has gone.
 """
 
 FAN_OUT = 4
-"""Entries that one entry passes news on to.
+"""Entries that one entry forwards updates to.
 
-A watcher that told all 68 others of its zone itself would keep 68 connections, whose
-heartbeats alone need 20 KB/s; a daemon has 6 for control. With eight a watcher needs 7,
-with four less than 5, and a zone of 86 is reached in three steps.
+A watcher that sent updates to all 68 others of its zone would keep 68 connections,
+whose heartbeats alone need 20 KB/s; a daemon has 6 for control. With eight connections
+a watcher needs 7, with four less than 5, and a zone of 86 entries is reached in three
+steps.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Duties:
-    """Say what one entry does for its zone."""
+    """Describe the role of one entry in its zone."""
 
     watches: bool = True
-    """An entry that knows no list of VMs watches for itself."""
+    """An entry without a list of VMs watches for itself."""
     receivers: tuple[str, ...] = ()
-    """Entries that it passes news on to."""
+    """Entries that it forwards updates to."""
     neighbours: tuple[str, ...] = ()
-    """Entries that it may ask for what it lacks, the likely ones first."""
+    """Entries that it may query for missing updates, the most likely ones first."""
     members: frozenset[str] = frozenset()
     """All entries of its zone."""
 
@@ -39,8 +40,9 @@
 def plan_duties(own: str, zones: Mapping[str, str]) -> Duties:
     """Return the duties of an entry, given the zone of each live entry.
 
-    Nothing rests on two entries having the same list: with two lists an entry hears
-    news twice, or late from its own reading of the service, and never a wrong table.
+    Correctness does not depend on two entries having the same list: with different
+    lists an entry receives updates twice, or late from its own reads of the service,
+    but never a wrong table.
     """
     zone = zones.get(own)
     if zone is None:
@@ -69,10 +71,11 @@
 
 
 def _make_trees(members: Sequence[str]) -> list[list[str]]:
-    """Return for each watcher the order in which its news goes down.
+    """Return the order in which the updates of each watcher are forwarded.
 
     An entry in the middle of one order is at the end of the other, and neither watcher
-    is in the other's order, so that the loss of any one leaves all others reached.
+    is in the other's order, so that after the loss of any one entry all others are
+    still reached.
     """
     first, second, rest = members[:1], members[1:2], members[2:]
     trees = [[*first, *rest]]
@@ -91,8 +94,8 @@
 def _list_next_zone_watchers(
     rank_of_own: int, zone: str, zones: Mapping[str, str]
 ) -> list[str]:
-    # A change that reached one zone before the service went down still reaches the
-    # others, each of which tells the next.
+    # A change that reached one zone before the service became unavailable still reaches
+    # the other zones, as each zone forwards it to the next.
     names = sorted(set(zones.values()))
     following = names[(names.index(zone) + 1) % len(names)]
     if following == zone:
