--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -1,4 +1,4 @@
-"""Test the plan of attempts: what may run again, and what is told of it."""
+"""Test the attempt planner: what is retried, and which outcome is reported."""
 
 from random import Random
 
@@ -39,7 +39,7 @@
 
 
 def run_reports(planner, request, reports, *, now=100.0):
-    """Run attempts that end so; return the last decision."""
+    """Run attempts with these results; return the last decision."""
     decision = None
     for report in reports:
         now += 10.0
@@ -60,10 +60,11 @@
     ],
 )
 def test_not_run_is_reported_only_when_proved(reports, outcome):
-    """A request is lost with its target, and the next targets refuse it.
+    """Guards against the outcome "not run" for a request that may have run.
 
-    The first target may have run it. A caller that hears "not run" would send it anew
-    under another key, and it would run twice.
+    A request is lost with its target, and the next targets refuse it. The first target
+    may have run it. After "not run" the caller would send it again under another key,
+    and it would run twice.
     """
     decision = run_reports(make_planner(), make_request(), reports)
     assert isinstance(decision, Refusal)
@@ -127,10 +128,11 @@
 
 
 def test_suspects_of_two_entries_use_different_targets():
-    """Two bodies run when a target crashes, each sent by another entry.
+    """Guards against suspects of two entries at the same target.
 
-    Were both tried at the same target, the next crash would be held against both,
-    and an innocent caller would be refused for an hour.
+    Two bodies run when a target crashes, each sent by another entry. If both were tried
+    at the same target, the next crash would count against both, and an innocent caller
+    would be refused for an hour.
     """
     led = [frozenset({"t0", "t2"}), frozenset({"t1", "t3"})]
     for own in led:
@@ -172,10 +174,11 @@
     ids=["none-1", "one", "one-3-copies", "none-3", "three-apart", "three-shared"],
 )
 def test_crashes_by_one_body(case, least, most):
-    """One body crashes each target that runs it, and its caller sends it again.
+    """Guards against a body that crashes each target that runs it.
 
-    Without protection all targets go down again and again, and hardly any caller gets
-    an answer. With it the body is refused after the second crash.
+    Its caller keeps sending it. Without protection all targets crash repeatedly, and
+    hardly any caller gets an answer. With it the body is refused after the second
+    crash.
     """
     row = PoisonRun(case, seed=1).run()
     assert least <= row.targets_crashed <= row.crashes <= most
--- a/tests/unit/test_ejection.py
+++ b/tests/unit/test_ejection.py
@@ -1,4 +1,4 @@
-"""Test how slow and failing targets are set aside."""
+"""Test the ejection of slow and failing targets."""
 
 import pytest
 from hypothesis import given, settings
@@ -84,10 +84,11 @@
 
 
 def test_target_returns_after_good_probes():
-    """A rank stalls for some seconds and its whole group answers slowly.
+    """Guards against a target that stays ejected after it has recovered.
 
-    Once the stall is over, a few requests show it, one at a time, and the group gets
-    its work back; without them its capacity would be missed until a restart.
+    A rank stalls for some seconds and its whole group answers slowly. After the stall a
+    few requests, one at a time, show the recovery, and the group gets its work back.
+    Without them its capacity would be missing until a restart.
     """
     ejector = make_ejector()
     run_rounds(ejector, get_latencies(t0=0.5))
@@ -115,10 +116,11 @@
 
 
 def test_silent_target_is_ejected_by_deadlines():
-    """A target takes requests and never answers; it fails none of them either.
+    """Guards against a silent target that keeps getting requests.
 
-    Its callers wait until their deadlines. Without a judgement on these waits the
-    target would look well, for the few answers that it gave before.
+    The target accepts requests and never answers; it fails none of them either. Its
+    callers wait until their deadlines. If these waits were not counted, the target
+    would look healthy because of its few earlier answers.
     """
     ejector = make_ejector()
     latencies = get_latencies()
--- a/tests/unit/test_failure_detector.py
+++ b/tests/unit/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Test the levels of suspicion of the failure detectors."""
+"""Test the suspicion levels of the failure detectors."""
 
 import math
 
@@ -51,9 +51,9 @@
     st.floats(0.1, 50.0),
 )
 def test_level_never_falls_with_silence(kind, intervals, threshold):
-    """A peer that stays silent must be suspected once, and then for good.
+    """Guards against a suspicion level that falls while a peer stays silent.
 
-    A level that fell again would open and close the same connection in turn.
+    A level that fell again would close and reopen the same connection repeatedly.
     """
     detector, now = observe_all(kind, intervals)
     levels = [detector.get_level(now + silent_s) for silent_s in range(0, 100, 3)]
--- a/tests/unit/test_retries.py
+++ b/tests/unit/test_retries.py
@@ -1,4 +1,4 @@
-"""Test which attempts are followed by another, and when."""
+"""Test which attempts are retried, and when."""
 
 from random import Random
 
@@ -36,10 +36,10 @@
     ],
 )
 def test_only_safe_attempts_are_retried(result, repeatable, retried):
-    """A connection breaks while a bid confirmation may be running.
+    """Guards against a second run of a request that must run once.
 
-    Sent to a second target, it would confirm the bid twice, and two bidders would
-    believe that they won the same car.
+    A connection breaks while a bid confirmation may be running. A second target would
+    confirm the bid again, and two bidders would believe that they won the same car.
     """
     decision = Retrier(random=Random(1)).decide(
         make_request(repeatable=repeatable), AttemptReport(result), attempts=1, now=0.0
@@ -118,10 +118,11 @@
     ),
 )
 def test_retries_never_exceed_budget(percent, steps):
-    """Every target is full and refuses each attempt.
+    """Guards against retries that multiply the load on full targets.
 
-    Without a budget the retries would triple the load at the moment when there is
-    least room, and callers who came first would wait for it.
+    Every target is full and refuses each attempt. Without a budget the retries would
+    triple the load when there is least capacity, and callers who came first would wait
+    for it.
     """
     budget = RetryBudget(percent=percent)
     now = 0.0
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -1,4 +1,4 @@
-"""Test how the request that crashes its targets is found."""
+"""Test how a request that crashes its targets is found."""
 
 import pytest
 from hypothesis import given, settings
@@ -18,7 +18,7 @@
 
 
 def crash_target(book, target, *, now, bodies):
-    """Let a target crash with some bodies, in this order of their reports."""
+    """Crash a target with some bodies, in this order of their reports."""
     for body in bodies:
         book.stop(body, target)
         book.note_crash(body, Crash(target, 1, now), quarantine_s=QUARANTINE_S, now=now)
@@ -31,10 +31,11 @@
 
 
 def test_second_crash_quarantines_and_clears_other_requests():
-    """A request crashes the target that runs it, and its caller sends it again.
+    """Guards against a request that crashes one target after another.
 
-    Its neighbours lose their answers each time, and without the book the request
-    takes the service's targets down one after another.
+    Its caller sends it again after each crash. Other requests at the target lose their
+    answers each time, and without the tracker the service's targets would crash one
+    after another.
     """
     book = SuspectTracker()
     run_until_crash(book, "t0", now=0.0, bodies=[POISON, OTHER])
@@ -107,9 +108,10 @@
 
 
 def test_crashes_seen_by_two_entries_add_up():
-    """A caller sends a body that crashes targets through two entries.
+    """Guards against crashes that each entry counts only for itself.
 
-    Each entry sees one crash. Only together they know that it was the same body.
+    A caller sends a body that crashes targets through two entries. Each entry detects
+    one crash. Only together do they show that the same body ran in both.
     """
     books = [SuspectTracker(), SuspectTracker()]
     for number, book in enumerate(books):
@@ -147,10 +149,11 @@
     )
 )
 def test_targets_never_run_two_suspects(steps):
-    """Several bodies run when targets crash, again and again.
+    """Guards against two suspects at the same target.
 
-    Were two suspects allowed on one target, its crash would not tell which was the
-    cause, and an innocent caller would be refused for an hour.
+    Several bodies run when targets crash repeatedly. If two suspects could run on one
+    target, its crash would not show which one is the cause, and an innocent caller
+    would be refused for an hour.
     """
     book = SuspectTracker()
     running: dict[str, list[BodyId]] = {f"t{number}": [] for number in range(4)}
