--- a/tests/unit/test_direct_parts.py
+++ b/tests/unit/test_direct_parts.py
@@ -1,4 +1,4 @@
-"""Test small decisions of the direct path."""
+"""Test small components of the direct path."""
 
 import os
 from random import Random
@@ -15,7 +15,10 @@
 
 
 def test_repeats_stay_within_their_share_of_fresh_requests():
-    """Every request fails for a while, and each failure asks for a repeat."""
+    """Guards against repeats that multiply the load of an outage.
+
+    Every request fails for a while, and each failure leads to a repeat.
+    """
     budget = RepeatBudget(share=0.1, slack=10)
     allowed = 0
     for number in range(1_000):
@@ -27,7 +30,10 @@
 
 
 def test_request_that_crashes_replicas_is_refused_for_a_time():
-    """One request crashes each replica that runs it, and its caller sends it again."""
+    """Guards against a request that crashes each replica that runs it.
+
+    Its caller sends it again after each crash.
+    """
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
         assert not suspects.is_banned(1, now=number)
@@ -52,10 +58,11 @@
 
 
 def test_only_current_demand_counts_after_a_shift():
-    """Other experts are in demand from one moment to the next.
+    """Guards against a map that is computed from a demand that has ended.
 
-    A map that is worked out from the whole window eases the experts of before, and the
-    busiest rank holds up every stream for another second.
+    The demand moves to other experts from one moment to the next. A map that is
+    computed from the whole window relieves the earlier experts, and the busiest rank
+    delays every stream for another second.
     """
     window = DemandWindow()
     for number in range(12):
@@ -82,7 +89,10 @@
     [(288, 10, 0.12), (2_016, 4, 0.17), (3_072, 3, 0.34), (3_072, 1_000, 0.12)],
 )
 def test_interval_between_counts_respects_the_leaders_link(counts, link_mbps, expected):
-    """Twelve ranks tell their counts over a link that brings all states as well."""
+    """Guards against reports of counts that overload the leader's link.
+
+    Twelve ranks report their counts over a link that also carries all states.
+    """
     meter = CountMeter()
     meter.measure((1,) * counts, started_ms=1, epoch=1)
     pause_s = meter.compute_interval_s(senders=12, link_bytes_per_s=link_mbps * 125_000)
@@ -91,10 +101,11 @@
 
 @pytest.mark.parametrize("start", [(2, 1), (1, 2), (2, 2)])
 def test_counts_of_another_start_are_not_reported_as_choices(start):
-    """A rank starts anew, or its group is formed anew, and its counts begin at zero.
+    """Guards against counts of an earlier start that are taken for demand.
 
-    The difference to the counts before would be a demand that nobody has, and a map
-    would be made for it.
+    A rank restarts, or its group forms again, and its counts begin at zero. The
+    difference to the earlier counts would be a demand that does not exist, and a map
+    would be computed for it.
     """
     meter = CountMeter()
     meter.measure((10, 4), started_ms=1, epoch=1)
@@ -114,18 +125,20 @@
     ("now", "expected"), [(0.54, 0.06), (0.7, 0.16), (0.77, 0.23), (1.54, 0.06)]
 )
 def test_pass_time_follows_steps_and_includes_an_overdue_pass(now, expected):
-    """A pass that is overdue is a long one; after four of them the group stands still.
+    """Check the pass time while a pass is overdue and after the group has stalled.
 
-    How long it stands tells nothing of what its requests cost.
+    An overdue pass counts as a long one; after four pass times the group is stalled.
+    The length of the stall says nothing about the cost of the group's requests.
     """
     assert make_meter().measure(now=now) == pytest.approx(expected)
 
 
 def test_stall_does_not_change_the_pass_time():
-    """A machine stands still for four seconds while its rank holds the group.
+    """Guards against a stall that is counted as one long pass.
 
-    Counted as one pass, the time makes each request look twenty times as dear, and
-    callers are refused for seconds by a group that works again as before.
+    A machine stalls for four seconds while its rank holds up the group. Counted as one
+    pass, this time makes each request look twenty times as expensive, and callers are
+    refused for seconds by a group that works normally again.
     """
     meter = make_meter()
     for number in range(10, 13):
@@ -148,10 +161,11 @@
 
 
 def test_stuck_log_reader_does_not_block():
-    """Whatever collects standard output has stopped reading.
+    """Guards against a process that blocks on its log.
 
-    The next line would stop the process with all its requests. It goes on, drops the
-    newest lines, and says how many when the reader is back.
+    The reader of standard output has stopped reading. A blocking write of the next line
+    would stop the process with all its requests. Instead the process continues, drops
+    the newest lines, and logs how many when the reader is back.
     """
     reader, writer, sink = open_pipe()
     line = "event=request " + "x" * 1_000 + "\n"
--- a/tests/unit/test_keyed_machine.py
+++ b/tests/unit/test_keyed_machine.py
@@ -1,4 +1,4 @@
-"""Prove over all interleavings that a key runs at most once and no one is misled."""
+"""Test over random interleavings that a key runs at most once, with true refusals."""
 
 from dataclasses import dataclass, field
 
@@ -49,7 +49,7 @@
 
 @dataclass(eq=False)
 class Request:
-    """Hold one sending of the key through one entry."""
+    """Hold one submission of the key through one entry."""
 
     body: int
     flow: KeyedRequest
@@ -61,7 +61,7 @@
 
 @dataclass(eq=False)
 class Frame:
-    """Hold an opening on its way to an agent."""
+    """Hold an opening message in flight to an agent."""
 
     request: Request
     step: Send | Join
@@ -69,7 +69,7 @@
 
 @dataclass(eq=False)
 class Agent:
-    """Hold what an agent remembers in one incarnation."""
+    """Hold the state of an agent in one incarnation."""
 
     register: AttemptRegister
     bodies: dict[int, int] = field(default_factory=dict)
@@ -78,7 +78,7 @@
 
 
 class KeyedRequests(RuleBasedStateMachine):
-    """Send one key through several entries while everything around them fails."""
+    """Send one key through several entries under random faults."""
 
     def __init__(self):
         super().__init__()
@@ -113,13 +113,13 @@
         flow = KeyedRequest(CLAIM_KEY, body)
         self.requests.append(Request(body, flow, flow.begin(look=look)))
 
-    # What goes wrong.
+    # Faults.
 
     @rule(which=WHICH, what=st.sampled_from(DISTURBANCES))
     def disturb(self, which, what):
         waiting = [one for one in self.requests if one.waits]
         if what == "kill entry" and self.requests:
-            # What it sent stays on its way.
+            # Messages that the entry sent stay in flight.
             self.requests.pop(which % len(self.requests))
         elif what == "lose connection" and waiting:
             request = waiting[which % len(waiting)]
@@ -156,7 +156,7 @@
         stale=st.integers(0, 2),
     )
     def advance(self, which, agent, refuse, hows, stale):
-        """Take the next steps of a request that waits for nothing."""
+        """Take the next steps of a request that is not waiting for a reply."""
         active = self.find_active()
         request = active[which % len(active)]
         for how in hows:
@@ -197,8 +197,8 @@
         if how == "done":
             self.set_step(request, request.flow.handle_written(self.read(0)))
         elif how == "cached":
-            # A writer that finds its change made, or overtaken, in the page that it
-            # remembers writes nothing.
+            # A writer that finds its change applied, or superseded, in its cached page
+            # writes nothing.
             page = self.versions[max(0, len(self.versions) - 1 - stale)]
             if page.apply([change]) == page:
                 claim = page.claims.get(CLAIM_KEY.key_hash)
@@ -222,7 +222,7 @@
     @precondition(lambda self: self.frames)
     @rule(which=WHICH, keep=st.booleans(), how=st.sampled_from(ACCEPTED))
     def deliver(self, which, keep, how):
-        """Deliver a frame, in any order and perhaps once more later."""
+        """Deliver a frame, in any order and possibly again later."""
         frame = self.frames[which % len(self.frames)]
         if not keep:
             self.frames.remove(frame)
@@ -289,7 +289,7 @@
             if self.waits_for(request, attempt):
                 self.answer(request, agent.bodies[attempt])
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def key_runs_at_most_once(self):
@@ -299,7 +299,7 @@
     def outcome_not_run_holds(self):
         assert not (self.reported_not_run and self.runs)
 
-    # How the parts are put together.
+    # Helpers.
 
     def find_active(self):
         return [one for one in self.requests if one.step is not None and not one.waits]
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -1,4 +1,4 @@
-"""Test that a log tells by what requests were lost or late."""
+"""Test that the log shows why requests were lost or late."""
 
 import pytest
 
