--- a/tests/lib/limit_model.py
+++ b/tests/lib/limit_model.py
@@ -1,4 +1,4 @@
-"""Play entries that send to one replica with a request limit, without sockets."""
+"""Simulate entries that send to one replica with a request limit, without sockets."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -16,34 +16,34 @@
 from hyssopvane._internal.state.routing import Replica
 
 STEP_S = 0.01
-"""Pause between two looks of an entry at what waits."""
+"""Interval between two dispatch attempts of an entry."""
 ANSWER_S = 0.06
 NEWS_S = 0.5
 COUNT_S = 0.125
 COUNTED_SILENCE_S = 5.0
 """Silence after which an entry is no longer counted."""
 PASSED_ON_S = 0.5
-"""Time after which an entry that has seen the limit is bound by it."""
+"""Time after which an entry that has received the limit must keep to it."""
 UNLIMITED_S = 0.05
-"""Pause between two requests of an entry that knows of no limit."""
+"""Interval between two requests of an entry that knows of no limit."""
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
 @dataclass
 class Entry:
-    """Hold one entry and what is on its way to it."""
+    """Hold one entry and its simulated state."""
 
     name: str
     zone: str
     limits: LimitedReplicas
     census: EntryCensus
     asleep: tuple[float, float] = (-1.0, -1.0)
-    """Times from and until which it stands still."""
+    """Start and end of the time in which it is stalled."""
     has_callers: bool = True
     sent_at: float = float("-inf")
     passed_on_at: float | None = None
-    """Time at which it first passed on an answer that names a limit."""
+    """Time at which it first forwarded an answer that sets a limit."""
 
     def is_awake(self, now: float) -> bool:
         return not self.asleep[0] <= now < self.asleep[1]
@@ -57,12 +57,12 @@
     limit_at: Callable[[float], float | None]
     seed: int = 1
     loss: float = 0.0
-    """Part of the messages between entries that is lost."""
+    """Fraction of the messages between entries that is lost."""
     delay_s: float = 0.02
-    """Longest time that a message takes."""
+    """Maximum delay of a message in seconds."""
     sleeps: dict[int, tuple[float, float]] = field(default_factory=dict)
     idle: frozenset[int] = frozenset()
-    """Entries whose callers ask for nothing."""
+    """Entries without requests from callers."""
     arrivals: list[tuple[float, Entry]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -94,7 +94,7 @@
         )
 
     def run(self, length_s: float) -> None:
-        """Play a time from 0 on."""
+        """Simulate a time span that starts at 0."""
         for step in range(round(length_s / STEP_S)):
             now = step * STEP_S
             while self._events and self._events[0][0] <= now:
@@ -167,9 +167,10 @@
         heappush(self._events, (at, next(self._numbers), act))
 
     def measure_excess(self, *, start_s: float, per_s: float) -> float:
-        """Return the most requests of a window beyond what a limit allows in it.
+        """Return the most requests in a window minus what a limit allows in it.
 
-        Only those count whose entry had passed on an answer with a limit for a while.
+        Only requests of entries that forwarded a limit at least `PASSED_ON_S` earlier
+        count.
         """
         times = sorted(
             at
@@ -187,6 +188,6 @@
         return most - allowed
 
     def measure_rate(self, start_s: float, end_s: float) -> float:
-        """Return the requests a second that the replica got in a time."""
+        """Return the requests a second that the replica received in a time span."""
         got = sum(start_s <= at < end_s for at, _ in self.arrivals)
         return got / (end_s - start_s)
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -1,4 +1,4 @@
-"""Test that what replicas ask of an entry is kept, with the clock passed in."""
+"""Test that reports of replicas to an entry stay in force, with a simulated clock."""
 
 import pytest
 
@@ -51,18 +51,18 @@
     ("told", "ends_at"),
     [
         ([(0.0, 3.0)], 3.0),
-        # Shorter after longer.
+        # A shorter pause after a longer one.
         ([(0.0, 3.0), (0.5, 1.0)], 3.0),
         ([(0.0, 3.0), (0.5, 0.0)], 3.0),
-        # Longer after shorter, and another one at the end of the first.
+        # A longer pause after a shorter one, and a new pause at the end of the first.
         ([(0.0, 1.0), (0.5, 3.0)], 3.5),
         ([(0.0, 1.0), (1.0, 1.0)], 2.0),
-        # More than anybody can mean.
+        # Longer than the maximum.
         ([(0.0, 1e19)], MAX_PAUSE_S),
     ],
 )
 def test_longest_requested_pause_is_kept(told, ends_at):
-    """Guards against a shorter pause that takes the place of a longer one."""
+    """Guards against a shorter pause that replaces a longer one."""
     notices = ReplicaNotices()
     for at, rest_s in told:
         notices.note_rest(make_replica(1), rest_s, now=at)
@@ -105,7 +105,7 @@
     "happen", [expire_registration, move, fail, receive_load, fill]
 )
 def test_pause_is_kept_when_other_records_change(happen):
-    """Guards against a rest that is forgotten with other beliefs of the replica."""
+    """Guards against a pause that is lost when other records of the replica change."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(1), 10.0, now=0.0)
     happen(gate, 1.0)
@@ -119,9 +119,9 @@
     [(START_PROPAGATION_S, True), (START_PROPAGATION_S + 0.1, False)],
 )
 def test_pause_ends_with_the_start_that_requested_it(told_by, after_s, rests):
-    """Guards against a replica that idles for what an earlier start of it asked for.
+    """Guards against a replica that stays idle for a pause of its earlier start.
 
-    An answer of the new start may come before the news of that start.
+    An answer of the new start may arrive before the update about that start.
     """
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
@@ -134,7 +134,7 @@
 
 
 def test_pause_received_after_the_update_of_a_start_applies_to_it():
-    """Guards against an answer that is taken for an earlier start's."""
+    """Guards against an answer that is attributed to an earlier start."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
     gate.note_rest(make_replica(0, started_ms=1), 10.0, now=0.5)
@@ -143,7 +143,7 @@
 
 
 def test_callers_are_refused_at_once_when_all_replicas_are_paused():
-    """Guards against callers that wait in vain, or come back too early."""
+    """Guards against callers that wait in vain, or retry too early."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(0), 4.0, now=0.0)
     gate.note_rest(make_replica(1), 3.0, now=0.0)
@@ -153,7 +153,7 @@
     times = [one.retry_after_s for one in turned]
     assert len(turned) == 20
     assert min(times) >= 3.0
-    # Not all of them in one moment.
+    # The retry times must be spread.
     assert max(times) - min(times) > 0.2
 
 
@@ -167,12 +167,12 @@
 
 @pytest.mark.parametrize(
     ("resting", "ejected"),
-    # One of four that fails is left out, though two others rest; the last that is
-    # there for callers isn't.
+    # One failing replica of four is ejected, though two others are paused; the last
+    # replica available to callers isn't.
     [((0, 1), True), ((0, 1, 2), False)],
 )
 def test_paused_replicas_do_not_keep_a_failing_one_in_use(resting, ejected):
-    """Guards against rests that count as ejections."""
+    """Guards against pauses that count as ejections."""
     gate = make_gate(4, engine=None)
     for number in resting:
         gate.note_rest(make_replica(number), 10.0, now=0.0)
@@ -182,14 +182,14 @@
 
 
 def test_pause_of_one_rank_does_not_close_its_group():
-    """Guards against one rank's wish that is taken for a refusal of all its group."""
+    """Guards against one rank's pause that is applied to its whole group."""
     gate = make_gate(12)
     gate.note_rest(make_replica(1), 10.0, now=0.0)
     assert len(send(gate, now=0.0)) > 1
 
 
 def test_pause_does_not_apply_to_another_replica_at_the_address():
-    """Guards against a rest that the next replica at an address inherits."""
+    """Guards against a pause that is applied to the next replica at an address."""
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 10.0, now=0.0)
     gate.update([make_replica(0, id="i-next")], None, now=1.0)
@@ -197,7 +197,7 @@
 
 
 def test_queue_is_not_sent_in_one_burst_after_a_pause():
-    """Guards against a replica that is flooded as its rest ends."""
+    """Guards against a burst of requests to a replica when its pause ends."""
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
     add(gate, 50)
@@ -209,7 +209,7 @@
     "happen", [expire_registration, move, fail, receive_load, fill]
 )
 def test_leaving_replica_stays_out(happen):
-    """Guards against a leaving replica that a registration or a load brings back."""
+    """Guards against a registration or load that reactivates a leaving replica."""
     gate = make_gate(2, engine=None)
     gate.note_leaving(make_replica(1), now=0.0)
     happen(gate, 1.0)
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize("after_s", [0.1, START_PROPAGATION_S + 0.1])
 def test_leaving_ends_with_the_start_that_reported_it(after_s):
-    """Guards against a replica that idles for what an earlier start of it said."""
+    """Guards against a replica that stays idle as its earlier start was leaving."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
     gate.note_leaving(make_replica(0, started_ms=1), now=0.0)
@@ -228,7 +228,7 @@
 
 
 def test_expired_records_are_removed():
-    """Guards against a memory that grows with every release of a service."""
+    """Guards against memory that grows with every release of a service."""
     notices = ReplicaNotices()
     for number in range(1_000):
         notices.note_leaving(make_replica(number), now=0.0)
--- a/tests/unit/test_request_limits.py
+++ b/tests/unit/test_request_limits.py
@@ -1,4 +1,4 @@
-"""Test that entries keep together to the request limit that a replica names."""
+"""Test that entries together keep to the request limit that a replica sets."""
 
 from random import Random
 
@@ -24,16 +24,17 @@
 from tests.lib.limit_model import LimitModel
 
 SETTLED_S = 4.0
-"""Time after a limit is first named from which it has to hold."""
+"""Seconds after a limit is first set from which it must be kept."""
 
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
 @pytest.mark.parametrize("per_s", [0.0, 0.4, 1.0, 2.5, 8.0, 40.0])
 def test_overloaded_replica_gets_no_more_than_its_limit(entries, per_s):
-    """A replica is near its end and asks all entries together for fewer requests.
+    """Guards against entries that each use the whole limit of a replica.
 
-    Each entry sees only its own. Were each to send what the replica takes from all,
-    it would fall over, and callers would lose what it has begun.
+    A replica near its capacity asks all entries together for fewer requests. Each entry
+    only knows its own. If each sent as many as the limit allows in total, the replica
+    would fail, and callers would lose the requests that it has begun.
     """
     model = LimitModel(entries, lambda now: per_s)
     model.run(30.0)
@@ -60,10 +61,11 @@
 def test_limit_holds_with_lost_and_late_messages_and_stalled_entries(
     entries, per_s, seed, loss, delay_s, asleep
 ):
-    """Some entries stand still for seconds and wake, while words between them are lost.
+    """Guards against excess requests after stalls and lost messages.
 
-    One that wakes must not send at once what it has missed, and those that were awake
-    must not have taken its part for good.
+    Some entries stall for seconds and resume, while messages between entries are lost.
+    An entry that resumes must not send at once what it has missed, and the entries that
+    kept running must not have taken its share for good.
     """
     sleeps = {number: (8.0 + number, 12.0 + number) for number in range(asleep)}
     model = LimitModel(
@@ -87,10 +89,11 @@
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
 def test_replica_gets_requests_soon_after_its_limit_ends(entries):
-    """A replica has recovered and names no limit any more.
+    """Guards against a replica that stays idle after its limit has ended.
 
-    The entries that send it nothing can't see that. Were they to wait for an answer of
-    their own, the others would be full while it idles.
+    A replica has recovered and sets no limit any more. Entries that send it nothing
+    can't detect that. If they waited for an answer of their own, the other replicas
+    would be full while this one is idle.
     """
     model = LimitModel(entries, lambda now: 0.0 if now < 10 else None)
     model.run(20.0)
@@ -99,7 +102,7 @@
 
 
 class SavingPace(RequestPace):
-    """Let an entry send at once what it has not sent before."""
+    """Let an entry send unused requests of the past at once."""
 
     def take(self, now):
         self._last_at += 1 / self.per_s
@@ -116,23 +119,26 @@
 @pytest.mark.parametrize(
     "owner, name, replaced, options",
     [
-        # Entries that stood still or had no callers have saved up requests.
+        # Entries that stalled or had no callers have saved requests.
         (
             limited_replicas,
             "RequestPace",
             SavingPace,
             {"sleeps": {n: (5.0, 14.0) for n in range(12)}},
         ),
-        # Many entries with a small part each.
+        # Many entries with a small share each.
         (EntryCensus, "measure_share", share_evenly, {"entries": 35, "per_s": 1.0}),
-        # Each takes the limit for its own.
+        # Each entry uses the whole limit.
         (EntryCensus, "measure_share", ignore_others, {}),
     ],
 )
 def test_limit_is_exceeded_without_each_protection(
     monkeypatch, owner, name, replaced, options
 ):
-    """Each protection is taken out by itself: the model must see what it prevents."""
+    """Check that the model detects what each protection prevents.
+
+    Each protection is replaced by itself, and the limit must be exceeded.
+    """
     entries = options.pop("entries", 12)
     per_s = options.pop("per_s", 3.0)
     monkeypatch.setattr(owner, name, replaced)
@@ -212,7 +218,10 @@
 
 
 def test_new_start_of_a_replica_has_no_limit(rng):
-    """A replica in need crashes and comes back under its id, and is well."""
+    """Guards against the limit of a crashed start that is applied to the next one.
+
+    A replica with a limit crashes, and restarts under its id without overload.
+    """
     limits = make_limits(rng)
     limits.observe(make_replica(1), 0.0, received_at=0.0, now=0.0)
     assert limits.get_share(make_replica(1)) is not None
