--- a/tests/lib/share_network.py
+++ b/tests/lib/share_network.py
@@ -1,4 +1,4 @@
-"""Let entries share a customer's limits over a network that loses and delays."""
+"""Simulate entries that share a customer's limits over an unreliable network."""
 
 import heapq
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class ShareNode:
-    """Hold the parts of one entry, and the demand that comes to it."""
+    """Hold the components of one entry, and the demand that it receives."""
 
     def __init__(self, vm: str, incarnation: int) -> None:
         self.id = EntryId(vm, incarnation)
@@ -34,13 +34,13 @@
         self.listed_at = -1
 
     def ask_for_requests(self, *, now: float) -> None:
-        """Let the demand of one tick arrive."""
+        """Add the requests of one tick."""
         for _ in range(int(self.rate * _TICK_S)):
             self.admission.check(CUSTOMER, 1, hold_s=1.0, now=now)
 
 
 class ShareNetwork:
-    """Run entries on one clock."""
+    """Run entries on one simulated clock."""
 
     def __init__(self, random: Random, *, loss: float = 0.0, delay_s: float = 0.0):
         self.now = 1_000.0
@@ -54,7 +54,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def start(self, vm: str) -> ShareNode:
-        """Start an entry, or start it anew."""
+        """Start or restart an entry."""
         node = ShareNode(vm, next(self._incarnations))
         self.nodes[vm] = node
         self._publish_lists()
@@ -62,12 +62,12 @@
         return node
 
     def kill(self, vm: str) -> None:
-        """End an entry without a word."""
+        """Stop an entry without notice."""
         del self.nodes[vm]
         self._publish_lists()
 
     def run(self, seconds: float, check: Callable[[], None] = lambda: None) -> None:
-        """Let time pass; check after every event."""
+        """Advance the clock; check after every event."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
@@ -76,18 +76,18 @@
         self.now = until
 
     def sum_granted(self) -> float:
-        """Return the grants in force at all entries."""
+        """Return the sum of the grants in force at all entries."""
         return self.sum_in_force() - self.sum_safe()
 
     def sum_in_force(self) -> float:
-        """Return the shares in force at all entries."""
+        """Return the sum of the shares in force at all entries."""
         return sum(
             node.holder.get_fraction(CUSTOMER, now=self.now)
             for node in self.nodes.values()
         )
 
     def sum_safe(self) -> float:
-        """Return the safe shares of all entries."""
+        """Return the sum of the safe shares of all entries."""
         return sum(node.holder.safe_share for node in self.nodes.values())
 
     def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
@@ -101,7 +101,7 @@
             self._schedule(lag_s, lambda one=node: self._deliver_list(one, names, at))
 
     def _deliver_list(self, node: ShareNode, names: frozenset[str], at: int) -> None:
-        # A list that lags never replaces a later one.
+        # A delayed list never replaces a later one.
         if at > node.listed_at:
             node.listed_at = at
             node.listed = names
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -61,10 +61,11 @@
 
 @pytest.mark.parametrize("dead", ["entry-0", "entry-1", "entry-2", "entry-3"])
 def test_share_of_a_dead_entry_is_granted_again(dead):
-    """An entry VM that had a large share of a customer's limit dies.
+    """Guards against the share of a dead entry that is never granted again.
 
-    If its share stayed with it, the customer's callers at the other entries would be
-    refused, though the customer is far below its limit.
+    An entry VM that had a large share of a customer's limit dies. If its share stayed
+    reserved, the customer's callers at the other entries would be refused, though the
+    customer is far below its limit.
     """
     network = start_network([50, 50, 50, 50])
     network.run(60)
@@ -74,10 +75,11 @@
 
 
 def test_cut_off_entry_keeps_to_its_safe_share():
-    """One entry can reach no other, and the balancer still sends it callers.
+    """Guards against a cut-off entry that uses the whole limit, or nothing.
 
-    If it used the whole limit, the customer would get it twice, at the cost of its
-    neighbours. If it used nothing, its callers would all be refused.
+    One entry can reach no other, and the balancer still sends it callers. If it used
+    the whole limit, the customer would get it twice, at the cost of other customers. If
+    it used nothing, all its callers would be refused.
     """
     network = start_network([50, 50, 50])
     network.run(60)
@@ -89,10 +91,10 @@
 
 
 def test_incomplete_first_list_does_not_grant_the_whole_limit():
-    """All entries start at once, and the platform's list lags.
+    """Guards against entries that each use the whole limit at a common start.
 
-    An entry that finds only itself in the list would use the whole limit, as would
-    each of the others.
+    All entries start at once, and the platform's list lags. An entry that finds only
+    itself in the list would use the whole limit, as would each of the others.
     """
     network = start_network([50])
     network.run(LIST_LAG_S - 1.5)
@@ -127,10 +129,11 @@
     st.sampled_from([0.01, 1.0, 12.0]),
 )
 def test_grants_never_exceed_the_pool(steps, seed, loss, delay_s):
-    """Entries join, die, restart and are cut off; messages come late, twice or never.
+    """Guards against grants that exceed the pool under faults.
 
-    If grants of a dead, cut-off or replaced giver added to new ones, a customer would
-    get more than its limit, and its neighbours' callers would wait for it.
+    Entries join, die, restart and are cut off; messages arrive late, twice or never. If
+    grants of a dead, cut-off or replaced granter added to new ones, a customer would
+    get more than its limit, and callers of other customers would wait.
     """
     network = start_network([50, 50, 50], loss=loss, delay_s=delay_s, seed=seed)
     network.run(30, check_grants(network))
@@ -147,10 +150,11 @@
     st.sampled_from([0.5, 4.0, 8.0]),
 )
 def test_moving_grants_never_exceed_the_pool(steps, seed, loss, delay_s):
-    """Demand moves between four entries, and their messages come late or never.
+    """Guards against grants that exceed the pool while demand moves.
 
-    If an entry still used a share that another has got since, a customer would get
-    more than its limit.
+    Demand moves between four entries, and their messages arrive late or never. If an
+    entry still used a share that has since been granted to another, a customer would
+    get more than its limit.
     """
     network = start_network([50, 0, 50, 0], loss=loss, delay_s=delay_s, seed=seed)
     network.run(30, check_grants(network))
@@ -186,7 +190,7 @@
 
 
 def make_granter():
-    """Return a giver that is past its warm-up, and its clock."""
+    """Return a granter that is past its warm-up."""
     for name in ("entry-0", "entry-1"):
         others = {"entry-0", "entry-1"} - {name}
         node = make_node(name, others)
@@ -205,10 +209,11 @@
 
 
 def test_late_copy_of_an_ask_changes_nothing():
-    """The network delivers an ask a second time, after the entry got more.
+    """Guards against a delayed copy of an ask.
 
-    If the giver believed that the entry holds nothing, it would give its share away
-    while the entry uses it.
+    The network delivers an ask a second time, after the entry got more. If the granter
+    assumed that the entry holds nothing, it would grant its share to another while the
+    entry still uses it.
     """
     granter = make_granter()
     first = granter.answer(ONE, ask(1, 0.8), now=LATER_S)
@@ -220,9 +225,11 @@
 
 
 def test_larger_grant_counts_until_its_end():
-    """An entry asks for less, and the answer that takes its share back is lost.
+    """Guards against a share that is granted again before it has ended.
 
-    It still uses what it had; whoever got that share meanwhile would double it.
+    An entry asks for less, and the answer that reduces its share is lost. The entry
+    still uses its earlier share; if another entry got that share meanwhile, it would be
+    used twice.
     """
     granter = make_granter()
     granter.answer(ONE, ask(1, 0.8), now=LATER_S)
@@ -244,10 +251,10 @@
 
 
 def test_lease_counts_from_the_ask():
-    """An answer is under way for half of its lease.
+    """Guards against a lease that starts when its answer arrives.
 
-    If the lease began as it came, the entry would use the share for longer than the
-    giver counts it.
+    An answer is in flight for half of its lease. If the lease began on arrival, the
+    entry would use the share for longer than the granter counts it.
     """
     node, asked = make_asking_node()
     answer = ShareAnswer(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
@@ -257,10 +264,10 @@
 
 
 def test_answer_to_an_earlier_ask_is_ignored():
-    """An answer comes so late that the entry has asked again.
+    """Guards against an answer that arrives after the entry has asked again.
 
-    The giver has read from the second ask that the first was never answered, and may
-    have given the share to another entry.
+    The second ask has shown the granter that the first answer was never received, so it
+    may have granted the share to another entry.
     """
     node, asked = make_asking_node()
     node.ask_for_requests(now=4.0)
@@ -272,9 +279,10 @@
 
 
 def test_entry_that_left_counts_as_known_for_a_while():
-    """An entry vanishes from the list that it stood in for long, and is still at work.
+    """Guards against the share of a delisted entry that is given away at once.
 
-    If its part were given away at once, it would be used twice.
+    An entry that was listed for long is removed from the list and still works. If its
+    share were given away at once, it would be used twice.
     """
     node = make_node(others=("entry-1", "entry-2"))
     node.view.update(("entry-1",), now=1_000.0)
--- a/tests/unit/test_store_watch.py
+++ b/tests/unit/test_store_watch.py
@@ -1,4 +1,4 @@
-"""Test who watches the store closely, and what the others learn from those who do."""
+"""Test which entries watch the store closely, and what they report to the others."""
 
 import pytest
 import trio
@@ -26,11 +26,12 @@
 
 @pytest.mark.parametrize("told", [True, False])
 def test_replicas_that_expired_in_an_outage_detected_only_by_a_peer_are_kept(told):
-    """The store is away for seconds, and the registrations of all replicas lapse.
+    """Guards against replicas that are removed after an outage of the store.
 
-    An entry whose watch waited all the while hears of that as soon as the store is
-    back. Taken for the end of the replicas, it would refuse every caller until they
-    have registered again.
+    The store is unavailable for seconds, and the registrations of all replicas expire.
+    An entry whose watch waited through the outage receives these events as soon as the
+    store is back. If it treated them as the end of the replicas, it would refuse every
+    caller until they have registered again.
     """
 
     async def test():
--- a/tests/unit/test_subsets.py
+++ b/tests/unit/test_subsets.py
@@ -77,10 +77,11 @@
 
 
 def test_zone_that_lost_its_entries_keeps_its_targets():
-    """All entries of a zone are gone, its targets live.
+    """Guards against idle targets in a zone without entries.
 
-    Were each target held by its own zone's entries alone, a third of the capacity
-    would idle while callers are refused.
+    All entries of a zone are gone, its targets live. If only the entries of its own
+    zone connected to a target, a third of the capacity would be idle while callers are
+    refused.
     """
     entries = [one for one in make_entries(24) if one.availability_zone != "a"]
     targets = make_targets(150)
@@ -94,7 +95,10 @@
     ids=["two-zones", "one-zone", "too-few-entries"],
 )
 def test_other_regions_come_last(zones, far_targets):
-    """Zones a and b are the north, c and d the south, which may lack entries."""
+    """Check that targets in other regions are picked only when entries are missing.
+
+    Zones a and b are the north, c and d the south, which may lack entries.
+    """
     region_of = {"a": "north", "b": "north", "c": "south", "d": "south"}
     entries = [Member(f"e{n}", zone) for n, zone in enumerate(zones)]
     targets = [Member(f"t{n}", zones[n % len(zones)], "s") for n in range(240)]
@@ -141,10 +145,11 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(_CHANGES)
 def test_subset_does_not_depend_on_history(changes):
-    """Entries learn of changes in different order, some after a restart.
+    """Guards against subsets that depend on the order of updates.
 
-    Were an entry's subset to depend on what it saw before, no two entries would agree
-    which of them serves a target, and some target would be left with none.
+    Entries receive changes in different order, some after a restart. If a subset
+    depended on earlier lists, entries would disagree on which of them serves a target,
+    and some target would have none.
     """
     entries = {one.name: one for one in make_entries(20)}
     targets = {one.name: one for one in make_targets(80)}
