--- a/src/hyssopvane/_internal/policy/limit_shares.py
+++ b/src/hyssopvane/_internal/policy/limit_shares.py
@@ -43,7 +43,7 @@
 entry that is cut off from the entries that count may still send."""
 
 
-class EntryCensus:
+class EntryCounter:
     """Count the entries that send requests, and track those of the own zone."""
 
     def __init__(self, *, availability_zone: str) -> None:
--- a/src/hyssopvane/_internal/policy/limited_replicas.py
+++ b/src/hyssopvane/_internal/policy/limited_replicas.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from hyssopvane._internal.policy.limit_shares import EntryCensus, RequestPace
+from hyssopvane._internal.policy.limit_shares import EntryCounter, RequestPace
 from hyssopvane._internal.state.limits import LimitNews
 from hyssopvane._internal.state.routing import Replica
 
@@ -36,9 +36,9 @@
     more fails, and all its requests fail with it.
     """
 
-    def __init__(self, *, random: Random, census: EntryCensus) -> None:
+    def __init__(self, *, random: Random, entry_counter: EntryCounter) -> None:
         self._random = random
-        self._census = census
+        self._census = entry_counter
         self._known: dict[str, _LimitRecord] = {}
         """By the address of the replica."""
         self._next_index = 0
@@ -68,11 +68,11 @@
         known.per_s, known.received_at = per_s, received_at
         return is_new
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Remove the limit of a replica that has left or restarted."""
         self._known.pop(address, None)
 
-    def refresh(self, now: float) -> list[str]:
+    def expire(self, now: float) -> list[str]:
         """Remove expired limits; return the addresses of those that were in force."""
         old = [
             address
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -7,7 +7,7 @@
 
 from hyssopvane._internal.policy.group_room import GroupRoom
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
-from hyssopvane._internal.policy.limit_shares import EntryCensus
+from hyssopvane._internal.policy.limit_shares import EntryCounter
 from hyssopvane._internal.policy.limited_replicas import (
     LimitedReplicas,
     may_be_same_start,
@@ -96,14 +96,14 @@
         random: Random,
         availability_zone: str,
         homes: HomeReplicas | None = None,
-        census: EntryCensus | None = None,
+        entry_counter: EntryCounter | None = None,
         notices: ReplicaNotices | None = None,
     ) -> None:
         self._random = random
         self._homes = HomeReplicas() if homes is None else homes
-        if census is None:
-            census = EntryCensus(availability_zone=availability_zone)
-        self.limits = LimitedReplicas(random=random, census=census)
+        if entry_counter is None:
+            entry_counter = EntryCounter(availability_zone=availability_zone)
+        self.limits = LimitedReplicas(random=random, entry_counter=entry_counter)
         self.notices = ReplicaNotices() if notices is None else notices
         self._chooser = ReplicaChooser(
             random=random,
@@ -228,7 +228,7 @@
         self._wrong.add(replica.incarnation)
         if self._find(replica) is not None:
             self._drop(replica.id)
-            self.limits.forget(replica.address)
+            self.limits.remove(replica.address)
 
     def note_full(self, replica: Replica, *, now: float, until: float) -> None:
         """Send nothing to a replica that has just turned work away as it is full."""
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -7,7 +7,7 @@
 import trio
 
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
-from hyssopvane._internal.policy.limit_shares import EntryCensus
+from hyssopvane._internal.policy.limit_shares import EntryCounter
 from hyssopvane._internal.policy.replica_notices import ReplicaNotices
 from hyssopvane._internal.policy.service_gate import (
     Place,
@@ -51,14 +51,14 @@
         self._observe_restart = observe_restart
         """Takes the address of a replica that has started anew under its id."""
         self.homes = HomeReplicas()
-        self.census = EntryCensus(availability_zone=availability_zone)
+        self.entry_counter = EntryCounter(availability_zone=availability_zone)
         self._notices = ReplicaNotices()
         self._make_gate = partial(
             ServiceGate,
             random=random,
             availability_zone=availability_zone,
             homes=self.homes,
-            census=self.census,
+            entry_counter=self.entry_counter,
             notices=self._notices,
         )
         self._gates: dict[str, ServiceGate] = {}
@@ -107,7 +107,7 @@
     def observe_load(self, load: GroupLoad, roster: Roster) -> None:
         """Take what the leading agent of a group tells."""
         now = trio.current_time()
-        self.census.observe(load.entries, now=now)
+        self.entry_counter.observe(load.entries, now=now)
         by_service: dict[str, list[tuple[RankLoad, float]]] = {}
         for member, age_s in split_load(load, roster):
             service = self._services.get(member.address)
@@ -122,7 +122,7 @@
     def observe_entries(self, own: str, near: Iterable[str]) -> None:
         """Learn the entries of the own zone by their addresses."""
         self.homes.update(own, near)
-        self.census.update(own, near)
+        self.entry_counter.update(own, near)
 
     def observe_answer(
         self, service: str, replica: Replica, per_s: float | None
@@ -170,7 +170,7 @@
         now = trio.current_time()
         news: list[LimitNews] = []
         for gate in self._gates.values():
-            for address in gate.limits.refresh(now):
+            for address in gate.limits.expire(now):
                 log_event("info", "limit-expired", replica=address)
             news += gate.limits.list_updates(now)
         return ReplicaLimits(tuple(news))
--- a/tests/lib/limit_model.py
+++ b/tests/lib/limit_model.py
@@ -10,7 +10,7 @@
     EXCESS,
     EXCESS_REQUESTS,
     WINDOW_S,
-    EntryCensus,
+    EntryCounter,
 )
 from hyssopvane._internal.policy.limited_replicas import LimitedReplicas
 from hyssopvane._internal.state.routing import Replica
@@ -22,7 +22,7 @@
 COUNT_S = 0.125
 COUNTED_SILENCE_S = 5.0
 """Silence after which an entry is no longer counted."""
-PASSED_ON_S = 0.5
+FORWARD_DELAY_S = 0.5
 """Time after which an entry that has received the limit must keep to it."""
 UNLIMITED_S = 0.05
 """Interval between two requests of an entry that knows of no limit."""
@@ -37,12 +37,12 @@
     name: str
     zone: str
     limits: LimitedReplicas
-    census: EntryCensus
+    entry_counter: EntryCounter
     asleep: tuple[float, float] = (-1.0, -1.0)
     """Start and end of the time in which it is stalled."""
     has_callers: bool = True
     sent_at: float = float("-inf")
-    passed_on_at: float | None = None
+    forwarded_at: float | None = None
     """Time at which it first forwarded an answer that sets a limit."""
 
     def is_awake(self, now: float) -> bool:
@@ -82,13 +82,15 @@
 
     def _make_entry(self, number: int) -> Entry:
         zone = ZONES[number % len(ZONES)]
-        census = EntryCensus(availability_zone=zone)
-        limits = LimitedReplicas(random=Random(self.seed + number), census=census)
+        entry_counter = EntryCounter(availability_zone=zone)
+        limits = LimitedReplicas(
+            random=Random(self.seed + number), entry_counter=entry_counter
+        )
         return Entry(
             name=f"10.1.0.{number}:9",
             zone=zone,
             limits=limits,
-            census=census,
+            entry_counter=entry_counter,
             asleep=self.sleeps.get(number, (-1.0, -1.0)),
             has_callers=number not in self.idle,
         )
@@ -125,8 +127,8 @@
             return
         limit = self.limit_at(now)
         entry.limits.observe(self.replica, limit, received_at=now, now=now)
-        if limit is not None and entry.passed_on_at is None:
-            entry.passed_on_at = now
+        if limit is not None and entry.forwarded_at is None:
+            entry.forwarded_at = now
 
     def _count(self, now: float) -> None:
         live = sum(
@@ -135,15 +137,15 @@
         )
         for entry in self.fleet:
             if entry.is_awake(now) and self.random.random() >= self.loss:
-                entry.census.observe(live, now=now)
+                entry.entry_counter.observe(live, now=now)
                 near = [one.name for one in self.fleet if one.zone == entry.zone]
-                entry.census.update(entry.name, near)
+                entry.entry_counter.update(entry.name, near)
 
     def _publish(self, now: float) -> None:
         for entry in self.fleet:
             if not entry.is_awake(now):
                 continue
-            entry.limits.refresh(now)
+            entry.limits.expire(now)
             near = [one for one in self.fleet if one.zone == entry.zone]
             far = [one for one in self.fleet if one.zone != entry.zone]
             for news in entry.limits.list_updates(now):
@@ -176,8 +178,8 @@
             at
             for at, entry in self.arrivals
             if at >= start_s
-            and entry.passed_on_at is not None
-            and at >= entry.passed_on_at + PASSED_ON_S
+            and entry.forwarded_at is not None
+            and at >= entry.forwarded_at + FORWARD_DELAY_S
         )
         allowed = EXCESS * per_s * WINDOW_S + EXCESS_REQUESTS
         most, first = 0, 0
--- a/tests/unit/test_request_limits.py
+++ b/tests/unit/test_request_limits.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.platform.wire import HEADERS
 from hyssopvane._internal.policy import limit_shares, limited_replicas
-from hyssopvane._internal.policy.limit_shares import EntryCensus, RequestPace
+from hyssopvane._internal.policy.limit_shares import EntryCounter, RequestPace
 from hyssopvane._internal.policy.limited_replicas import (
     MAX_LIMITS_PER_MESSAGE,
     LimitedReplicas,
@@ -108,11 +108,11 @@
         self._last_at += 1 / self.per_s
 
 
-def share_evenly(census, replica, zone, per_s):
-    return max(per_s / max(census._counted, 1), 1 / limit_shares.PROBE_S)
+def share_evenly(entry_counter, replica, zone, per_s):
+    return max(per_s / max(entry_counter._counted, 1), 1 / limit_shares.PROBE_S)
 
 
-def ignore_others(census, replica, zone, per_s):
+def ignore_others(entry_counter, replica, zone, per_s):
     return per_s
 
 
@@ -127,9 +127,9 @@
             {"sleeps": {n: (5.0, 14.0) for n in range(12)}},
         ),
         # Many entries with a small share each.
-        (EntryCensus, "measure_share", share_evenly, {"entries": 35, "per_s": 1.0}),
+        (EntryCounter, "measure_share", share_evenly, {"entries": 35, "per_s": 1.0}),
         # Each entry uses the whole limit.
-        (EntryCensus, "measure_share", ignore_others, {}),
+        (EntryCounter, "measure_share", ignore_others, {}),
     ],
 )
 def test_limit_is_exceeded_without_each_protection(
@@ -175,15 +175,15 @@
 
 @pytest.mark.parametrize("per_s", [None, 0.0, 2.5])
 def test_limits_survive_encoding(per_s):
-    told = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
-    assert decode_message(encode_message(told)) == told
+    message = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
+    assert decode_message(encode_message(message)) == message
 
 
 @pytest.mark.parametrize("per_s", [-1.0, float("nan"), float("inf")])
 def test_invalid_limit_in_a_message_is_refused(per_s):
-    told = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
+    message = ReplicaLimits((LimitNews("10.0.0.1:80", 7, per_s, 1.5),))
     with pytest.raises(ProtocolError):
-        decode_message(encode_message(told))
+        decode_message(encode_message(message))
 
 
 def make_replica(number, **changes):
@@ -200,8 +200,8 @@
 
 
 def make_limits(random):
-    census = EntryCensus(availability_zone="zone-a")
-    return LimitedReplicas(random=random, census=census)
+    entry_counter = EntryCounter(availability_zone="zone-a")
+    return LimitedReplicas(random=random, entry_counter=entry_counter)
 
 
 @pytest.mark.parametrize("replicas", [1, MAX_LIMITS_PER_MESSAGE, 10_000])
@@ -209,12 +209,12 @@
     limits = make_limits(rng)
     for number in range(replicas):
         limits.observe(make_replica(number), 2.0, received_at=0.0, now=0.0)
-    told = set()
+    published = set()
     for _ in range(replicas // MAX_LIMITS_PER_MESSAGE + 1):
         news = limits.list_updates(1.0)
         assert len(encode_message(ReplicaLimits(tuple(news)))) < 1_400
-        told |= {one.replica for one in news}
-    assert len(told) == replicas
+        published |= {one.replica for one in news}
+    assert len(published) == replicas
 
 
 def test_new_start_of_a_replica_has_no_limit(rng):
