--- a/bench/poison.py
+++ b/bench/poison.py
@@ -35,7 +35,7 @@
 class NoSuspects(SuspectTracker):
     """Hold nothing against any body."""
 
-    def note_crash(self, *arguments: object, **details: object) -> None:
+    def record_crash(self, *arguments: object, **details: object) -> None:
         """Do nothing."""
 
 
--- a/src/hyssopvane/_internal/policy/attempts.py
+++ b/src/hyssopvane/_internal/policy/attempts.py
@@ -191,7 +191,7 @@
         # A lost connection is usually caused by the network or the VM, and 140 VMs fail
         # on an ordinary day. A report of a broken target from a live agent is proof.
         elif report.result is AttemptResult.BROKEN and plan.request.body_digest:
-            self.suspects.note_crash(
+            self.suspects.record_crash(
                 body,
                 Crash(target.name, target.incarnation, now),
                 quarantine_s=self.get_quarantine_s(plan.request.service),
--- a/src/hyssopvane/_internal/policy/crash_suspects.py
+++ b/src/hyssopvane/_internal/policy/crash_suspects.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._losses: OrderedDict[int, _Losses] = OrderedDict()
 
-    def note_loss(self, fingerprint: int, lost: Incarnation, *, now: float) -> None:
+    def record_loss(self, fingerprint: int, lost: Incarnation, *, now: float) -> None:
         """Record that a replica was lost while it ran a request.
 
         A replica that restarts under the same id and is lost again counts again.
--- a/src/hyssopvane/_internal/policy/keyed_request.py
+++ b/src/hyssopvane/_internal/policy/keyed_request.py
@@ -151,8 +151,10 @@
             detail = "the agent that held the key has been restarted"
             return _refuse_unknown(RefusalReason.TARGET_LOST, detail)
         if not reason.proves_not_run:
-            told = _REFUSAL_REASONS.get(reason, RefusalReason.CLAIM_UNAVAILABLE)
-            return _refuse_unknown(told, reason.value)
+            refusal_reason = _REFUSAL_REASONS.get(
+                reason, RefusalReason.CLAIM_UNAVAILABLE
+            )
+            return _refuse_unknown(refusal_reason, reason.value)
         self._expected = self._claim.attempt
         self._claim = None
         return Place()
--- a/src/hyssopvane/_internal/policy/replica_notices.py
+++ b/src/hyssopvane/_internal/policy/replica_notices.py
@@ -62,7 +62,7 @@
         notice.leaving = True
         return is_new
 
-    def note_registered(self, replicas: Iterable[Replica], *, now: float) -> None:
+    def record_registered(self, replicas: Iterable[Replica], *, now: float) -> None:
         """Update the current starts of replicas from registrations or loads."""
         if not self._known:
             return
@@ -96,9 +96,9 @@
             if -inf < notice.pause_until <= now:
                 notice.pause_until = -inf
                 rested.append(key)
-            resting = now < notice.pause_until
+            paused = now < notice.pause_until
             leaving = notice.leaving and now - notice.seen_at < LEAVING_TTL_S
-            if not resting and not leaving:
+            if not paused and not leaving:
                 del self._known[key]
         return rested
 
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -154,7 +154,7 @@
             self._drop(replica.id)
             self._put(replica)
         present = (one.replica for one in self._replicas.values())
-        self.notices.note_registered(present, now=now)
+        self.notices.record_registered(present, now=now)
         return restarted
 
     def set_pause(self, pause_s: float) -> None:
@@ -175,7 +175,7 @@
                 before = one.group
                 if one.observe(load, now=at):
                     restarted.append(load.address)
-                    self.notices.note_registered([one.replica], now=at)
+                    self.notices.record_registered([one.replica], now=at)
                 if one.group != before:
                     self._leave_group(one.replica.id, before)
                     self._join_group(one)
--- a/src/hyssopvane/_internal/policy/share_grants.py
+++ b/src/hyssopvane/_internal/policy/share_grants.py
@@ -41,7 +41,7 @@
 class _Pool:
     """Track the entries that hold grants of one customer's limits."""
 
-    since: float
+    granting_since: float
     """When this entry became the one that grants."""
     holders: dict[EntryId, _Holder] = field(default_factory=dict)
 
@@ -73,7 +73,7 @@
                 del self._pools[customer]
         for customer in customers:
             if customer not in self._pools and self._aggregates(customer):
-                self._pools[customer] = _Pool(since=now)
+                self._pools[customer] = _Pool(granting_since=now)
 
     def answer(
         self, entry: EntryId, ask: ShareAsk, *, now: float
@@ -118,7 +118,7 @@
             if key != entry
         )
         amount = max(0.0, min(fair, total - given))
-        if now < pool.since + get_longest_lease(known) + LIST_LAG_S:
+        if now < pool.granting_since + get_longest_lease(known) + LIST_LAG_S:
             # Grants of a predecessor that this entry does not know may be in force.
             # Renewing a grant adds nothing to them; a larger one might.
             amount = min(amount, holder.get_largest_amount())
--- a/src/hyssopvane/_internal/policy/subsets.py
+++ b/src/hyssopvane/_internal/policy/subsets.py
@@ -235,9 +235,9 @@
     for members in by_service.values():
         missing = TARGETS_PER_SERVICE - sum(one.name in chosen for one in members)
         if missing > 0:
-            rest = [one for one in members if one.name not in chosen]
-            rest.sort(key=rank, reverse=True)
-            chosen |= {one.name for one in rest[:missing]}
+            remaining = [one for one in members if one.name not in chosen]
+            remaining.sort(key=rank, reverse=True)
+            chosen |= {one.name for one in remaining[:missing]}
     return chosen
 
 
--- a/src/hyssopvane/_internal/policy/suspects.py
+++ b/src/hyssopvane/_internal/policy/suspects.py
@@ -135,7 +135,7 @@
             del self._records[body]
             self._changed.add(body)
 
-    def note_crash(
+    def record_crash(
         self, body: BodyId, crash: Crash, *, quarantine_s: float, now: float
     ) -> None:
         """Record a crash of a target at which a body was running."""
--- a/src/hyssopvane/_internal/policy/watchers.py
+++ b/src/hyssopvane/_internal/policy/watchers.py
@@ -77,10 +77,10 @@
     is in the other's order, so that after the loss of any one entry all others are
     still reached.
     """
-    first, second, rest = members[:1], members[1:2], members[2:]
-    trees = [[*first, *rest]]
+    first, second, remaining = members[:1], members[1:2], members[2:]
+    trees = [[*first, *remaining]]
     if second:
-        trees.append([*second, *reversed(rest)])
+        trees.append([*second, *reversed(remaining)])
     return trees
 
 
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -287,7 +287,7 @@
         except ReplicaUnreachable as error:
             raise _TryAgain(f"unreachable: {error}", not_run=True) from error
         except ReplicaFailed as error:
-            self._tools.suspects.note_loss(
+            self._tools.suspects.record_loss(
                 request.fingerprint, replica.incarnation, now=trio.current_time()
             )
             raise _TryAgain(f"failed: {error}", not_run=False) from error
--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -134,8 +134,8 @@
     at the same target, the next crash would count against both, and an innocent caller
     would be refused for an hour.
     """
-    led = [frozenset({"t0", "t2"}), frozenset({"t1", "t3"})]
-    for own in led:
+    suspect_targets = [frozenset({"t0", "t2"}), frozenset({"t1", "t3"})]
+    for own in suspect_targets:
         planner = make_planner()
         planner.set_suspect_targets(own)
         for number in range(8):
--- a/tests/unit/test_direct_parts.py
+++ b/tests/unit/test_direct_parts.py
@@ -37,7 +37,7 @@
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
         assert not suspects.is_banned(1, now=number)
-        suspects.note_loss(1, (f"i-{number}", 0), now=number)
+        suspects.record_loss(1, (f"i-{number}", 0), now=number)
     assert suspects.is_banned(1, now=BAN_AFTER)
     assert not suspects.is_banned(2, now=BAN_AFTER)
     assert not suspects.is_banned(1, now=BAN_AFTER + BAN_S)
@@ -46,7 +46,7 @@
 def test_repeated_loss_of_one_replica_bans_no_request():
     suspects = CrashSuspects()
     for number in range(20):
-        suspects.note_loss(1, ("i-1", 0), now=number)
+        suspects.record_loss(1, ("i-1", 0), now=number)
     assert not suspects.is_banned(1, now=20)
 
 
--- a/tests/unit/test_keyed_machine.py
+++ b/tests/unit/test_keyed_machine.py
@@ -55,7 +55,7 @@
     flow: KeyedRequest
     step: object
     waits: bool = False
-    told: Refusal | None = None
+    final_refusal: Refusal | None = None
     answer: int | None = None
 
 
@@ -340,7 +340,7 @@
             self.end(request, step.refusal)
 
     def end(self, request, refusal):
-        request.step, request.waits, request.told = None, False, refusal
+        request.step, request.waits, request.final_refusal = None, False, refusal
         if refusal.outcome is Outcome.NOT_RUN:
             self.reported_not_run = True
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -63,10 +63,10 @@
         nursery.cancel_scope.cancel()
 
 
-def note_crash(book, target, body=POISON):
+def record_crash(book, target, body=POISON):
     now = trio.current_time()
     crash = Crash(target, 1, now)
-    book.note_crash(body, crash, quarantine_s=QUARANTINE_S, now=now)
+    book.record_crash(body, crash, quarantine_s=QUARANTINE_S, now=now)
 
 
 def count_quarantined(books, body=POISON):
@@ -88,10 +88,10 @@
 
     async def run():
         async with share_books(3) as books:
-            note_crash(books[0], "t0")
+            record_crash(books[0], "t0")
             await trio.sleep(SPREAD_S)
             assert count_suspecting(books) == 3
-            note_crash(books[1], "t1")
+            record_crash(books[1], "t1")
             await trio.sleep(SPREAD_S)
             assert count_quarantined(books) == 3
             await trio.sleep(QUARANTINE_S)
@@ -104,7 +104,7 @@
     async def run():
         async with share_books(3) as books:
             for book in books:
-                note_crash(book, "t0")
+                record_crash(book, "t0")
                 await trio.sleep(0.01)
             await trio.sleep(SPREAD_S)
             assert count_suspecting(books) == 3
@@ -116,7 +116,7 @@
 def test_body_cleared_at_one_entry_is_clear_at_all():
     async def run():
         async with share_books(3) as books:
-            note_crash(books[0], "t0")
+            record_crash(books[0], "t0")
             await trio.sleep(SPREAD_S)
             books[2].clear(POISON)
             await trio.sleep(SPREAD_S)
@@ -129,8 +129,8 @@
     async def run():
         state = KeyValueState(trio.current_time)
         async with share_books(1, state=state) as books:
-            note_crash(books[0], "t0")
-            note_crash(books[0], "t1")
+            record_crash(books[0], "t0")
+            record_crash(books[0], "t1")
             await trio.sleep(SPREAD_S)
             assert count_quarantined(books) == 1
         async with share_books(2, state=state) as books:
@@ -144,7 +144,7 @@
         state = KeyValueState(trio.current_time)
         state.commit([], [Put(PAGE_KEY.encode(), b'{"format": 9}', 0)])
         async with share_books(2, state=state) as books:
-            note_crash(books[0], "t0")
+            record_crash(books[0], "t0")
             await trio.sleep(SPREAD_S)
             assert count_suspecting(books) == 2
 
@@ -202,7 +202,7 @@
             for entry, number, crashes in steps:
                 body = BodyId("draft", bytes([number]))
                 if crashes:
-                    note_crash(books[entry], f"t{entry}", body)
+                    record_crash(books[entry], f"t{entry}", body)
                 else:
                     books[entry].clear(body)
                 await trio.sleep(0.3)
@@ -224,15 +224,15 @@
         state = KeyValueState(trio.current_time)
         stores = []
         async with share_books(3, state=state, stores=stores) as books:
-            note_crash(books[0], "t9", early)
+            record_crash(books[0], "t9", early)
             await trio.sleep(SPREAD_S)
             copy = state.copy_items()
             for number in range(4):
-                note_crash(books[1], "t8", BodyId("draft", bytes([number])))
+                record_crash(books[1], "t8", BodyId("draft", bytes([number])))
                 await trio.sleep(SPREAD_S)
             if lost_first:
-                note_crash(books[0], "t0")
-                note_crash(books[0], "t1")
+                record_crash(books[0], "t0")
+                record_crash(books[0], "t1")
                 await trio.sleep(SPREAD_S)
                 assert count_quarantined(books) == 3
             copy.begin_cluster()
@@ -240,8 +240,8 @@
                 store.state = copy
             await trio.sleep(2.0)
             if not lost_first:
-                note_crash(books[1], "t0")
-                note_crash(books[1], "t1")
+                record_crash(books[1], "t0")
+                record_crash(books[1], "t1")
                 await trio.sleep(SPREAD_S)
             assert count_quarantined(books) == 3
             assert count_suspecting(books, early) == 3
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -232,7 +232,7 @@
     notices = ReplicaNotices()
     for number in range(1_000):
         notices.note_leaving(make_replica(number), now=0.0)
-    notices.note_registered([make_replica(0)], now=10.0)
+    notices.record_registered([make_replica(0)], now=10.0)
     notices.expire(LEAVING_TTL_S)
     assert len(notices) == 1
     assert notices.is_leaving(make_replica(0))
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -104,7 +104,7 @@
     """A request kills its replica, which comes back under its id each time."""
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
-        suspects.note_loss(1, ("i-1", BEFORE + number), now=float(number))
+        suspects.record_loss(1, ("i-1", BEFORE + number), now=float(number))
     assert suspects.is_banned(1, now=float(BAN_AFTER))
 
 
--- a/tests/unit/test_subsets.py
+++ b/tests/unit/test_subsets.py
@@ -67,13 +67,13 @@
 @pytest.mark.parametrize("target_count", [12, 150])
 def test_each_target_has_one_primary_entry(target_count):
     entries, targets = make_entries(24), make_targets(target_count)
-    led = Counter()
+    primary_counts = Counter()
     for one in entries:
         subset = SubsetMap(one)
         chosen = subset.update(entries=entries, targets=targets)
         assert subset.find_primary_targets() <= chosen
-        led.update(subset.find_primary_targets())
-    assert led == {one.name: 1 for one in targets}
+        primary_counts.update(subset.find_primary_targets())
+    assert primary_counts == {one.name: 1 for one in targets}
 
 
 def test_zone_that_lost_its_entries_keeps_its_targets():
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -17,17 +17,19 @@
 QUARANTINE_S = 3600.0
 
 
-def crash_target(book, target, *, now, bodies):
+def crash_target(tracker, target, *, now, bodies):
     """Crash a target with some bodies, in this order of their reports."""
     for body in bodies:
-        book.stop(body, target)
-        book.note_crash(body, Crash(target, 1, now), quarantine_s=QUARANTINE_S, now=now)
+        tracker.stop(body, target)
+        tracker.record_crash(
+            body, Crash(target, 1, now), quarantine_s=QUARANTINE_S, now=now
+        )
 
 
-def run_until_crash(book, target, *, now, bodies):
+def run_until_crash(tracker, target, *, now, bodies):
     for body in bodies:
-        book.start(body, target)
-    crash_target(book, target, now=now, bodies=bodies)
+        tracker.start(body, target)
+    crash_target(tracker, target, now=now, bodies=bodies)
 
 
 def test_second_crash_quarantines_and_clears_other_requests():
@@ -37,50 +39,50 @@
     answers each time, and without the tracker the service's targets would crash one
     after another.
     """
-    book = SuspectTracker()
-    run_until_crash(book, "t0", now=0.0, bodies=[POISON, OTHER])
-    assert book.is_suspect(POISON, now=1.0)
-    assert book.is_suspect(OTHER, now=1.0)
-    book.start(OTHER, "t1")
-    book.stop(OTHER, "t1")
-    book.clear(OTHER)
-    assert not book.is_suspect(OTHER, now=2.0)
-    run_until_crash(book, "t2", now=5.0, bodies=[POISON])
-    assert book.is_quarantined(POISON, now=6.0)
-    assert book.is_quarantined(POISON, now=5.0 + QUARANTINE_S - 1)
-    assert not book.is_quarantined(POISON, now=5.0 + QUARANTINE_S)
+    tracker = SuspectTracker()
+    run_until_crash(tracker, "t0", now=0.0, bodies=[POISON, OTHER])
+    assert tracker.is_suspect(POISON, now=1.0)
+    assert tracker.is_suspect(OTHER, now=1.0)
+    tracker.start(OTHER, "t1")
+    tracker.stop(OTHER, "t1")
+    tracker.clear(OTHER)
+    assert not tracker.is_suspect(OTHER, now=2.0)
+    run_until_crash(tracker, "t2", now=5.0, bodies=[POISON])
+    assert tracker.is_quarantined(POISON, now=6.0)
+    assert tracker.is_quarantined(POISON, now=5.0 + QUARANTINE_S - 1)
+    assert not tracker.is_quarantined(POISON, now=5.0 + QUARANTINE_S)
 
 
 @pytest.mark.parametrize("order", [[POISON, OTHER], [OTHER, POISON]])
 def test_requests_next_to_a_suspect_do_not_become_suspects(order):
-    book = SuspectTracker()
-    run_until_crash(book, "t0", now=0.0, bodies=[POISON])
-    run_until_crash(book, "t1", now=10.0, bodies=order)
-    assert book.is_quarantined(POISON, now=11.0)
-    assert not book.is_suspect(OTHER, now=11.0)
+    tracker = SuspectTracker()
+    run_until_crash(tracker, "t0", now=0.0, bodies=[POISON])
+    run_until_crash(tracker, "t1", now=10.0, bodies=order)
+    assert tracker.is_quarantined(POISON, now=11.0)
+    assert not tracker.is_suspect(OTHER, now=11.0)
 
 
 def test_target_runs_one_suspect_at_a_time():
-    book = SuspectTracker()
-    run_until_crash(book, "t0", now=0.0, bodies=[POISON, OTHER])
-    book.start(OTHER, "t1")
-    assert book.find_excluded(POISON, now=1.0) == {"t1"}
-    assert book.find_excluded(BodyId("draft", b"clean"), now=1.0) == frozenset()
+    tracker = SuspectTracker()
+    run_until_crash(tracker, "t0", now=0.0, bodies=[POISON, OTHER])
+    tracker.start(OTHER, "t1")
+    assert tracker.find_excluded(POISON, now=1.0) == {"t1"}
+    assert tracker.find_excluded(BodyId("draft", b"clean"), now=1.0) == frozenset()
 
 
 def test_suspect_backs_off_until_reports_have_spread():
-    book = SuspectTracker()
-    run_until_crash(book, "t0", now=0.0, bodies=[POISON])
-    assert book.find_excluded(POISON, now=SUSPECT_BACKOFF_S / 2) is None
-    assert book.find_excluded(POISON, now=SUSPECT_BACKOFF_S) == frozenset()
+    tracker = SuspectTracker()
+    run_until_crash(tracker, "t0", now=0.0, bodies=[POISON])
+    assert tracker.find_excluded(POISON, now=SUSPECT_BACKOFF_S / 2) is None
+    assert tracker.find_excluded(POISON, now=SUSPECT_BACKOFF_S) == frozenset()
 
 
 def test_suspect_runs_at_one_target_at_a_time():
-    book = SuspectTracker()
-    run_until_crash(book, "t0", now=0.0, bodies=[POISON])
-    assert book.find_excluded(POISON, now=1.0) == frozenset()
-    book.start(POISON, "t1")
-    assert book.find_excluded(POISON, now=1.0) is None
+    tracker = SuspectTracker()
+    run_until_crash(tracker, "t0", now=0.0, bodies=[POISON])
+    assert tracker.find_excluded(POISON, now=1.0) == frozenset()
+    tracker.start(POISON, "t1")
+    assert tracker.find_excluded(POISON, now=1.0) is None
 
 
 @pytest.mark.parametrize(
@@ -94,17 +96,17 @@
     ids=["same-crash", "same-target-later", "restarted-target", "other-target"],
 )
 def test_one_crash_counts_once(second, quarantined):
-    book = SuspectTracker()
+    tracker = SuspectTracker()
     for crash in (Crash("t0", 1, 0.0), second):
-        book.note_crash(POISON, crash, quarantine_s=QUARANTINE_S, now=crash.at)
-    assert book.is_quarantined(POISON, now=31.0) is quarantined
+        tracker.record_crash(POISON, crash, quarantine_s=QUARANTINE_S, now=crash.at)
+    assert tracker.is_quarantined(POISON, now=31.0) is quarantined
 
 
 def test_old_suspicion_expires():
-    book = SuspectTracker()
-    run_until_crash(book, "t0", now=0.0, bodies=[POISON])
-    run_until_crash(book, "t1", now=SUSPECT_S + 1, bodies=[POISON])
-    assert not book.is_quarantined(POISON, now=SUSPECT_S + 2)
+    tracker = SuspectTracker()
+    run_until_crash(tracker, "t0", now=0.0, bodies=[POISON])
+    run_until_crash(tracker, "t1", now=SUSPECT_S + 1, bodies=[POISON])
+    assert not tracker.is_quarantined(POISON, now=SUSPECT_S + 2)
 
 
 def test_crashes_seen_by_two_entries_add_up():
@@ -113,25 +115,25 @@
     A caller sends a body that crashes targets through two entries. Each entry detects
     one crash. Only together do they show that the same body ran in both.
     """
-    books = [SuspectTracker(), SuspectTracker()]
-    for number, book in enumerate(books):
-        run_until_crash(book, f"t{number}", now=0.0, bodies=[POISON])
-    assert books[0].take_changes() == {POISON}
-    seen = books[0].get_record(POISON)
-    books[1].merge(POISON, seen, quarantine_s=QUARANTINE_S, now=0.1)
-    assert books[1].is_quarantined(POISON, now=0.2)
-    shared = books[1].get_record(POISON)
-    books[0].merge(POISON, shared, quarantine_s=QUARANTINE_S, now=0.3)
-    assert books[0].is_quarantined(POISON, now=0.4)
-    assert not books[0].take_changes()
+    trackers = [SuspectTracker(), SuspectTracker()]
+    for number, tracker in enumerate(trackers):
+        run_until_crash(tracker, f"t{number}", now=0.0, bodies=[POISON])
+    assert trackers[0].take_changes() == {POISON}
+    seen = trackers[0].get_record(POISON)
+    trackers[1].merge(POISON, seen, quarantine_s=QUARANTINE_S, now=0.1)
+    assert trackers[1].is_quarantined(POISON, now=0.2)
+    shared = trackers[1].get_record(POISON)
+    trackers[0].merge(POISON, shared, quarantine_s=QUARANTINE_S, now=0.3)
+    assert trackers[0].is_quarantined(POISON, now=0.4)
+    assert not trackers[0].take_changes()
 
 
 def test_cases_stay_bounded():
-    book = SuspectTracker(max_records=10)
+    tracker = SuspectTracker(max_records=10)
     for number in range(50):
         body = BodyId("draft", bytes([number]))
-        run_until_crash(book, f"t{number}", now=number * 10.0, bodies=[body])
-    assert len(book) == 10
+        run_until_crash(tracker, f"t{number}", now=number * 10.0, bodies=[body])
+    assert len(tracker) == 10
 
 
 _BODIES = [BodyId("draft", bytes([number])) for number in range(6)]
@@ -155,26 +157,28 @@
     target, its crash would not show which one is the cause, and an innocent caller
     would be refused for an hour.
     """
-    book = SuspectTracker()
+    tracker = SuspectTracker()
     running: dict[str, list[BodyId]] = {f"t{number}": [] for number in range(4)}
     for step, (action, index, number) in enumerate(steps):
         now = step * 3.0
         body, target = _BODIES[index], f"t{number}"
         if action == "start":
-            excluded = book.find_excluded(body, now=now)
+            excluded = tracker.find_excluded(body, now=now)
             if excluded is None or target in excluded:
                 continue
-            if book.is_quarantined(body, now=now):
+            if tracker.is_quarantined(body, now=now):
                 continue
-            accused = [one for one in running[target] if book.is_suspect(one, now=now)]
-            if book.is_suspect(body, now=now):
+            accused = [
+                one for one in running[target] if tracker.is_suspect(one, now=now)
+            ]
+            if tracker.is_suspect(body, now=now):
                 assert not accused
             running[target].append(body)
-            book.start(body, target)
+            tracker.start(body, target)
         elif action == "finish" and body in running[target]:
             running[target].remove(body)
-            book.stop(body, target)
-            book.clear(body)
+            tracker.stop(body, target)
+            tracker.clear(body)
         elif action == "crash":
             bodies, running[target] = running[target], []
-            crash_target(book, target, now=now, bodies=bodies)
+            crash_target(tracker, target, now=now, bodies=bodies)
