--- a/src/hyssopvane/_internal/policy/limited_replicas.py
+++ b/src/hyssopvane/_internal/policy/limited_replicas.py
@@ -38,7 +38,7 @@
 
     def __init__(self, *, random: Random, entry_counter: EntryCounter) -> None:
         self._random = random
-        self._census = entry_counter
+        self._entry_counter = entry_counter
         self._known: dict[str, _LimitRecord] = {}
         """By the address of the replica."""
         self._next_index = 0
@@ -138,7 +138,7 @@
         return known
 
     def _measure_share(self, replica: Replica, per_s: float) -> float:
-        return self._census.measure_share(
+        return self._entry_counter.measure_share(
             replica.address, replica.availability_zone, per_s
         )
 
--- a/tests/lib/limit_model.py
+++ b/tests/lib/limit_model.py
@@ -171,8 +171,8 @@
     def measure_excess(self, *, start_s: float, per_s: float) -> float:
         """Return the most requests in a window minus what a limit allows in it.
 
-        Only requests of entries that forwarded a limit at least `FORWARD_DELAY_S` earlier
-        count.
+        Only requests of entries that forwarded a limit at least `FORWARD_DELAY_S`
+        earlier count.
         """
         times = sorted(
             at
