--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -121,7 +121,7 @@
         service = self._get_service(request.service)
         entry = _Request(request, max(1, request.tokens), arrived_at=now)
         decision: Decision | None = None
-        if self.planner.is_held(request, now=now):
+        if self.planner.waits_on_own_condition(request, now=now):
             decision = self._hold_suspect(entry, service, now=now)
         elif not service.queue:
             # The queue is empty, so the request overtakes no other. Otherwise only the
@@ -366,7 +366,9 @@
                 continue
             entry = self._requests[item.request_id]
             placed = self._start(entry, now=now)
-            if placed is None and not self.planner.is_held(entry.request, now=now):
+            if placed is None and not self.planner.waits_on_own_condition(
+                entry.request, now=now
+            ):
                 return
             service.queue.pop()
             if placed is None:
@@ -417,4 +419,4 @@
         return self.planner.place(entry.request, now=now)
 
     def _release(self, entry: _Request) -> None:
-        self.planner.forget(entry.request, now=self._now)
+        self.planner.discard(entry.request, now=self._now)
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -7,10 +7,10 @@
 
 from hyssopvane._internal.policy.group_capacity import GroupCapacity
 from hyssopvane._internal.policy.home_replicas import HomeReplicas
-from hyssopvane._internal.policy.limit_shares import EntryCensus
+from hyssopvane._internal.policy.limit_shares import EntryCounter
 from hyssopvane._internal.policy.limited_replicas import (
     LimitedReplicas,
-    may_be_one_start,
+    may_be_same_start,
 )
 from hyssopvane._internal.policy.outage_tracker import MAX_WAIT_SHARE, OutageTracker
 from hyssopvane._internal.policy.queueing import FairQueue, QueuedItem
@@ -97,14 +97,14 @@
         random: Random,
         availability_zone: str,
         homes: HomeReplicas | None = None,
-        census: EntryCensus | None = None,
+        entry_counter: EntryCounter | None = None,
         notices: ReplicaNotices | None = None,
     ) -> None:
         self._random = random
         self._homes = HomeReplicas() if homes is None else homes
-        if census is None:
-            census = EntryCensus(availability_zone=availability_zone)
-        self.limits = LimitedReplicas(random=random, census=census)
+        if entry_counter is None:
+            entry_counter = EntryCounter(availability_zone=availability_zone)
+        self.limits = LimitedReplicas(random=random, entry_counter=entry_counter)
         self.notices = ReplicaNotices() if notices is None else notices
         self._chooser = ReplicaChooser(
             random=random,
@@ -155,7 +155,7 @@
             self._remove_replica(replica.id)
             self._add_replica(replica)
         present = (one.replica for one in self._replicas.values())
-        self.notices.note_registered(present, now=now)
+        self.notices.record_registered(present, now=now)
         return restarted
 
     def set_pause(self, pause_s: float) -> None:
@@ -176,7 +176,7 @@
                 before = one.group
                 if one.observe(load, now=at):
                     restarted.append(load.address)
-                    self.notices.note_registered([one.replica], now=at)
+                    self.notices.record_registered([one.replica], now=at)
                 if one.group != before:
                     self._leave_group(one.replica.id, before)
                     self._join_group(one)
@@ -229,7 +229,7 @@
         self._replaced.add(replica.incarnation)
         if self._find(replica) is not None:
             self._remove_replica(replica.id)
-            self.limits.forget(replica.address)
+            self.limits.remove(replica.address)
 
     def note_full(self, replica: Replica, *, now: float, until: float) -> None:
         """Send nothing to a replica until a time; it has just refused work as full."""
@@ -278,14 +278,14 @@
         one = self._find(replica)
         if one is None:
             return False
-        heard_at = now - age_s
-        return self.limits.observe(one.replica, per_s, heard_at=heard_at, now=now)
+        received_at = now - age_s
+        return self.limits.observe(one.replica, per_s, received_at=received_at, now=now)
 
     def observe_peer_limit(self, news: LimitReport, *, now: float) -> bool:
         """Record a limit received from another entry; return whether it is new."""
         is_new = False
         for one in self._by_address.get(news.replica, ()):
-            if may_be_one_start(one.replica.started_ms, news.started_ms):
+            if may_be_same_start(one.replica.started_ms, news.started_ms):
                 is_new |= self.note_limit(
                     one.replica, news.per_s, now=now, age_s=news.age_s
                 )
--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -1,4 +1,4 @@
-"""Test the plan of attempts: what may run again, and what is told of it."""
+"""Test the attempt planner: what is retried, and which outcome is reported."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 from hyssopvane._internal.models.refusals import Outcome, Refusal, RefusalReason
 from hyssopvane._internal.policy.attempts import AttemptPlanner
 from hyssopvane._internal.policy.retries import MAX_ATTEMPTS, RetryAt
-from hyssopvane._internal.policy.suspects import REST_S
+from hyssopvane._internal.policy.suspects import SUSPECT_BACKOFF_S
 from hyssopvane._internal.state.table import ServiceRow, Table
 from hyssopvane._internal.state.work import (
     AttemptReport,
@@ -39,7 +39,7 @@
 
 
 def run_reports(planner, request, reports, *, now=100.0):
-    """Run attempts that end so; return the last decision."""
+    """Run attempts with these results; return the last decision."""
     decision = None
     for report in reports:
         now += 10.0
@@ -59,11 +59,12 @@
         ([NOT_STARTED, NOT_STARTED, LOST], Outcome.UNKNOWN),
     ],
 )
-def test_not_run_is_told_only_when_proved(reports, outcome):
-    """A request is lost with its target, and the next targets refuse it.
+def test_not_run_is_reported_only_when_proved(reports, outcome):
+    """Guards against the outcome "not run" for a request that may have run.
 
-    The first target may have run it. A caller that hears "not run" would send it anew
-    under another key, and it would run twice.
+    A request is lost with its target, and the next targets refuse it. The first target
+    may have run it. After "not run" the caller would send it again under another key,
+    and it would run twice.
     """
     decision = run_reports(make_planner(), make_request(), reports)
     assert isinstance(decision, Refusal)
@@ -87,17 +88,17 @@
     planner.place(request, now=100.0)
     retry = planner.finish("r", LOST, now=100.0)
     assert isinstance(retry, RetryAt)
-    assert planner.is_held(request, now=100.0)
+    assert planner.waits_on_own_condition(request, now=100.0)
     assert planner.place(request, now=100.0) is None
     assert planner.place(request, now=retry.at) is not None
 
 
-def test_forgotten_request_frees_its_place():
+def test_discarded_request_releases_its_place():
     planner = make_planner(["t0"], target_concurrency=1)
     request = make_request()
     assert planner.place(request, now=100.0)
     assert planner.place(make_request("other"), now=100.0) is None
-    planner.forget(request, now=100.0)
+    planner.discard(request, now=100.0)
     assert planner.place(make_request("other"), now=100.0)
 
 
@@ -120,26 +121,27 @@
         assert refusal.reason is RefusalReason.QUARANTINED
 
 
-def test_quarantine_of_no_time_is_none():
+def test_zero_quarantine_time_disables_quarantine():
     planner = make_planner(quarantine_s=0)
     run_reports(planner, make_request(body=b"b"), [BROKEN, BROKEN])
     assert planner.refuse(make_request("next", body=b"b"), now=200.0) is None
 
 
-def test_suspects_of_two_entries_do_not_meet():
-    """Two bodies run when a target crashes, each sent by another entry.
+def test_suspects_of_two_entries_use_different_targets():
+    """Guards against suspects of two entries at the same target.
 
-    Were both tried at the same target, the next crash would be held against both,
-    and an innocent caller would be refused for an hour.
+    Two bodies run when a target crashes, each sent by another entry. If both were tried
+    at the same target, the next crash would count against both, and an innocent caller
+    would be refused for an hour.
     """
-    led = [frozenset({"t0", "t2"}), frozenset({"t1", "t3"})]
-    for own in led:
+    suspect_targets = [frozenset({"t0", "t2"}), frozenset({"t1", "t3"})]
+    for own in suspect_targets:
         planner = make_planner()
         planner.set_suspect_targets(own)
         for number in range(8):
             request = make_request(f"r{number}", body=bytes([number]))
             run_reports(planner, request, [BROKEN], now=100.0 + number * 20)
-        now = 100.0 + 8 * 20 + REST_S
+        now = 100.0 + 8 * 20 + SUSPECT_BACKOFF_S
         placed = [
             planner.place(make_request(f"s{number}", body=bytes([number])), now=now)
             for number in range(8)
@@ -149,7 +151,7 @@
         assert len(targets) == len(own)
 
 
-def test_suspect_leaves_a_led_target_that_refuses_it():
+def test_suspect_moves_on_from_a_target_that_refuses_it():
     planner = make_planner()
     planner.set_suspect_targets(frozenset({"t0"}))
     run_reports(planner, make_request(body=b"b"), [BROKEN])
@@ -172,10 +174,11 @@
     ids=["none-1", "one", "one-3-copies", "none-3", "three-apart", "three-shared"],
 )
 def test_crashes_by_one_body(case, least, most):
-    """One body crashes each target that runs it, and its caller sends it again.
+    """Guards against a body that crashes each target that runs it.
 
-    Without protection all targets go down again and again, and hardly any caller gets
-    an answer. With it the body is refused after the second crash.
+    Its caller keeps sending it. Without protection all targets crash repeatedly, and
+    hardly any caller gets an answer. With it the body is refused after the second
+    crash.
     """
     row = PoisonRun(case, seed=1).run()
     assert least <= row.targets_crashed <= row.crashes <= most
--- a/tests/unit/test_ejection.py
+++ b/tests/unit/test_ejection.py
@@ -1,4 +1,4 @@
-"""Test how slow and failing targets are set aside."""
+"""Test the ejection of slow and failing targets."""
 
 import pytest
 from hypothesis import given, settings
@@ -67,7 +67,7 @@
     assert ejector.count_ejected() == ejected
 
 
-def test_slow_target_gets_gently_less():
+def test_slow_target_gets_a_reduced_share():
     ejector = make_ejector()
     run_rounds(ejector, get_latencies(t0=0.25))
     assert ejector.get_state("t0") is HealthState.IN_SERVICE
@@ -79,15 +79,16 @@
     ("count", "percent", "most"),
     [(10, 30, 3), (3, 30, 1), (2, 100, 0), (10, 0, 0), (64, 30, 19)],
 )
-def test_most_ejected(count, percent, most):
-    assert make_ejector(count, percent=percent).get_most_ejected() == most
+def test_max_ejected(count, percent, most):
+    assert make_ejector(count, percent=percent).get_max_ejected() == most
 
 
 def test_target_returns_after_good_probes():
-    """A rank stalls for some seconds and its whole group answers slowly.
+    """Guards against a target that stays ejected after it has recovered.
 
-    Once the stall is over, a few requests show it, one at a time, and the group gets
-    its work back; without them its capacity would be missed until a restart.
+    A rank stalls for some seconds and its whole group answers slowly. After the stall a
+    few requests, one at a time, show the recovery, and the group gets its work back.
+    Without them its capacity would be missing until a restart.
     """
     ejector = make_ejector()
     run_rounds(ejector, get_latencies(t0=0.5))
@@ -115,10 +116,11 @@
 
 
 def test_silent_target_is_ejected_by_deadlines():
-    """A target takes requests and never answers; it fails none of them either.
+    """Guards against a silent target that keeps getting requests.
 
-    Its callers wait until their deadlines. Without a judgement on these waits the
-    target would look well, for the few answers that it gave before.
+    The target accepts requests and never answers; it fails none of them either. Its
+    callers wait until their deadlines. If these waits were not counted, the target
+    would look healthy because of its few earlier answers.
     """
     ejector = make_ejector()
     latencies = get_latencies()
@@ -128,7 +130,7 @@
     assert ejector.get_state("t0") is HealthState.EJECTED
 
 
-def test_new_connection_does_not_wipe_history():
+def test_reconnection_keeps_history():
     ejector = make_ejector()
     run_rounds(ejector, get_latencies(t0=0.5))
     ejector.disconnect("t0")
@@ -151,7 +153,7 @@
 
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(_EVENTS, st.sampled_from([0, 10, 30, 100]))
-def test_floor_of_targets_in_service_is_held(events, percent):
+def test_ejections_never_exceed_the_maximum(events, percent):
     ejector = make_ejector(percent=percent)
     now = 0.0
     probes: set[str] = set()
@@ -180,4 +182,4 @@
                 now=now,
             )
         out = len(ejector.describe())
-        assert out == ejector.count_ejected() <= ejector.get_most_ejected()
+        assert out == ejector.count_ejected() <= ejector.get_max_ejected()
--- a/tests/unit/test_failure_detector.py
+++ b/tests/unit/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Test the levels of suspicion of the failure detectors."""
+"""Test the suspicion levels of the failure detectors."""
 
 import math
 
@@ -50,10 +50,10 @@
     st.lists(st.floats(0.001, 20.0), max_size=150),
     st.floats(0.1, 50.0),
 )
-def test_level_only_grows_with_silence(kind, intervals, threshold):
-    """A peer that stays silent must be suspected once, and then for good.
+def test_level_never_falls_with_silence(kind, intervals, threshold):
+    """Guards against a suspicion level that falls while a peer stays silent.
 
-    A level that fell again would open and close the same connection in turn.
+    A level that fell again would close and reopen the same connection repeatedly.
     """
     detector, now = observe_all(kind, intervals)
     levels = [detector.get_level(now + silent_s) for silent_s in range(0, 100, 3)]
--- a/tests/unit/test_keyed_machine.py
+++ b/tests/unit/test_keyed_machine.py
@@ -1,4 +1,4 @@
-"""Prove over all interleavings that a key runs at most once and no one is misled."""
+"""Test over random interleavings that a key runs at most once, with true refusals."""
 
 from dataclasses import dataclass, field
 
@@ -21,10 +21,10 @@
 from hyssopvane._internal.policy.keyed_request import (
     Join,
     KeyedRequest,
-    Look,
     Place,
+    ReadClaim,
+    Refuse,
     Send,
-    Tell,
     Write,
 )
 from hyssopvane._internal.protocol.idempotency import IdempotencyKey, check_key
@@ -49,19 +49,19 @@
 
 @dataclass(eq=False)
 class Request:
-    """Hold one sending of the key through one entry."""
+    """Hold one submission of the key through one entry."""
 
     body: int
     flow: KeyedRequest
     step: object
     waits: bool = False
-    told: Refusal | None = None
+    final_refusal: Refusal | None = None
     answer: int | None = None
 
 
 @dataclass(eq=False)
 class Frame:
-    """Hold an opening on its way to an agent."""
+    """Hold an opening message in flight to an agent."""
 
     request: Request
     step: Send | Join
@@ -69,7 +69,7 @@
 
 @dataclass(eq=False)
 class Agent:
-    """Hold what an agent remembers in one incarnation."""
+    """Hold the state of an agent in one incarnation."""
 
     register: AttemptRegister
     bodies: dict[int, int] = field(default_factory=dict)
@@ -78,7 +78,7 @@
 
 
 class KeyedRequests(RuleBasedStateMachine):
-    """Send one key through several entries while everything around them fails."""
+    """Send one key through several entries under random faults."""
 
     def __init__(self):
         super().__init__()
@@ -92,7 +92,7 @@
         self.deleted = False
         self.runs = 0
         self.bodies_run = set()
-        self.told_not_run = False
+        self.reported_not_run = False
         self.attempts = 0
         self.requests = []
         self.frames = []
@@ -113,17 +113,17 @@
         flow = KeyedRequest(CLAIM_KEY, body)
         self.requests.append(Request(body, flow, flow.begin(look=look)))
 
-    # What goes wrong.
+    # Faults.
 
     @rule(which=WHICH, what=st.sampled_from(DISTURBANCES))
     def disturb(self, which, what):
         waiting = [one for one in self.requests if one.waits]
         if what == "kill entry" and self.requests:
-            # What it sent stays on its way.
+            # Messages that the entry sent stay in flight.
             self.requests.pop(which % len(self.requests))
         elif what == "lose connection" and waiting:
             request = waiting[which % len(waiting)]
-            self.go_on(request, request.flow.take_lost())
+            self.set_step(request, request.flow.handle_lost_connection())
         elif what == "restart agent":
             self.restart(AGENTS[which % len(AGENTS)])
         elif what == "land late write" and self.late:
@@ -156,11 +156,11 @@
         stale=st.integers(0, 2),
     )
     def advance(self, which, agent, refuse, hows, stale):
-        """Take the next steps of a request that waits for nothing."""
+        """Take the next steps of a request that is not waiting for a reply."""
         active = self.find_active()
         request = active[which % len(active)]
         for how in hows:
-            if isinstance(request.step, Look):
+            if isinstance(request.step, ReadClaim):
                 self.look(request, how, stale)
             elif isinstance(request.step, Place):
                 self.place(request, agent, refuse)
@@ -171,20 +171,20 @@
 
     def look(self, request, how, stale):
         if how == "down":
-            self.go_on(request, request.flow.take_write_failure("out"))
+            self.set_step(request, request.flow.handle_write_failure("out"))
         else:
-            self.go_on(request, request.flow.take_found(self.read(stale)))
+            self.set_step(request, request.flow.handle_claim(self.read(stale)))
 
     def place(self, request, agent, refuse):
         self.attempts += 1
         if refuse is None:
             incarnation = self.agents[agent].register.incarnation
-            step = request.flow.take_place(agent, incarnation, self.attempts)
+            step = request.flow.handle_target(agent, incarnation, self.attempts)
         else:
             reason = RefusalReason.QUEUE_FULL
             refusal = Refusal(reason, Outcome.NOT_RUN, refuse or None)
-            step = request.flow.take_refusal(refusal, attempt=self.attempts)
-        self.go_on(request, step)
+            step = request.flow.handle_no_target(refusal, attempt=self.attempts)
+        self.set_step(request, step)
 
     def write(self, request, change, how, stale):
         if how == "late":
@@ -195,16 +195,16 @@
                 return
             self.apply(change)
         if how == "done":
-            self.go_on(request, request.flow.take_written(self.read(0)))
+            self.set_step(request, request.flow.handle_written(self.read(0)))
         elif how == "cached":
-            # A writer that finds its change made, or overtaken, in the page that it
-            # remembers writes nothing.
+            # A writer that finds its change applied, or superseded, in its cached page
+            # writes nothing.
             page = self.versions[max(0, len(self.versions) - 1 - stale)]
             if page.apply([change]) == page:
                 claim = page.claims.get(CLAIM_KEY.key_hash)
-                self.go_on(request, request.flow.take_written(claim))
+                self.set_step(request, request.flow.handle_written(claim))
         else:
-            self.go_on(request, request.flow.take_write_failure("unknown"))
+            self.set_step(request, request.flow.handle_write_failure("unknown"))
 
     def send(self, request, how):
         if how == "down":
@@ -222,7 +222,7 @@
     @precondition(lambda self: self.frames)
     @rule(which=WHICH, keep=st.booleans(), how=st.sampled_from(ACCEPTED))
     def deliver(self, which, keep, how):
-        """Deliver a frame, in any order and perhaps once more later."""
+        """Deliver a frame, in any order and possibly again later."""
         frame = self.frames[which % len(self.frames)]
         if not keep:
             self.frames.remove(frame)
@@ -289,17 +289,17 @@
             if self.waits_for(request, attempt):
                 self.answer(request, agent.bodies[attempt])
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def key_runs_at_most_once(self):
         assert self.runs <= 1
 
     @invariant()
-    def told_not_run_holds(self):
-        assert not (self.told_not_run and self.runs)
+    def outcome_not_run_holds(self):
+        assert not (self.reported_not_run and self.runs)
 
-    # How the parts are put together.
+    # Helpers.
 
     def find_active(self):
         return [one for one in self.requests if one.step is not None and not one.waits]
@@ -326,23 +326,23 @@
 
     def refuse(self, request, step, reason):
         joined = isinstance(step, Join)
-        self.go_on(request, request.flow.take_agent_refusal(reason, joined=joined))
+        self.set_step(request, request.flow.handle_agent_refusal(reason, joined=joined))
 
     def answer(self, request, body):
         assert body == request.body, "a caller gets the answer to its own request"
         assert self.runs == 1
         request.step, request.waits, request.answer = None, False, body
 
-    def go_on(self, request, step):
+    def set_step(self, request, step):
         request.waits = False
         request.step = step
-        if isinstance(step, Tell):
+        if isinstance(step, Refuse):
             self.end(request, step.refusal)
 
     def end(self, request, refusal):
-        request.step, request.waits, request.told = None, False, refusal
+        request.step, request.waits, request.final_refusal = None, False, refusal
         if refusal.outcome is Outcome.NOT_RUN:
-            self.told_not_run = True
+            self.reported_not_run = True
 
 
 def to_bytes(attempt):
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -17,11 +17,11 @@
     parse_page,
 )
 from hyssopvane._internal.policy.suspects import (
-    MAX_CASES,
+    MAX_RECORDS,
     BodyId,
-    Case,
     Crash,
-    SuspectBook,
+    SuspectRecord,
+    SuspectTracker,
 )
 from hyssopvane._internal.standins.key_value_state import KeyValueState, Put
 from tests.lib.fake_key_value import FakeKeyValueStore, Fault
@@ -43,7 +43,7 @@
 async def share_books(count, *, state=None, choose_fault=choose_no_fault, stores=None):
     """Run some entries' shares; their clocks differ from the wall clock."""
     state = state or KeyValueState(trio.current_time)
-    books = [SuspectBook() for _ in range(count)]
+    books = [SuspectTracker() for _ in range(count)]
     stores = [] if stores is None else stores
     async with trio.open_nursery() as nursery:
         for number, book in enumerate(books):
@@ -63,10 +63,10 @@
         nursery.cancel_scope.cancel()
 
 
-def note_crash(book, target, body=POISON):
+def record_crash(book, target, body=POISON):
     now = trio.current_time()
     crash = Crash(target, 1, now)
-    book.note_crash(body, crash, quarantine_s=QUARANTINE_S, now=now)
+    book.record_crash(body, crash, quarantine_s=QUARANTINE_S, now=now)
 
 
 def count_quarantined(books, body=POISON):
@@ -88,10 +88,10 @@
 
     async def run():
         async with share_books(3) as books:
-            note_crash(books[0], "t0")
+            record_crash(books[0], "t0")
             await trio.sleep(SPREAD_S)
             assert count_suspecting(books) == 3
-            note_crash(books[1], "t1")
+            record_crash(books[1], "t1")
             await trio.sleep(SPREAD_S)
             assert count_quarantined(books) == 3
             await trio.sleep(QUARANTINE_S)
@@ -104,7 +104,7 @@
     async def run():
         async with share_books(3) as books:
             for book in books:
-                note_crash(book, "t0")
+                record_crash(book, "t0")
                 await trio.sleep(0.01)
             await trio.sleep(SPREAD_S)
             assert count_suspecting(books) == 3
@@ -116,7 +116,7 @@
 def test_body_cleared_at_one_entry_is_clear_at_all():
     async def run():
         async with share_books(3) as books:
-            note_crash(books[0], "t0")
+            record_crash(books[0], "t0")
             await trio.sleep(SPREAD_S)
             books[2].clear(POISON)
             await trio.sleep(SPREAD_S)
@@ -129,8 +129,8 @@
     async def run():
         state = KeyValueState(trio.current_time)
         async with share_books(1, state=state) as books:
-            note_crash(books[0], "t0")
-            note_crash(books[0], "t1")
+            record_crash(books[0], "t0")
+            record_crash(books[0], "t1")
             await trio.sleep(SPREAD_S)
             assert count_quarantined(books) == 1
         async with share_books(2, state=state) as books:
@@ -144,7 +144,7 @@
         state = KeyValueState(trio.current_time)
         state.commit([], [Put(PAGE_KEY.encode(), b'{"format": 9}', 0)])
         async with share_books(2, state=state) as books:
-            note_crash(books[0], "t0")
+            record_crash(books[0], "t0")
             await trio.sleep(SPREAD_S)
             assert count_suspecting(books) == 2
 
@@ -153,18 +153,22 @@
 
 @pytest.mark.parametrize("quarantined", [False, True])
 def test_page_keeps_cases(quarantined):
-    case = Case((Crash("t0", 7, 10.0), Crash("t1", 8, 11.5)), quarantined, 600.0)
+    case = SuspectRecord(
+        (Crash("t0", 7, 10.0), Crash("t1", 8, 11.5)), quarantined, 600.0
+    )
     page = format_page({POISON: case}, offset=1000.0)
     assert parse_page(page, offset=900.0) == {
-        POISON: Case((Crash("t0", 7, 110.0), Crash("t1", 8, 111.5)), quarantined, 700.0)
+        POISON: SuspectRecord(
+            (Crash("t0", 7, 110.0), Crash("t1", 8, 111.5)), quarantined, 700.0
+        )
     }
 
 
 def test_full_page_fits_the_service():
     crashes = (Crash("t" * 63, 2**63, 1e9), Crash("u" * 63, 2**63, 1e9))
     cases = {
-        BodyId("s" * 20, number.to_bytes(32, "big")): Case(crashes, True, 1e9)
-        for number in range(MAX_CASES)
+        BodyId("s" * 20, number.to_bytes(32, "big")): SuspectRecord(crashes, True, 1e9)
+        for number in range(MAX_RECORDS)
     }
     assert len(format_page(cases, offset=0.0)) < MAX_VALUE_BYTES
 
@@ -198,7 +202,7 @@
             for entry, number, crashes in steps:
                 body = BodyId("draft", bytes([number]))
                 if crashes:
-                    note_crash(books[entry], f"t{entry}", body)
+                    record_crash(books[entry], f"t{entry}", body)
                 else:
                     books[entry].clear(body)
                 await trio.sleep(0.3)
@@ -220,15 +224,15 @@
         state = KeyValueState(trio.current_time)
         stores = []
         async with share_books(3, state=state, stores=stores) as books:
-            note_crash(books[0], "t9", early)
+            record_crash(books[0], "t9", early)
             await trio.sleep(SPREAD_S)
             copy = state.copy_items()
             for number in range(4):
-                note_crash(books[1], "t8", BodyId("draft", bytes([number])))
+                record_crash(books[1], "t8", BodyId("draft", bytes([number])))
                 await trio.sleep(SPREAD_S)
             if lost_first:
-                note_crash(books[0], "t0")
-                note_crash(books[0], "t1")
+                record_crash(books[0], "t0")
+                record_crash(books[0], "t1")
                 await trio.sleep(SPREAD_S)
                 assert count_quarantined(books) == 3
             copy.begin_cluster()
@@ -236,8 +240,8 @@
                 store.state = copy
             await trio.sleep(2.0)
             if not lost_first:
-                note_crash(books[1], "t0")
-                note_crash(books[1], "t1")
+                record_crash(books[1], "t0")
+                record_crash(books[1], "t1")
                 await trio.sleep(SPREAD_S)
             assert count_quarantined(books) == 3
             assert count_suspecting(books, early) == 3
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -1,12 +1,12 @@
-"""Test that what replicas ask of an entry is kept, with the clock passed in."""
+"""Test that reports of replicas to an entry stay in force, with a simulated clock."""
 
 import pytest
 
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.policy.replica_notices import (
-    LEAVING_KEPT_S,
-    LONGEST_REST_S,
-    START_NEWS_S,
+    LEAVING_TTL_S,
+    MAX_PAUSE_S,
+    START_PROPAGATION_S,
     ReplicaNotices,
 )
 from hyssopvane._internal.protocol.headers import read_retry_after
@@ -51,18 +51,18 @@
     ("told", "ends_at"),
     [
         ([(0.0, 3.0)], 3.0),
-        # Shorter after longer.
+        # A shorter pause after a longer one.
         ([(0.0, 3.0), (0.5, 1.0)], 3.0),
         ([(0.0, 3.0), (0.5, 0.0)], 3.0),
-        # Longer after shorter, and another one at the end of the first.
+        # A longer pause after a shorter one, and a new pause at the end of the first.
         ([(0.0, 1.0), (0.5, 3.0)], 3.5),
         ([(0.0, 1.0), (1.0, 1.0)], 2.0),
-        # More than anybody can mean.
-        ([(0.0, 1e19)], LONGEST_REST_S),
+        # Longer than the maximum.
+        ([(0.0, 1e19)], MAX_PAUSE_S),
     ],
 )
-def test_longest_time_that_was_asked_for_is_kept(told, ends_at):
-    """Guards against a shorter pause that takes the place of a longer one."""
+def test_longest_requested_pause_is_kept(told, ends_at):
+    """Guards against a shorter pause that replaces a longer one."""
     notices = ReplicaNotices()
     for at, rest_s in told:
         notices.note_rest(make_replica(1), rest_s, now=at)
@@ -78,7 +78,7 @@
     return {one.replica.id for one in list_assignments(gate.dispatch(now))}
 
 
-def lapse(gate, now):
+def expire_registration(gate, now):
     gate.update([make_replica(0)], None, now=now)
     gate.update([make_replica(0), make_replica(1)], None, now=now)
 
@@ -93,7 +93,7 @@
         gate.finish(make_replica(1), failed=True, now=now)
 
 
-def hear(gate, now):
+def receive_load(gate, now):
     gate.observe_load(make_load(1), now=now)
 
 
@@ -101,9 +101,11 @@
     gate.note_full(make_replica(1), now=now, until=now + 0.1)
 
 
-@pytest.mark.parametrize("happen", [lapse, move, fail, hear, fill])
-def test_rest_is_kept_whatever_else_becomes_known(happen):
-    """Guards against a rest that is forgotten with other beliefs of the replica."""
+@pytest.mark.parametrize(
+    "happen", [expire_registration, move, fail, receive_load, fill]
+)
+def test_pause_is_kept_when_other_records_change(happen):
+    """Guards against a pause that is lost when other records of the replica change."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(1), 10.0, now=0.0)
     happen(gate, 1.0)
@@ -113,12 +115,13 @@
 
 @pytest.mark.parametrize("told_by", ["registration", "load"])
 @pytest.mark.parametrize(
-    ("after_s", "rests"), [(START_NEWS_S, True), (START_NEWS_S + 0.1, False)]
+    ("after_s", "rests"),
+    [(START_PROPAGATION_S, True), (START_PROPAGATION_S + 0.1, False)],
 )
-def test_rest_ends_with_the_start_that_asked_for_it(told_by, after_s, rests):
-    """Guards against a replica that idles for what an earlier start of it asked for.
+def test_pause_ends_with_the_start_that_requested_it(told_by, after_s, rests):
+    """Guards against a replica that stays idle for a pause of its earlier start.
 
-    An answer of the new start may come before the news of that start.
+    An answer of the new start may arrive before the update about that start.
     """
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
@@ -130,8 +133,8 @@
     assert (send(gate, now=5.0) == set()) is rests
 
 
-def test_rest_that_is_told_after_the_news_of_a_start_binds_that_start():
-    """Guards against an answer that is taken for an earlier start's."""
+def test_pause_received_after_the_update_of_a_start_applies_to_it():
+    """Guards against an answer that is attributed to an earlier start."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
     gate.note_rest(make_replica(0, started_ms=1), 10.0, now=0.5)
@@ -139,8 +142,8 @@
     assert send(gate, now=5.0) == set()
 
 
-def test_callers_hear_at_once_when_all_replicas_rest():
-    """Guards against callers that wait in vain, or come back too early."""
+def test_callers_are_refused_at_once_when_all_replicas_are_paused():
+    """Guards against callers that wait in vain, or retry too early."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(0), 4.0, now=0.0)
     gate.note_rest(make_replica(1), 3.0, now=0.0)
@@ -150,11 +153,11 @@
     times = [one.retry_after_s for one in turned]
     assert len(turned) == 20
     assert min(times) >= 3.0
-    # Not all of them in one moment.
+    # The retry times must be spread.
     assert max(times) - min(times) > 0.2
 
 
-def test_callers_wait_for_a_rest_that_ends_in_their_time():
+def test_callers_wait_for_a_pause_that_ends_in_time():
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
     gate.add(make_waiting(1), weight=1.0)
@@ -164,12 +167,12 @@
 
 @pytest.mark.parametrize(
     ("resting", "ejected"),
-    # One of four that fails is left out, though two others rest; the last that is
-    # there for callers isn't.
+    # One failing replica of four is ejected, though two others are paused; the last
+    # replica available to callers isn't.
     [((0, 1), True), ((0, 1, 2), False)],
 )
-def test_resting_replicas_do_not_keep_a_failing_one_in_use(resting, ejected):
-    """Guards against rests that count as ejections."""
+def test_paused_replicas_do_not_keep_a_failing_one_in_use(resting, ejected):
+    """Guards against pauses that count as ejections."""
     gate = make_gate(4, engine=None)
     for number in resting:
         gate.note_rest(make_replica(number), 10.0, now=0.0)
@@ -178,23 +181,23 @@
     assert ("i-3" not in send(gate, now=0.1)) is ejected
 
 
-def test_rest_of_one_rank_closes_no_group():
-    """Guards against one rank's wish that is taken for a refusal of all its group."""
+def test_pause_of_one_rank_does_not_close_its_group():
+    """Guards against one rank's pause that is applied to its whole group."""
     gate = make_gate(12)
     gate.note_rest(make_replica(1), 10.0, now=0.0)
     assert len(send(gate, now=0.0)) > 1
 
 
-def test_rest_binds_no_other_replica_at_the_address():
-    """Guards against a rest that the next replica at an address inherits."""
+def test_pause_does_not_apply_to_another_replica_at_the_address():
+    """Guards against a pause that is applied to the next replica at an address."""
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 10.0, now=0.0)
     gate.update([make_replica(0, id="i-next")], None, now=1.0)
     assert send(gate, now=1.0) == {"i-next"}
 
 
-def test_queue_that_waits_for_a_rest_is_not_sent_in_one_burst():
-    """Guards against a replica that is flooded as its rest ends."""
+def test_queue_is_not_sent_in_one_burst_after_a_pause():
+    """Guards against a burst of requests to a replica when its pause ends."""
     gate = make_gate(1, engine=None)
     gate.note_rest(make_replica(0), 0.1, now=0.0)
     add(gate, 50)
@@ -202,9 +205,11 @@
     assert 1 <= len(list_assignments(gate.dispatch(0.1))) <= 6
 
 
-@pytest.mark.parametrize("happen", [lapse, move, fail, hear, fill])
-def test_replica_that_said_that_it_leaves_stays_out(happen):
-    """Guards against a leaving replica that a registration or a load brings back."""
+@pytest.mark.parametrize(
+    "happen", [expire_registration, move, fail, receive_load, fill]
+)
+def test_leaving_replica_stays_out(happen):
+    """Guards against a registration or load that reactivates a leaving replica."""
     gate = make_gate(2, engine=None)
     gate.note_leaving(make_replica(1), now=0.0)
     happen(gate, 1.0)
@@ -212,9 +217,9 @@
     assert send(gate, now=60.0) == {"i-0"}
 
 
-@pytest.mark.parametrize("after_s", [0.1, START_NEWS_S + 0.1])
-def test_leaving_ends_with_the_start_that_said_it(after_s):
-    """Guards against a replica that idles for what an earlier start of it said."""
+@pytest.mark.parametrize("after_s", [0.1, START_PROPAGATION_S + 0.1])
+def test_leaving_ends_with_the_start_that_reported_it(after_s):
+    """Guards against a replica that stays idle as its earlier start was leaving."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
     gate.note_leaving(make_replica(0, started_ms=1), now=0.0)
@@ -222,18 +227,18 @@
     assert send(gate, now=5.0) == {"i-0"}
 
 
-def test_what_replicas_said_is_forgotten_when_it_no_longer_matters():
-    """Guards against a memory that grows with every release of a service."""
+def test_expired_records_are_removed():
+    """Guards against memory that grows with every release of a service."""
     notices = ReplicaNotices()
     for number in range(1_000):
         notices.note_leaving(make_replica(number), now=0.0)
-    notices.note_registered([make_replica(0)], now=10.0)
-    notices.expire(LEAVING_KEPT_S)
+    notices.record_registered([make_replica(0)], now=10.0)
+    notices.expire(LEAVING_TTL_S)
     assert len(notices) == 1
     assert notices.is_leaving(make_replica(0))
 
 
-def test_resting_replicas_are_told_from_leaving_ones():
+def test_paused_replicas_are_distinguished_from_leaving_ones():
     """Guards against callers that are asked to wait for a replica that leaves."""
     gate = make_gate(2, engine=None)
     gate.note_rest(make_replica(0), 4.0, now=0.0)
--- a/tests/unit/test_request_limits.py
+++ b/tests/unit/test_request_limits.py
@@ -1,4 +1,4 @@
-"""Test that entries keep together to the request limit that a replica names."""
+"""Test that entries together keep to the request limit that a replica sets."""
 
 from random import Random
 
@@ -9,9 +9,9 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.platform.wire import HEADERS
 from hyssopvane._internal.policy import limit_shares, limited_replicas
-from hyssopvane._internal.policy.limit_shares import EntryCensus, RequestPace
+from hyssopvane._internal.policy.limit_shares import EntryCounter, RequestPace
 from hyssopvane._internal.policy.limited_replicas import (
-    MAX_TOLD,
+    MAX_LIMITS_PER_MESSAGE,
     LimitedReplicas,
 )
 from hyssopvane._internal.protocol.group_messages import (
@@ -24,16 +24,17 @@
 from tests.lib.limit_model import LimitModel
 
 SETTLED_S = 4.0
-"""Time after a limit is first named from which it has to hold."""
+"""Seconds after a limit is first set from which it must be kept."""
 
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
 @pytest.mark.parametrize("per_s", [0.0, 0.4, 1.0, 2.5, 8.0, 40.0])
-def test_replica_in_need_gets_no_more_than_it_takes(entries, per_s):
-    """A replica is near its end and asks all entries together for fewer requests.
+def test_overloaded_replica_gets_no_more_than_its_limit(entries, per_s):
+    """Guards against entries that each use the whole limit of a replica.
 
-    Each entry sees only its own. Were each to send what the replica takes from all,
-    it would fall over, and callers would lose what it has begun.
+    A replica near its capacity asks all entries together for fewer requests. Each entry
+    only knows its own. If each sent as many as the limit allows in total, the replica
+    would fail, and callers would lose the requests that it has begun.
     """
     model = LimitModel(entries, lambda now: per_s)
     model.run(30.0)
@@ -42,7 +43,7 @@
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
 @pytest.mark.parametrize("per_s", [2.5, 8.0, 40.0])
-def test_what_the_replica_takes_is_used_while_callers_wait(entries, per_s):
+def test_limit_is_used_while_callers_wait(entries, per_s):
     model = LimitModel(entries, lambda now: per_s)
     model.run(30.0)
     assert model.measure_rate(10.0, 30.0) >= 0.9 * per_s
@@ -57,13 +58,14 @@
     delay_s=st.floats(0, 0.4),
     asleep=st.integers(0, 4),
 )
-def test_limit_holds_with_lost_and_late_words_and_entries_that_stand_still(
+def test_limit_holds_with_lost_and_late_messages_and_stalled_entries(
     entries, per_s, seed, loss, delay_s, asleep
 ):
-    """Some entries stand still for seconds and wake, while words between them are lost.
+    """Guards against excess requests after stalls and lost messages.
 
-    One that wakes must not send at once what it has missed, and those that were awake
-    must not have taken its part for good.
+    Some entries stall for seconds and resume, while messages between entries are lost.
+    An entry that resumes must not send at once what it has missed, and the entries that
+    kept running must not have taken its share for good.
     """
     sleeps = {number: (8.0 + number, 12.0 + number) for number in range(asleep)}
     model = LimitModel(
@@ -86,11 +88,12 @@
 
 
 @pytest.mark.parametrize("entries", [1, 12, 35])
-def test_replica_gets_its_part_again_soon_after_its_limit_ends(entries):
-    """A replica has recovered and names no limit any more.
+def test_replica_gets_requests_soon_after_its_limit_ends(entries):
+    """Guards against a replica that stays idle after its limit has ended.
 
-    The entries that send it nothing can't see that. Were they to wait for an answer of
-    their own, the others would be full while it idles.
+    A replica has recovered and sets no limit any more. Entries that send it nothing
+    can't detect that. If they waited for an answer of their own, the other replicas
+    would be full while this one is idle.
     """
     model = LimitModel(entries, lambda now: 0.0 if now < 10 else None)
     model.run(20.0)
@@ -99,40 +102,43 @@
 
 
 class SavingPace(RequestPace):
-    """Let an entry send at once what it has not sent before."""
+    """Let an entry send unused requests of the past at once."""
 
     def take(self, now):
         self._last_at += 1 / self.per_s
 
 
-def share_evenly(census, replica, zone, per_s):
-    return max(per_s / max(census._counted, 1), 1 / limit_shares.PROBE_S)
+def share_evenly(entry_counter, replica, zone, per_s):
+    return max(per_s / max(entry_counter._counted, 1), 1 / limit_shares.PROBE_S)
 
 
-def ignore_others(census, replica, zone, per_s):
+def ignore_others(entry_counter, replica, zone, per_s):
     return per_s
 
 
 @pytest.mark.parametrize(
     "owner, name, replaced, options",
     [
-        # Entries that stood still or had no callers have saved up requests.
+        # Entries that stalled or had no callers have saved requests.
         (
             limited_replicas,
             "RequestPace",
             SavingPace,
             {"sleeps": {n: (5.0, 14.0) for n in range(12)}},
         ),
-        # Many entries with a small part each.
-        (EntryCensus, "measure_share", share_evenly, {"entries": 35, "per_s": 1.0}),
-        # Each takes the limit for its own.
-        (EntryCensus, "measure_share", ignore_others, {}),
+        # Many entries with a small share each.
+        (EntryCounter, "measure_share", share_evenly, {"entries": 35, "per_s": 1.0}),
+        # Each entry uses the whole limit.
+        (EntryCounter, "measure_share", ignore_others, {}),
     ],
 )
-def test_without_a_protection_the_limit_is_broken(
+def test_limit_is_exceeded_without_each_protection(
     monkeypatch, owner, name, replaced, options
 ):
-    """Each protection is taken out by itself: the model must see what it prevents."""
+    """Check that the model detects what each protection prevents.
+
+    Each protection is replaced by itself, and the limit must be exceeded.
+    """
     entries = options.pop("entries", 12)
     per_s = options.pop("per_s", 3.0)
     monkeypatch.setattr(owner, name, replaced)
@@ -168,16 +174,16 @@
 
 
 @pytest.mark.parametrize("per_s", [None, 0.0, 2.5])
-def test_limits_are_told_between_entries(per_s):
-    told = ReplicaLimits((LimitReport("10.0.0.1:80", 7, per_s, 1.5),))
-    assert decode_message(encode_message(told)) == told
+def test_limits_survive_encoding(per_s):
+    message = ReplicaLimits((LimitReport("10.0.0.1:80", 7, per_s, 1.5),))
+    assert decode_message(encode_message(message)) == message
 
 
 @pytest.mark.parametrize("per_s", [-1.0, float("nan"), float("inf")])
-def test_limit_that_no_entry_tells_is_refused(per_s):
-    told = ReplicaLimits((LimitReport("10.0.0.1:80", 7, per_s, 1.5),))
+def test_invalid_limit_in_a_message_is_refused(per_s):
+    message = ReplicaLimits((LimitReport("10.0.0.1:80", 7, per_s, 1.5),))
     with pytest.raises(ProtocolError):
-        decode_message(encode_message(told))
+        decode_message(encode_message(message))
 
 
 def make_replica(number, **changes):
@@ -194,37 +200,40 @@
 
 
 def make_limits(random):
-    census = EntryCensus(availability_zone="zone-a")
-    return LimitedReplicas(random=random, census=census)
+    entry_counter = EntryCounter(availability_zone="zone-a")
+    return LimitedReplicas(random=random, entry_counter=entry_counter)
 
 
-@pytest.mark.parametrize("replicas", [1, MAX_TOLD, 10_000])
-def test_what_is_told_at_once_fits_a_packet_and_all_get_their_turn(replicas, rng):
+@pytest.mark.parametrize("replicas", [1, MAX_LIMITS_PER_MESSAGE, 10_000])
+def test_updates_fit_a_packet_and_include_all_in_rotation(replicas, rng):
     limits = make_limits(rng)
     for number in range(replicas):
-        limits.observe(make_replica(number), 2.0, heard_at=0.0, now=0.0)
-    told = set()
-    for _ in range(replicas // MAX_TOLD + 1):
-        news = limits.list_news(1.0)
+        limits.observe(make_replica(number), 2.0, received_at=0.0, now=0.0)
+    published = set()
+    for _ in range(replicas // MAX_LIMITS_PER_MESSAGE + 1):
+        news = limits.list_updates(1.0)
         assert len(encode_message(ReplicaLimits(tuple(news)))) < 1_400
-        told |= {one.replica for one in news}
-    assert len(told) == replicas
+        published |= {one.replica for one in news}
+    assert len(published) == replicas
 
 
 def test_new_start_of_a_replica_has_no_limit(rng):
-    """A replica in need crashes and comes back under its id, and is well."""
+    """Guards against the limit of a crashed start that is applied to the next one.
+
+    A replica with a limit crashes, and restarts under its id without overload.
+    """
     limits = make_limits(rng)
-    limits.observe(make_replica(1), 0.0, heard_at=0.0, now=0.0)
+    limits.observe(make_replica(1), 0.0, received_at=0.0, now=0.0)
     assert limits.get_share(make_replica(1)) is not None
     assert limits.may_send(make_replica(1, started_ms=2), 0.1)
     assert limits.get_share(make_replica(1, started_ms=2)) is None
 
 
-def test_older_word_does_not_bring_back_a_limit_that_has_ended(rng):
+def test_older_update_does_not_restore_an_ended_limit(rng):
     limits = make_limits(rng)
-    limits.observe(make_replica(1), 2.0, heard_at=1.0, now=1.0)
-    limits.observe(make_replica(1), None, heard_at=2.0, now=2.0)
-    assert not limits.observe(make_replica(1), 2.0, heard_at=1.5, now=2.5)
+    limits.observe(make_replica(1), 2.0, received_at=1.0, now=1.0)
+    limits.observe(make_replica(1), None, received_at=2.0, now=2.0)
+    assert not limits.observe(make_replica(1), 2.0, received_at=1.5, now=2.5)
     assert limits.get_share(make_replica(1)) is None
 
 
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -106,7 +106,7 @@
     """A request crashes its replica, which returns under its id each time."""
     suspects = CrashSuspects()
     for number in range(BAN_AFTER):
-        suspects.note_loss(1, ("i-1", BEFORE + number), now=float(number))
+        suspects.record_loss(1, ("i-1", BEFORE + number), now=float(number))
     assert suspects.is_banned(1, now=float(BAN_AFTER))
 
 
--- a/tests/unit/test_retries.py
+++ b/tests/unit/test_retries.py
@@ -1,4 +1,4 @@
-"""Test which attempts are followed by another, and when."""
+"""Test which attempts are retried, and when."""
 
 from random import Random
 
@@ -35,11 +35,11 @@
         (AttemptResult.CANCELLED, True, False),
     ],
 )
-def test_only_what_is_safe_runs_again(result, repeatable, retried):
-    """A connection breaks while a bid confirmation may be running.
+def test_only_safe_attempts_are_retried(result, repeatable, retried):
+    """Guards against a second run of a request that must run once.
 
-    Sent to a second target, it would confirm the bid twice, and two bidders would
-    believe that they won the same car.
+    A connection breaks while a bid confirmation may be running. A second target would
+    confirm the bid again, and two bidders would believe that they won the same car.
     """
     decision = Retrier(random=Random(1)).decide(
         make_request(repeatable=repeatable), AttemptReport(result), attempts=1, now=0.0
@@ -47,7 +47,7 @@
     assert isinstance(decision, RetryAt) is retried
 
 
-def test_begun_answer_is_never_followed_by_another():
+def test_started_answer_is_never_retried():
     report = AttemptReport(AttemptResult.BROKEN, "target-broken", final=True)
     decision = Retrier(random=Random(1)).decide(
         make_request(repeatable=True), report, attempts=1, now=0.0
@@ -75,7 +75,7 @@
     assert (decision.at > 5.0) is waits
 
 
-def test_wait_that_target_asks_for_is_kept():
+def test_retry_after_of_the_target_is_respected():
     report = AttemptReport(AttemptResult.NOT_STARTED, "target-full", retry_after_s=2.0)
     decision = Retrier(random=Random(1)).decide(
         make_request(), report, attempts=1, now=0.0
@@ -118,10 +118,11 @@
     ),
 )
 def test_retries_never_exceed_budget(percent, steps):
-    """Every target is full and refuses each attempt.
+    """Guards against retries that multiply the load on full targets.
 
-    Without a budget the retries would triple the load at the moment when there is
-    least room, and callers who came first would wait for it.
+    Every target is full and refuses each attempt. Without a budget the retries would
+    triple the load when there is least capacity, and callers who came first would wait
+    for it.
     """
     budget = RetryBudget(percent=percent)
     now = 0.0
