--- a/src/hyssopvane/_internal/coordination/spread.py
+++ b/src/hyssopvane/_internal/coordination/spread.py
@@ -55,26 +55,26 @@
 QUESTION_TOPIC = "table/ask"
 BEAT_TOPIC = "table/beat"
 
-BEAT_S = 2.0
+BEAT_INTERVAL_S = 2.0
 """Time between two signs of a watcher that it is in touch with the service.
 
 Every entry hears them; three that stay out are taken as the loss of both watchers,
 which leaves half of the 12 s in which a change must be in force everywhere.
 """
 
-STALE_S = 3 * BEAT_S
+WATCHER_TIMEOUT_S = 3 * BEAT_INTERVAL_S
 
-FALLBACK_S = 4.0
+FALLBACK_INTERVAL_S = 4.0
 """Mean time between two readings of the service by an entry that hears no watcher.
 
 960 entries that all lost their watchers make 240 reads a second, an eighth of what the
 service takes.
 """
 
-GRACE_S = 0.5
+CATCH_UP_DELAY_S = 0.5
 """Time in which a change that a peer already has may still come by itself."""
 
-ASK_TIMEOUT_S = 2.0
+QUERY_TIMEOUT_S = 2.0
 START_TIMEOUT_S = 3.0
 START_PEERS = 3
 """Peers that a process asks at its start; one of them may be starting too."""
@@ -121,15 +121,15 @@
         self._observe = observe
         self._report = report
         self.reader = TableReader(
-            store, random=random, report=report, observe=self._pass_on
+            store, random=random, report=report, observe=self._forward_changes
         )
         self._duties = Duties()
         self._duties_known = trio.Event()
         self._duties_changed = trio.Event()
         self._nursery: trio.Nursery | None = None
-        self._asking = False
+        self._is_catching_up = False
         self._started = False
-        self._heard_watcher_at = 0.0
+        self._watcher_seen_at = 0.0
         self._last_beats: dict[str, tuple[int, int]] = {}
 
     @property
@@ -160,7 +160,9 @@
             while True:
                 changed = self._duties_changed
                 async with trio.open_nursery() as duty:
-                    duty.start_soon(self._watch if self.watches else self._listen)
+                    duty.start_soon(
+                        self._watch if self.watches else self._poll_while_silent
+                    )
                     await changed.wait()
                     duty.cancel_scope.cancel()
 
@@ -171,12 +173,12 @@
         with trio.move_on_after(START_TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._read_service)
-                nursery.start_soon(self._ask_neighbours)
+                nursery.start_soon(self._catch_up_from_neighbours)
         self._started = True
         if self.table.revision:
             self._observe(self.table)
 
-    async def _ask_neighbours(self) -> None:
+    async def _catch_up_from_neighbours(self) -> None:
         await self._duties_known.wait()
         neighbours = self._duties.neighbours
         # Any of them: a zone that starts at one moment would take 69 whole tables of
@@ -199,18 +201,18 @@
             async for _ in receiver:
                 pass
 
-    async def _listen(self) -> None:
+    async def _poll_while_silent(self) -> None:
         # Both watchers of a zone may be lost at once, or be cut off from the service.
         # Their entries would then go on for ever with an old limit, and nobody would
         # notice but the customer whom it concerns.
-        self._heard_watcher_at = trio.current_time()
+        self._watcher_seen_at = trio.current_time()
         while True:
-            await trio.sleep(FALLBACK_S * self._random.uniform(0.5, 1.5))
-            if trio.current_time() - self._heard_watcher_at > STALE_S:
+            await trio.sleep(FALLBACK_INTERVAL_S * self._random.uniform(0.5, 1.5))
+            if trio.current_time() - self._watcher_seen_at > WATCHER_TIMEOUT_S:
                 await self._read_service()
-                await self._ask_any_neighbour()
+                await self._catch_up_from_any_neighbour()
 
-    async def _ask_any_neighbour(self) -> None:
+    async def _catch_up_from_any_neighbour(self) -> None:
         # With the service out as well, a peer may have what is missing here. All ask
         # at such a time, so each asks another: 68 questions to the same two would be
         # four times the budget of those.
@@ -220,26 +222,26 @@
     async def _send_beats(self) -> None:
         sequence = 0
         while True:
-            await trio.sleep(BEAT_S)
+            await trio.sleep(BEAT_INTERVAL_S)
             if self.watches:
                 sequence += 1
-                self._tell_all(self._make_beat(sequence))
+                self._send_beat(self._make_beat(sequence))
 
     def _make_beat(self, sequence: int) -> Beat:
-        heard_s = trio.current_time() - self.reader.heard_at
+        silence_s = trio.current_time() - self.reader.last_contact_at
         return Beat(
             self._own_vm,
             self._incarnation,
             sequence,
             self.table.revision,
             self.reader.digest,
-            in_touch=heard_s <= self.reader.refresh_s + BEAT_S,
+            in_touch=silence_s <= self.reader.refresh_s + BEAT_INTERVAL_S,
             vms_digest=self._get_vms_digest(),
             era=self.table.era,
         )
 
-    def _tell_all(self, beat: Beat) -> None:
-        self.tell_receivers(BEAT_TOPIC, encode_beat(beat))
+    def _send_beat(self, beat: Beat) -> None:
+        self.send_to_receivers(BEAT_TOPIC, encode_beat(beat))
 
     def receive_beat(self, vm: str, body: bytes) -> None:
         """Take note that a watcher lives; pass it on in its own zone."""
@@ -258,7 +260,7 @@
             return
         self._compare_vms(beat.vms_digest)
         if beat.in_touch:
-            self._heard_watcher_at = trio.current_time()
+            self._watcher_seen_at = trio.current_time()
         own = replace(
             beat,
             revision=self.table.revision,
@@ -266,14 +268,14 @@
             vms_digest=self._get_vms_digest(),
             era=self.table.era,
         )
-        self._tell_all(own)
+        self._send_beat(own)
 
     def receive_pages(self, vm: str, body: bytes) -> None:
         """Take over changes that a peer passes on; ask for the page after a gap."""
         try:
             changes = decode_pages(body).changes
             if not self._apply(changes):
-                self._ask_soon(vm)
+                self._start_catch_up(vm)
         except ProtocolError as error:
             self._report(error)
 
@@ -289,7 +291,7 @@
             for item in self.reader.get_pages()
             if item.revision > held.get((item.key, item.era), 0)
         ]
-        chosen = _take_bounded(sorted(newer, key=lambda item: item.position))
+        chosen = _limit_size(sorted(newer, key=lambda item: item.position))
         changes = tuple(make_whole(item) for item in chosen)
         return encode_pages(Pages(changes, more=len(chosen) < len(newer)))
 
@@ -304,34 +306,34 @@
         if position.era > self.table.era:
             self._store.end_watches(position.era)
         if self._is_behind(position, digest) and self._nursery is not None:
-            self._nursery.start_soon(self._ask_when_behind, vm, position, digest)
+            self._nursery.start_soon(self._catch_up_if_behind, vm, position, digest)
 
     def _is_behind(self, position: StorePosition, digest: int | None) -> bool:
         if position != self.table.position:
             return position > self.table.position
         return digest is not None and digest != self.reader.digest
 
-    async def _ask_when_behind(
+    async def _catch_up_if_behind(
         self, vm: str, position: StorePosition, digest: int | None
     ) -> None:
-        if self._asking:
+        if self._is_catching_up:
             return
-        self._asking = True
+        self._is_catching_up = True
         try:
-            await trio.sleep(GRACE_S)
+            await trio.sleep(CATCH_UP_DELAY_S)
             if self._is_behind(position, digest):
                 await self._catch_up(vm)
         finally:
-            self._asking = False
+            self._is_catching_up = False
 
-    def _ask_soon(self, vm: str) -> None:
+    def _start_catch_up(self, vm: str) -> None:
         if self._nursery is not None:
             self._nursery.start_soon(self._catch_up, vm)
 
     async def _catch_up(self, vm: str) -> None:
         more = True
         try:
-            with trio.move_on_after(ASK_TIMEOUT_S):
+            with trio.move_on_after(QUERY_TIMEOUT_S):
                 while more:
                     question = encode_question(self.reader.get_held_marks())
                     answer = await self._neighbours.ask(vm, QUESTION_TOPIC, question)
@@ -360,14 +362,14 @@
         self.reader.accept(items)
         return whole
 
-    def _pass_on(self, steps: Sequence[PageStep]) -> None:
+    def _forward_changes(self, steps: Sequence[PageStep]) -> None:
         changes = tuple(make_change(step.before, step.after) for step in steps)
-        for message in _split(changes):
-            self.tell_receivers(PAGES_TOPIC, encode_pages(Pages(message)))
+        for message in _split_changes(changes):
+            self.send_to_receivers(PAGES_TOPIC, encode_pages(Pages(message)))
         if self._started:
             self._observe(self.table)
 
-    def tell_receivers(self, topic: str, body: bytes) -> None:
+    def send_to_receivers(self, topic: str, body: bytes) -> None:
         """Send a notice to the entries that this one passes news on to."""
         if self._nursery is not None:
             for vm in self._duties.receivers:
@@ -381,7 +383,7 @@
             return
 
 
-def _take_bounded(items: Sequence[KeyValue]) -> list[KeyValue]:
+def _limit_size(items: Sequence[KeyValue]) -> list[KeyValue]:
     size = 0
     chosen: list[KeyValue] = []
     for item in items:
@@ -392,7 +394,7 @@
     return chosen
 
 
-def _split(changes: Sequence[PageChange]) -> list[tuple[PageChange, ...]]:
+def _split_changes(changes: Sequence[PageChange]) -> list[tuple[PageChange, ...]]:
     """Return the changes in messages that fit into a frame."""
     messages: list[tuple[PageChange, ...]] = []
     size = MAX_ANSWER_BYTES
--- a/src/hyssopvane/_internal/coordination/table_store.py
+++ b/src/hyssopvane/_internal/coordination/table_store.py
@@ -329,7 +329,7 @@
         Those of earlier eras are kept while they have edits that the service lost.
         """
         self._read_mark = StorePosition(0, 0)
-        self.heard_at = -math.inf
+        self.last_contact_at = -math.inf
         """Clock value at which the service was last heard."""
         self.digest = 0
         """Hash of the revisions of all pages in force."""
@@ -403,7 +403,7 @@
     def _note_read(self, position: StorePosition) -> None:
         # A stale read is of an earlier revision than was already read.
         self._read_mark = max(self._read_mark, position)
-        self.heard_at = trio.current_time()
+        self.last_contact_at = trio.current_time()
 
     def get_page(self, key: str, era: int) -> KeyValue | None:
         """Return the last version of a page in an era."""
--- a/src/hyssopvane/_internal/coordination/vm_spread.py
+++ b/src/hyssopvane/_internal/coordination/vm_spread.py
@@ -17,16 +17,16 @@
 
 VM_CHANGES_TOPIC = "vms/changes"
 
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 """Time between two readings of the list by a watcher.
 
 960 entries that read it each second would be 960 calls a second; 28 watchers make 28.
 """
 
-STALE_S = 6.0
+MAX_LIST_AGE_S = 6.0
 """Time without news of a watcher, or with another list than it has, until a reading."""
 
-FALLBACK_S = 2.0
+FALLBACK_INTERVAL_S = 2.0
 """Mean time in which an entry looks whether its list is stale."""
 
 FetchVms = Callable[[], Awaitable[tuple[VmRecord, ...]]]
@@ -57,8 +57,8 @@
         self._observe = observe
         self._report = report
         self._records: dict[str, VmRecord] = {}
-        self._known = False
-        self._agreed_at = 0.0
+        self._has_list = False
+        self._confirmed_at = 0.0
         self.digest = 0
         """Hash of the list; 0 while there is none."""
 
@@ -67,14 +67,14 @@
         while True:
             if self._is_due():
                 await self._read()
-            if self._watches() or not self._known:
-                await trio.sleep(POLL_S)
+            if self._watches() or not self._has_list:
+                await trio.sleep(POLL_INTERVAL_S)
             else:
-                await trio.sleep(FALLBACK_S * self._random.uniform(0.5, 1.5))
+                await trio.sleep(FALLBACK_INTERVAL_S * self._random.uniform(0.5, 1.5))
 
     def receive_changes(self, body: bytes) -> None:
         """Take over what a peer passes on."""
-        if not self._known:
+        if not self._has_list:
             # Changes alone are no list.
             return
         try:
@@ -90,13 +90,13 @@
     def compare(self, digest: int) -> None:
         """Take note of the list that a peer has."""
         if digest and digest == self.digest:
-            self._agreed_at = trio.current_time()
+            self._confirmed_at = trio.current_time()
 
     def _is_due(self) -> bool:
         # A notice that was lost would leave a VM in this list that is gone, or keep one
         # out that has come: an agent without work, and nobody would notice.
-        stale = trio.current_time() - self._agreed_at > STALE_S
-        return self._watches() or not self._known or stale
+        stale = trio.current_time() - self._confirmed_at > MAX_LIST_AGE_S
+        return self._watches() or not self._has_list or stale
 
     async def _read(self) -> None:
         try:
@@ -105,8 +105,8 @@
             # The platform's list may be out for long; the last one stays in use.
             self._report(error)
             return
-        self._known = True
-        self._agreed_at = trio.current_time()
+        self._has_list = True
+        self._confirmed_at = trio.current_time()
         self._replace({record.name: record for record in records})
 
     def _replace(self, records: dict[str, VmRecord]) -> None:
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -67,7 +67,7 @@
             partial(fetch_vms, vm_list),
             random=random,
             watches=lambda: self.spread.watches,
-            send=self.spread.tell_receivers,
+            send=self.spread.send_to_receivers,
             observe=self._update_vms,
             report=_log_vms_error,
         )
--- a/tests/unit/test_vm_spread.py
+++ b/tests/unit/test_vm_spread.py
@@ -7,7 +7,11 @@
 import trio.testing
 
 from hyssopvane._internal.coordination.vm_list import VmRecord, VmRole, VmState
-from hyssopvane._internal.coordination.vm_spread import POLL_S, STALE_S, VmSpread
+from hyssopvane._internal.coordination.vm_spread import (
+    MAX_LIST_AGE_S,
+    POLL_INTERVAL_S,
+    VmSpread,
+)
 from hyssopvane._internal.exceptions import VmListError
 from hyssopvane._internal.policy.watchers import FAN_OUT, plan_duties
 
@@ -71,10 +75,10 @@
 def test_change_reaches_an_entry_that_does_not_read():
     async def scenario(platform, seen, lost):
         platform.records = (LEAVING, OTHER)
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
         assert seen[-1] == (LEAVING, OTHER)
         platform.records = (OTHER,)
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
         assert seen[-1] == (OTHER,)
         await trio.sleep(60)
         assert platform.readings["listener"] == 1
@@ -92,7 +96,7 @@
     async def scenario(platform, seen, lost):
         lost.append(True)
         platform.records = (LEAVING,)
-        await trio.sleep(STALE_S + 6)
+        await trio.sleep(MAX_LIST_AGE_S + 6)
         assert seen[-1] == (LEAVING,)
 
     run_pair(scenario)
