--- a/src/hyssopvane/_internal/coordination/own_rows.py
+++ b/src/hyssopvane/_internal/coordination/own_rows.py
@@ -24,7 +24,7 @@
 
 def select_own_rows(
     table: Table,
-    marks: Mapping[str, Sequence[StorePosition]],
+    positions: Mapping[str, Sequence[StorePosition]],
     *,
     vm: str,
     service: str,
@@ -37,16 +37,16 @@
     rows = (RowId(RowKind.TARGET, vm), RowId(RowKind.SERVICE, service))
     return OwnRows(
         table.revision,
-        tuple(_describe(table, marks, row) for row in rows),
+        tuple(_describe(table, positions, row) for row in rows),
         table.era,
     )
 
 
 def _describe(
-    table: Table, marks: Mapping[str, Sequence[StorePosition]], row: RowId
+    table: Table, positions: Mapping[str, Sequence[StorePosition]], row: RowId
 ) -> OwnRow:
     found = table.get_rows(row.kind).get(row.name)
-    newest, *lost = marks.get(get_page_key(row), (StorePosition(0, 0),))
+    newest, *lost = positions.get(get_page_key(row), (StorePosition(0, 0),))
     return OwnRow(
         str(row),
         newest.revision,
@@ -89,10 +89,10 @@
             # would take a target into service again that an operator took out.
             known = self._orders.get(row.row)
             if known is None or row.order > known:
-                self._put(row)
-        self.note_mark(StorePosition(rows.table_era, rows.table_revision))
+                self._apply_row(row)
+        self.update_position(StorePosition(rows.table_era, rows.table_revision))
 
-    def note_mark(self, position: StorePosition) -> None:
+    def update_position(self, position: StorePosition) -> None:
         """Take note of the mark of the table that an entry has.
 
         An entry sends changed rows before the heartbeat with their revision, on the
@@ -107,7 +107,7 @@
             "target": _format_cells(self.target, RowKind.TARGET),
         }
 
-    def _put(self, row: OwnRow) -> None:
+    def _apply_row(self, row: OwnRow) -> None:
         kind, _, name = row.row.partition("/")
         row_id = RowId(RowKind(kind), name)
         # A newer entry may know a column that this version does not.
--- a/src/hyssopvane/_internal/coordination/page_delta.py
+++ b/src/hyssopvane/_internal/coordination/page_delta.py
@@ -15,7 +15,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.state.store_position import StorePosition
 
-WHOLE = 0
+FULL_PAGE = 0
 """Base of a change that carries the whole page."""
 
 _ROWS = "rows"
@@ -37,15 +37,15 @@
     """Era of the service that both revisions belong to."""
 
 
-def make_whole(item: KeyValue) -> PageChange:
+def make_full_change(item: KeyValue) -> PageChange:
     """Return a change that needs no earlier page."""
     digest = hash_value(item.value)
-    return PageChange(item.key, WHOLE, item.revision, digest, item.value, item.era)
+    return PageChange(item.key, FULL_PAGE, item.revision, digest, item.value, item.era)
 
 
 def make_change(before: KeyValue | None, after: KeyValue) -> PageChange:
     """Return the smaller of the changed rows and the whole page."""
-    whole = make_whole(after)
+    whole = make_full_change(after)
     if before is None or before.era != after.era:
         return whole
     try:
@@ -61,7 +61,7 @@
 def apply_change(before: KeyValue | None, change: PageChange) -> KeyValue | None:
     """Return the page after a change, None when the change builds on another page."""
     value = change.content
-    if change.base_revision != WHOLE:
+    if change.base_revision != FULL_PAGE:
         if before is None or before.position != StorePosition(
             change.era, change.base_revision
         ):
--- a/src/hyssopvane/_internal/coordination/spread.py
+++ b/src/hyssopvane/_internal/coordination/spread.py
@@ -12,7 +12,7 @@
     PageChange,
     apply_change,
     make_change,
-    make_whole,
+    make_full_change,
 )
 from hyssopvane._internal.coordination.spread_messages import (
     Beat,
@@ -26,7 +26,7 @@
 )
 from hyssopvane._internal.coordination.table_store import (
     ErrorReport,
-    PageStep,
+    PageUpdate,
     TableReader,
     ignore_error,
 )
@@ -292,7 +292,7 @@
             if item.revision > held.get((item.key, item.era), 0)
         ]
         chosen = _limit_size(sorted(newer, key=lambda item: item.position))
-        changes = tuple(make_whole(item) for item in chosen)
+        changes = tuple(make_full_change(item) for item in chosen)
         return encode_pages(Pages(changes, more=len(chosen) < len(newer)))
 
     def compare(
@@ -335,7 +335,7 @@
         try:
             with trio.move_on_after(QUERY_TIMEOUT_S):
                 while more:
-                    question = encode_question(self.reader.get_held_marks())
+                    question = encode_question(self.reader.get_held_positions())
                     answer = await self._neighbours.ask(vm, QUESTION_TOPIC, question)
                     if not answer:
                         return
@@ -362,8 +362,8 @@
         self.reader.accept(items)
         return whole
 
-    def _forward_changes(self, steps: Sequence[PageStep]) -> None:
-        changes = tuple(make_change(step.before, step.after) for step in steps)
+    def _forward_changes(self, updates: Sequence[PageUpdate]) -> None:
+        changes = tuple(make_change(update.before, update.after) for update in updates)
         for message in _split_changes(changes):
             self.send_to_receivers(PAGES_TOPIC, encode_pages(Pages(message)))
         if self._started:
--- a/src/hyssopvane/_internal/coordination/spread_messages.py
+++ b/src/hyssopvane/_internal/coordination/spread_messages.py
@@ -122,7 +122,9 @@
 def encode_question(held: Mapping[str, Sequence[StorePosition]]) -> bytes:
     """Encode the marks of the versions of each page that the asker has."""
     message = load_schema(_SCHEMA_FILE).Question.new_message()
-    states = [(key, position) for key, marks in held.items() for position in marks]
+    states = [
+        (key, position) for key, positions in held.items() for position in positions
+    ]
     builders = message.init("held", len(states))
     for builder, (key, position) in zip(builders, states, strict=True):
         builder.key, builder.era, builder.revision = (
--- a/src/hyssopvane/_internal/coordination/table_edit.py
+++ b/src/hyssopvane/_internal/coordination/table_edit.py
@@ -77,7 +77,7 @@
         column.parse(write.text, row=write.cell.row)
 
 
-def take_base(edit: TableEdit, pages: Pages) -> EditBase:
+def make_base(edit: TableEdit, pages: Pages) -> EditBase:
     """Return the revisions that an edit builds on."""
     return EditBase(
         cells={
--- a/src/hyssopvane/_internal/coordination/table_store.py
+++ b/src/hyssopvane/_internal/coordination/table_store.py
@@ -24,8 +24,8 @@
     TableEdit,
     apply_edit,
     check_edit,
+    make_base,
     renumber_edit,
-    take_base,
 )
 from hyssopvane._internal.coordination.table_pages import (
     PAGE_COUNT,
@@ -124,7 +124,7 @@
         self._keys = {get_page_key(row) for row in edit.get_rows()}
         self._base: EditBase | None = None
         self._seen: dict[str, KeyValue] = {}
-        self._sent_in: int | None = None
+        self._sent_in_era: int | None = None
         """Era of the service that the last write was prepared in."""
         self._lost_reply: KeyValueUnknown | None = None
 
@@ -146,20 +146,20 @@
                 if accepted is not None:
                     return accepted
             if trio.current_time() >= deadline:
-                raise self._make_give_up_error()
+                raise self._make_timeout_error()
             await trio.sleep(self._backoff.get_next_delay())
 
     async def _try(self) -> EditAccepted | None:
         read = await self._read_pages()
         found = read.find_edit(self._keys, self._edit.edit_id)
         if found is not None:
-            if self._sent_in in {None, read.era}:
+            if self._sent_in_era in {None, read.era}:
                 return EditAccepted(found)
             return await self._swap(
                 read, renumber_edit(self._edit, read.pages, read.era)
             )
         if self._base is None:
-            self._base = take_base(self._edit, read.pages)
+            self._base = make_base(self._edit, read.pages)
         changed = apply_edit(self._edit, read.pages, self._base, era=read.era)
         if self._edit.needs_whole_table():
             _check_whole_table(read, changed)
@@ -178,13 +178,13 @@
             for key, page in sorted(changed.items())
         ]
         _check_size(swaps)
-        self._sent_in = read.era
+        self._sent_in_era = read.era
         result = await self._store.compare_and_swap(
             swaps, checks=self._make_checks(read, changed)
         )
         if isinstance(result, Swapped):
             return EditAccepted(result.revision)
-        self._remember(result.current)
+        self._record_seen(result.current)
         return None
 
     def _make_checks(
@@ -223,20 +223,20 @@
 
     async def _load_pages(self) -> None:
         if self._edit.needs_whole_table():
-            self._remember((await self._store.get_prefix(PAGE_PREFIX)).items)
+            self._record_seen((await self._store.get_prefix(PAGE_PREFIX)).items)
             return
         for key in sorted(self._keys):
             item = await self._store.get(key)
-            self._remember([item] if item else [])
+            self._record_seen([item] if item else [])
 
-    def _remember(self, items: Sequence[KeyValue]) -> None:
+    def _record_seen(self, items: Sequence[KeyValue]) -> None:
         # A stale read must not hide what a lost swap has already shown.
         for item in items:
             known = self._seen.get(item.key)
             if known is None or item.position > known.position:
                 self._seen[item.key] = item
 
-    def _make_give_up_error(self) -> HyssopvaneError:
+    def _make_timeout_error(self) -> HyssopvaneError:
         if self._lost_reply is not None:
             return self._make_unknown()
         return TableError(
@@ -291,17 +291,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PageStep:
+class PageUpdate:
     """Tell that a page came into force."""
 
     before: KeyValue | None
     after: KeyValue
 
 
-PagesObserver = Callable[[Sequence[PageStep]], None]
+PagesObserver = Callable[[Sequence[PageUpdate]], None]
 
 
-def ignore_pages(steps: Sequence[PageStep]) -> None:
+def ignore_pages(updates: Sequence[PageUpdate]) -> None:
     """Do nothing with pages that came into force."""
 
 
@@ -328,7 +328,7 @@
 
         Those of earlier eras are kept while they have edits that the service lost.
         """
-        self._read_mark = StorePosition(0, 0)
+        self._read_position = StorePosition(0, 0)
         self.last_contact_at = -math.inf
         """Clock value at which the service was last heard."""
         self.digest = 0
@@ -353,7 +353,7 @@
     async def _load_and_watch(self, send: trio.MemorySendChannel[Table]) -> None:
         if await self._load():
             await send.send(self.table)
-        start, era = self._read_mark.revision + 1, self._read_mark.era
+        start, era = self._read_position.revision + 1, self._read_position.era
         async with self._store.watch(PAGE_PREFIX, start, era=era) as events:
             while True:
                 items: list[KeyValue] | None = None
@@ -390,9 +390,9 @@
         # never be asked for, and an operator would see one cell in force without the
         # one that was set before it.
         snapshot = await self._store.get_prefix(
-            PAGE_PREFIX, min_revision=self._read_mark.revision + 1
+            PAGE_PREFIX, min_revision=self._read_position.revision + 1
         )
-        if snapshot.era != self._read_mark.era and self._read_mark.era:
+        if snapshot.era != self._read_position.era and self._read_position.era:
             # The service came back from a copy, in which all revisions may be lower.
             await self._load()
             return True
@@ -402,7 +402,7 @@
 
     def _note_read(self, position: StorePosition) -> None:
         # A stale read is of an earlier revision than was already read.
-        self._read_mark = max(self._read_mark, position)
+        self._read_position = max(self._read_position, position)
         self.last_contact_at = trio.current_time()
 
     def get_page(self, key: str, era: int) -> KeyValue | None:
@@ -413,7 +413,7 @@
         """Return the revision of each page in force."""
         return {key: page.revision for key, page in self._pages.items()}
 
-    def get_held_marks(self) -> dict[str, tuple[StorePosition, ...]]:
+    def get_held_positions(self) -> dict[str, tuple[StorePosition, ...]]:
         """Return the marks of all versions of each page, the last one first."""
         return {
             key: tuple(
@@ -433,7 +433,7 @@
 
     def accept(self, items: Sequence[KeyValue]) -> bool:
         """Take newer pages over, also from a peer; return whether there were any."""
-        steps: list[PageStep] = []
+        updates: list[PageUpdate] = []
         for item in items:
             known = self.get_page(item.key, item.era)
             # A stale read or a watch that starts in the past shows older pages. To
@@ -450,14 +450,14 @@
             if item.era not in kept:
                 # All that it has is in the later versions, too.
                 continue
-            steps.append(PageStep(known, item))
+            updates.append(PageUpdate(known, item))
             self._versions[item.key] = kept
             self._pages[item.key] = page
-        if steps:
+        if updates:
             self.table = build_table(self._pages.values())
-            self.digest = _hash_marks(self.get_held_marks())
-            self._observe(steps)
-        return bool(steps)
+            self.digest = _hash_positions(self.get_held_positions())
+            self._observe(updates)
+        return bool(updates)
 
 
 def _merge(versions: Mapping[int, KeyValue]) -> tuple[dict[int, KeyValue], ParsedPage]:
@@ -473,11 +473,11 @@
     return kept, build_parsed_page(merged, newest.revision, era=newest.era)
 
 
-def _hash_marks(marks: Mapping[str, Sequence[StorePosition]]) -> int:
+def _hash_positions(positions: Mapping[str, Sequence[StorePosition]]) -> int:
     text = ",".join(
         f"{key}={position.era}.{position.revision}"
-        for key in sorted(marks)
-        for position in marks[key]
+        for key in sorted(positions)
+        for position in positions[key]
     )
     return xxhash.xxh3_64_intdigest(text.encode())
 
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -125,7 +125,7 @@
             return
         rows = select_own_rows(
             self.spread.table,
-            self.spread.reader.get_held_marks(),
+            self.spread.reader.get_held_positions(),
             vm=vm,
             service=self._services[vm],
         )
--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -149,7 +149,7 @@
     def _observe(self, member: Member, table: Table) -> None:
         assert member.spread is not None
         reader = member.spread.reader
-        revisions, marks = reader.get_revisions(), reader.get_held_marks()
+        revisions, marks = reader.get_revisions(), reader.get_held_positions()
         for key, mark in member.marks.items():
             assert marks[key][0] >= mark, f"{member.name} reverted to an older {key}"
         member.marks = {key: held[0] for key, held in marks.items()}
--- a/tests/unit/test_columns.py
+++ b/tests/unit/test_columns.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hyssopvane._internal.coordination.table_csv import FIELDS, format_csv, parse_csv
-from hyssopvane._internal.coordination.table_edit import apply_edit, take_base
+from hyssopvane._internal.coordination.table_edit import apply_edit, make_base
 from hyssopvane._internal.coordination.table_import import read_example
 from hyssopvane._internal.coordination.table_pages import (
     Page,
@@ -113,7 +113,7 @@
 def build_table_from_csv(text):
     edit = parse_csv(text, source="test", edit_id="e")
     pages = {get_page_key(row): Page() for row in edit.get_rows()}
-    changed = apply_edit(edit, pages, take_base(edit, pages))
+    changed = apply_edit(edit, pages, make_base(edit, pages))
     return build_table(build_parsed_page(page, 1) for page in changed.values())
 
 
--- a/tests/unit/test_own_rows.py
+++ b/tests/unit/test_own_rows.py
@@ -18,15 +18,15 @@
 PAGE = get_page_key(RowId(RowKind.TARGET, "t-1"))
 
 
-def tell(held, revision, *, in_service=True, weight=100, table_revision=20):
+def send_rows(held, revision, *, in_service=True, weight=100, table_revision=20):
     """Let an entry tell the rows of a table, as they go over the connection."""
     table = Table(
         table_revision,
         services={"draft": ServiceRow("draft", deadline_s=7.0)},
         targets={"t-1": TargetRow("t-1", "draft", weight, in_service=in_service)},
     )
-    marks = {PAGE: (StorePosition(0, revision),)}
-    rows = select_own_rows(table, marks, vm="t-1", service="draft")
+    positions = {PAGE: (StorePosition(0, revision),)}
+    rows = select_own_rows(table, positions, vm="t-1", service="draft")
     held.accept(decode_own_rows(encode_own_rows(rows)))
 
 
@@ -37,7 +37,7 @@
 def test_rows_come_into_force(cells, takes_work):
     held = HeldRows(vm="t-1", service="draft")
     assert held.takes_work
-    tell(held, 5, **cells)
+    send_rows(held, 5, **cells)
     assert held.takes_work is takes_work
     assert held.service.deadline_s == 7.0
     assert held.revision == 20
@@ -49,17 +49,17 @@
     The target that an operator took out of service would take work again.
     """
     held = HeldRows(vm="t-1", service="draft")
-    tell(held, 9, in_service=False)
-    tell(held, 8, in_service=True, table_revision=8)
+    send_rows(held, 9, in_service=False)
+    send_rows(held, 8, in_service=True, table_revision=8)
     assert not held.takes_work
     assert held.revision == 20
-    tell(held, 10, in_service=True)
+    send_rows(held, 10, in_service=True)
     assert held.takes_work
 
 
 def test_removed_row_has_its_defaults():
     held = HeldRows(vm="t-1", service="draft")
-    tell(held, 9, in_service=False)
+    send_rows(held, 9, in_service=False)
     held.accept(OwnRows(21, (OwnRow("target/t-1", 10, None),)))
     assert held.takes_work
 
--- a/tests/unit/test_spread.py
+++ b/tests/unit/test_spread.py
@@ -10,7 +10,7 @@
 
 from hyssopvane._internal.coordination.key_value import KeyValue
 from hyssopvane._internal.coordination.page_delta import (
-    WHOLE,
+    FULL_PAGE,
     apply_change,
     make_change,
 )
@@ -380,7 +380,7 @@
     before = KeyValue("table/page/00", make_page(7), 5)
     after = KeyValue("table/page/00", make_page(7, weight="50", sequence=2), 9)
     change = make_change(before, after)
-    assert change.base_revision != WHOLE
+    assert change.base_revision != FULL_PAGE
     assert len(after.value) > 9_000
     assert len(encode_pages(Pages((change,)))) < 300
     assert apply_change(before, change) == after
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -190,29 +190,29 @@
     key = "table/page/27"
     held = HeldRows(vm="t-1", service="draft")
 
-    def tell(weight, *marks):
+    def send_rows(weight, *positions):
         table = Table(
-            marks[0].revision,
+            positions[0].revision,
             targets={"t-1": TargetRow("t-1", "draft", weight)},
-            era=marks[0].era,
+            era=positions[0].era,
         )
         rows = select_own_rows(
             table,
-            dict.fromkeys([key, *_list_page_keys()], marks),
+            dict.fromkeys([key, *_list_page_keys()], positions),
             vm="t-1",
             service="draft",
         )
         held.accept(rows)
 
-    tell(5, StorePosition(1, 40))
-    tell(7, StorePosition(2, 12))
+    send_rows(5, StorePosition(1, 40))
+    send_rows(7, StorePosition(2, 12))
     assert held.target.weight == 7
     assert held.position == StorePosition(2, 12)
-    tell(5, StorePosition(1, 41))
+    send_rows(5, StorePosition(1, 41))
     assert held.target.weight == 7
-    tell(9, StorePosition(2, 12), StorePosition(1, 40))
+    send_rows(9, StorePosition(2, 12), StorePosition(1, 40))
     assert held.target.weight == 9
-    tell(7, StorePosition(2, 12))
+    send_rows(7, StorePosition(2, 12))
     assert held.target.weight == 9
 
 
--- a/tests/unit/test_vm_spread.py
+++ b/tests/unit/test_vm_spread.py
@@ -132,10 +132,10 @@
 
 def test_zones_form_a_ring():
     zones = {f"entry-{number}": f"zone-{number % 3}" for number in range(12)}
-    told = {
+    neighbour_zones = {
         zones[receiver]
         for name in zones
         for receiver in plan_duties(name, zones).receivers
         if zones[receiver] != zones[name]
     }
-    assert told == set(zones.values())
+    assert neighbour_zones == set(zones.values())
