--- a/src/hyssopvane/_internal/coordination/etcd_key_value.py
+++ b/src/hyssopvane/_internal/coordination/etcd_key_value.py
@@ -56,10 +56,10 @@
 DEFAULT_TIMEOUT_S = 2.0
 MAX_CONNECTIONS = 32
 
-MAX_EXPECTED = 64
+MAX_COMPARED_KEYS = 64
 """Keys of one transaction that can each be compared by two bounds of their values."""
 
-LOOK_PAUSE_S = 30.0
+MIN_CHECK_INTERVAL_S = 30.0
 """Least time between two writes that tell a stale read from a return."""
 
 WATCH_BUFFER = 4096
@@ -126,7 +126,7 @@
         """Highest revision that an answer of the era has told."""
         self._is_recorded = False
         """Whether the record of the era is in the service, or none is needed."""
-        self._looked_at = -math.inf
+        self._checked_at = -math.inf
         self._watches: dict[trio.CancelScope, int] = {}
         """Scopes of the watches, and the eras in which they were begun."""
 
@@ -163,13 +163,13 @@
         self, swaps: Sequence[Swap], *, checks: Sequence[Check] = ()
     ) -> Swapped | SwapLost:
         first = [] if self._is_recorded else await self._list_first_record()
-        if first and len(swaps) + len(checks) >= MAX_EXPECTED:
+        if first and len(swaps) + len(checks) >= MAX_COMPARED_KEYS:
             await self.compare_and_swap([])
             first = []
         start = self._begin_call()
         transaction = make_transaction([*swaps, *first], checks)
         answer = await self._send_transaction(transaction)
-        era = await self._note_header(answer, start, KeyValueUnknown, writes=True)
+        era = await self._process_header(answer, start, KeyValueUnknown, writes=True)
         with self._parsing(KeyValueUnknown):
             result = parse_transaction(answer, era)
         if isinstance(result, Swapped):
@@ -260,7 +260,9 @@
         """Return the answer of a read, and the era that it belongs to."""
         start = self._begin_call()
         answer = await self._call("/v3/kv/range", request)
-        era = await self._note_header(answer, start, KeyValueUnavailable, writes=False)
+        era = await self._process_header(
+            answer, start, KeyValueUnavailable, writes=False
+        )
         return answer, era
 
     def _begin_call(self) -> _CallStart:
@@ -269,7 +271,7 @@
     async def _send_transaction(self, transaction: JsonObject) -> JsonObject:
         return await self._call("/v3/kv/txn", transaction, writes=True)
 
-    async def _note_header(
+    async def _process_header(
         self,
         answer: JsonObject,
         start: _CallStart,
@@ -286,11 +288,11 @@
             try:
                 await self._follow_era(header, start, writes=writes)
             except KeyValueError as error:
-                raise self._describe(lost, "has not told its era") from error
+                raise self._make_error(lost, "has not told its era") from error
         if self._era.is_current(header.cluster) and self._is_certain(start, writes):
             self._highest_revision = max(self._highest_revision, header.revision)
             return self.era
-        raise self._describe(lost, "has come back from a copy meanwhile")
+        raise self._make_error(lost, "has come back from a copy meanwhile")
 
     def _is_certain(self, start: _CallStart, writes: bool) -> bool:
         """Tell whether an answer of the present cluster is of the present era."""
@@ -308,7 +310,7 @@
         if not self._era.is_current(header.cluster):
             await self._find_era(header)
         elif header.revision < start.revision and start.record == self._era.record:
-            await self._look_for_return(start.revision, is_certain=writes)
+            await self._check_for_restore(start.revision, is_certain=writes)
 
     async def _find_era(self, header: ServiceHeader) -> None:
         while not self._era.is_current(header.cluster):
@@ -346,7 +348,7 @@
         record = self._era.record or EraRecord(FIRST_ERA, cluster)
         return [Swap(ERA_KEY, format_record(record), ABSENT)]
 
-    async def _look_for_return(self, highest: int, *, is_certain: bool) -> None:
+    async def _check_for_restore(self, highest: int, *, is_certain: bool) -> None:
         """Find out whether a lower revision than before means a return.
 
         A service may come back from a copy under its old name. A read may be stale; a
@@ -367,9 +369,9 @@
 
     async def _is_behind(self, highest: int, found: _FoundRecord) -> bool:
         now = trio.current_time()
-        if found.record is None or now - self._looked_at < LOOK_PAUSE_S:
+        if found.record is None or now - self._checked_at < MIN_CHECK_INTERVAL_S:
             return False
-        self._looked_at = now
+        self._checked_at = now
         swap = Swap(ERA_KEY, format_record(found.record), found.revision)
         answer = await self._send_transaction(make_transaction([swap], []))
         with self._parsing(KeyValueUnknown):
@@ -419,15 +421,15 @@
                     extensions={"timeout": {"connect": self._timeout_s / 2}},
                 )
         except _NEVER_SENT as error:
-            raise self._describe(KeyValueUnavailable, "can't be reached") from error
+            raise self._make_error(KeyValueUnavailable, "can't be reached") from error
         except trio.TooSlowError as error:
-            raise self._describe(lost, "did not answer in time") from error
+            raise self._make_error(lost, "did not answer in time") from error
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
             httpcore.TimeoutException,
         ) as error:
-            raise self._describe(lost, "closed the connection") from error
+            raise self._make_error(lost, "closed the connection") from error
         return self._read_answer(response, lost)
 
     def _read_answer(
@@ -436,24 +438,26 @@
         try:
             answer = json.loads(response.content)
         except ValueError as error:
-            raise self._describe(lost, "did not answer in JSON") from error
+            raise self._make_error(lost, "did not answer in JSON") from error
         if response.status == 200 and isinstance(answer, dict):
             return answer
         message = str(answer.get("error", "")) if isinstance(answer, dict) else ""
         if message in _NOT_CARRIED_OUT:
-            raise self._describe(KeyValueUnavailable, f"is not ready: {message}")
+            raise self._make_error(KeyValueUnavailable, f"is not ready: {message}")
         if 400 <= response.status < 500 and response.status not in _CANCELED:
-            raise self._describe(KeyValueRefused, f"refused the call: {message}")
-        raise self._describe(lost, f"failed with status {response.status}: {message}")
+            raise self._make_error(KeyValueRefused, f"refused the call: {message}")
+        raise self._make_error(lost, f"failed with status {response.status}: {message}")
 
     @contextmanager
     def _parsing(self, lost: type[KeyValueError]) -> Iterator[None]:
         try:
             yield
         except _MALFORMED as error:
-            raise self._describe(lost, f"gave a malformed answer: {error!r}") from error
+            raise self._make_error(
+                lost, f"gave a malformed answer: {error!r}"
+            ) from error
 
-    def _describe(self, kind: type[KeyValueError], problem: str) -> KeyValueError:
+    def _make_error(self, kind: type[KeyValueError], problem: str) -> KeyValueError:
         return kind(
             f"the key-value service {problem}",
             context=self._address,
--- a/src/hyssopvane/_internal/coordination/key_value.py
+++ b/src/hyssopvane/_internal/coordination/key_value.py
@@ -75,7 +75,7 @@
     expected_prefix: bytes = b""
 
 
-def take_prefix(value: bytes) -> bytes:
+def get_value_prefix(value: bytes) -> bytes:
     """Return the first bytes that a swap expects of a JSON value and of no other."""
     return value[:-1]
 
--- a/src/hyssopvane/_internal/coordination/map_records.py
+++ b/src/hyssopvane/_internal/coordination/map_records.py
@@ -5,7 +5,7 @@
 
 from pydantic import TypeAdapter, ValidationError
 
-from hyssopvane._internal.coordination.key_value import KeyValue, take_prefix
+from hyssopvane._internal.coordination.key_value import KeyValue, get_value_prefix
 from hyssopvane._internal.exceptions import MapSwitchError
 from hyssopvane._internal.policy.expert_maps import ExpertMap
 from hyssopvane._internal.state.map_switch import (
@@ -49,7 +49,9 @@
     if item is None:
         return VersionedRecord(era=era)
     record = _parse(_RECORD, item.value, item.key)
-    return VersionedRecord(record, item.revision, item.era, take_prefix(item.value))
+    return VersionedRecord(
+        record, item.revision, item.era, get_value_prefix(item.value)
+    )
 
 
 def format_map(expert_map: ExpertMap) -> bytes:
--- a/src/hyssopvane/_internal/coordination/map_switch.py
+++ b/src/hyssopvane/_internal/coordination/map_switch.py
@@ -13,7 +13,7 @@
     Swap,
     SwapLost,
     Swapped,
-    take_prefix,
+    get_value_prefix,
 )
 from hyssopvane._internal.coordination.map_records import (
     format_map,
@@ -90,7 +90,7 @@
         result = await self._store.compare_and_swap([swap, *others])
         if isinstance(result, Swapped):
             self.known = VersionedRecord(
-                record, result.revision, result.era, take_prefix(value)
+                record, result.revision, result.era, get_value_prefix(value)
             )
             self._is_lost = False
         return result
--- a/src/hyssopvane/_internal/coordination/quarantine.py
+++ b/src/hyssopvane/_internal/coordination/quarantine.py
@@ -13,7 +13,7 @@
     KeyValueStore,
     Swap,
     Swapped,
-    take_prefix,
+    get_value_prefix,
 )
 from hyssopvane._internal.exceptions import HyssopvaneError, KeyValueError
 from hyssopvane._internal.policy.suspects import (
@@ -152,7 +152,7 @@
 
     def _note_page(self, position: StorePosition, value: bytes = b"") -> None:
         self._mark = position
-        self._prefix = take_prefix(value)
+        self._prefix = get_value_prefix(value)
 
     def _accept(self, item: KeyValue) -> None:
         """Take over a newer page."""
--- a/src/hyssopvane/_internal/coordination/service_era.py
+++ b/src/hyssopvane/_internal/coordination/service_era.py
@@ -18,7 +18,7 @@
 
 FIRST_ERA = 1
 
-NUMBERS_OF_AN_ERA = 1_000
+NUMBERS_PER_ERA = 1_000
 """Numbers between those that two eras begin with, which are a millisecond apart."""
 
 _MILLISECONDS = 1_000
@@ -74,7 +74,7 @@
 
     Whatever is numbered in an era is then higher than all that an earlier one has lost.
     """
-    return max(0, era - FIRST_ERA) * NUMBERS_OF_AN_ERA
+    return max(0, era - FIRST_ERA) * NUMBERS_PER_ERA
 
 
 class ServiceEra:
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -11,7 +11,7 @@
     merge_versions,
 )
 from hyssopvane._internal.coordination.own_rows import HeldRows, select_own_rows
-from hyssopvane._internal.coordination.service_era import NUMBERS_OF_AN_ERA
+from hyssopvane._internal.coordination.service_era import NUMBERS_PER_ERA
 from hyssopvane._internal.coordination.table_edit import TableEdit
 from hyssopvane._internal.coordination.table_pages import Page, PageEra
 from hyssopvane._internal.coordination.table_store import TableReader
@@ -224,20 +224,20 @@
     ("one", "other", "shared"),
     [
         (Page(5), Page(3), 3),
-        (Page(9), Page(NUMBERS_OF_AN_ERA + 1, eras=(PageEra(2, 4),)), 4),
-        (Page(3), Page(NUMBERS_OF_AN_ERA + 1, eras=(PageEra(2, 4),)), 3),
+        (Page(9), Page(NUMBERS_PER_ERA + 1, eras=(PageEra(2, 4),)), 4),
+        (Page(3), Page(NUMBERS_PER_ERA + 1, eras=(PageEra(2, 4),)), 3),
         (
-            Page(NUMBERS_OF_AN_ERA + 2, eras=(PageEra(2, 4),)),
-            Page(2 * NUMBERS_OF_AN_ERA + 1, eras=(PageEra(3, 6),)),
+            Page(NUMBERS_PER_ERA + 2, eras=(PageEra(2, 4),)),
+            Page(2 * NUMBERS_PER_ERA + 1, eras=(PageEra(3, 6),)),
             4,
         ),
         (
-            Page(NUMBERS_OF_AN_ERA + 5, eras=(PageEra(2, 4),)),
+            Page(NUMBERS_PER_ERA + 5, eras=(PageEra(2, 4),)),
             Page(
-                2 * NUMBERS_OF_AN_ERA + 1,
-                eras=(PageEra(2, 4), PageEra(3, NUMBERS_OF_AN_ERA + 2)),
+                2 * NUMBERS_PER_ERA + 1,
+                eras=(PageEra(2, 4), PageEra(3, NUMBERS_PER_ERA + 2)),
             ),
-            NUMBERS_OF_AN_ERA + 2,
+            NUMBERS_PER_ERA + 2,
         ),
     ],
 )
