--- a/tests/functional/test_key_value.py
+++ b/tests/functional/test_key_value.py
@@ -124,7 +124,7 @@
     run_with_store(address, run)
 
 
-def test_down_service_carries_nothing_out(address):
+def test_unavailable_service_applies_no_write(address):
     """The service says that it is not ready; a caller may rely on no change."""
     set_faults(address, down=True)
 
@@ -137,7 +137,7 @@
     run_with_store(address, run)
 
 
-def test_nothing_listens():
+def test_unreachable_service_is_unavailable():
     """No process listens at the address; nothing can have been carried out."""
 
     async def run(store):
@@ -196,7 +196,7 @@
     run_with_store(address, run)
 
 
-def test_watch_that_starts_too_far_back_ends():
+def test_watch_from_a_compacted_revision_ends():
     """The service has dropped the history that a reader was cut off from.
 
     Its watch must end, so that the reader loads anew and misses no change.
@@ -236,7 +236,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"{}", b'{"header": 1}', b'{"header": {}, "kvs": [{}]}']
 )
-def test_malformed_answer_is_a_typed_error(body):
+def test_malformed_answer_raises_a_key_value_error(body):
     """Something else answers at the service's address, and not as it should.
 
     A process must go on with its last table, as it does while the service is down.
--- a/tests/functional/test_table_commands.py
+++ b/tests/functional/test_table_commands.py
@@ -57,7 +57,7 @@
     assert "target/t-1" in error
 
 
-def test_operator_who_was_second_gets_a_conflict(platform):
+def test_second_operator_gets_a_conflict(platform):
     """Two operators looked at the same cell, and one has set it meanwhile.
 
     The other must see the new value before it is replaced.
@@ -90,7 +90,7 @@
     assert cell == ("5", str(int(revision) + 1))
 
 
-def test_same_edit_id_is_carried_out_once(platform):
+def test_same_edit_id_is_applied_once(platform):
     """An operator sends an edit of unknown outcome again, after a colleague's."""
     run_table(platform, "add", "customer/erin")
     command = ("set", "customer/erin", "weight")
@@ -117,10 +117,10 @@
         ),
     ],
 )
-def test_refusal_names_the_remedy(platform, arguments, status, words):
+def test_error_message_includes_a_hint(platform, arguments, status, words):
     assert words in run_table(platform, *arguments, status=status)
 
 
-def test_missing_platform_is_named():
+def test_missing_platform_setting_is_reported():
     error = run_table("", "show", status=StatusCode.BAD_SETTINGS)
     assert "HYSSOPVANE_PLATFORM" in error
--- a/tests/functional/test_vm_list.py
+++ b/tests/functional/test_vm_list.py
@@ -30,7 +30,7 @@
         assert trio.run(fetch_vms, address) == VMS
 
 
-def test_list_lags():
+def test_list_is_delayed():
     now = 0.0
     app = VmListApp(lag_s=5, clock=lambda: now)
     app.replace_vms(VMS)
@@ -39,7 +39,7 @@
     assert app.get_vms() == VMS
 
 
-def test_fetch_vms_names_a_service_that_is_gone():
+def test_fetch_vms_fails_when_the_service_is_unreachable():
     """The platform's list can't be reached; the reader keeps its last list."""
     with pytest.raises(VmListError):
         trio.run(fetch_vms, "127.0.0.1:1")
--- a/tests/lib/fake_key_value.py
+++ b/tests/lib/fake_key_value.py
@@ -38,7 +38,7 @@
     ValueResult,
 )
 
-LATE_S = 0.5
+LATE_WRITE_DELAY_S = 0.5
 
 
 class Fault(StrEnum):
@@ -224,7 +224,7 @@
         return self.era
 
     async def _swap_late(self, swaps: Sequence[Swap], checks: Sequence[Check]) -> None:
-        await trio.sleep(LATE_S)
+        await trio.sleep(LATE_WRITE_DELAY_S)
         self._swap(swaps, checks)
 
     def _swap(
--- a/tests/unit/test_own_rows.py
+++ b/tests/unit/test_own_rows.py
@@ -43,7 +43,7 @@
     assert held.revision == 20
 
 
-def test_entry_that_lags_behind_does_not_bring_an_old_row_back():
+def test_lagging_entry_does_not_restore_an_old_row():
     """Four entries tell the agent its rows, and one of them has an old table.
 
     The target that an operator took out of service would take work again.
@@ -64,7 +64,7 @@
     assert held.takes_work
 
 
-def test_unknown_column_is_left_out_and_a_bad_cell_keeps_the_row():
+def test_unknown_column_is_ignored_and_an_invalid_cell_keeps_the_row():
     """A newer entry tells a column that this version does not know."""
     held = HeldRows(vm="t-1", service="draft")
     row = OwnRow("target/t-1", 5, {"weight": "0", "colour": "red"})
--- a/tests/unit/test_spread.py
+++ b/tests/unit/test_spread.py
@@ -35,11 +35,11 @@
 from tests.lib.fake_key_value import FakeKeyValueStore, Fault
 
 CUSTOMERS = [RowId(RowKind.CUSTOMER, f"customer-{number}") for number in range(4)]
-HEAL_S = 30.0
+RECOVERY_S = 30.0
 ZONE = ZONES[0]
 
 
-class Scene:
+class Scenario:
     """Edit the table of a fleet and disturb it."""
 
     def __init__(self, fleet):
@@ -117,12 +117,12 @@
             self.fleet.publish_vm_list()
         await trio.sleep(number)
 
-    async def heal(self):
+    async def recover(self):
         self.fleet.down = False
         for member in self.fleet.members.values():
             member.cut = member.stale = member.notices_lost = False
         self.fleet.publish_vm_list()
-        with trio.move_on_after(HEAL_S):
+        with trio.move_on_after(RECOVERY_S):
             while self.fleet.get_lagging():
                 await trio.sleep(0.5)
         # Nor does anything that was under way bring an older page back.
@@ -132,13 +132,13 @@
         assert all(table == tables[0] for table in tables)
 
 
-def run_scene(steps, *, entries=4):
+def run_steps(steps, *, entries=4):
     """Run steps on a fleet of two zones with a table, then heal it."""
 
     async def run():
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
-            scene = Scene(fleet)
+            scene = Scenario(fleet)
             await scene.add_customers()
             for number in range(entries):
                 fleet.start(ZONES[number // 3 % 2])
@@ -146,7 +146,7 @@
             assert not fleet.get_lagging()
             for kind, number in steps:
                 await scene.run(kind, number)
-            await scene.heal()
+            await scene.recover()
             nursery.cancel_scope.cancel()
 
     trio.run(
@@ -176,13 +176,13 @@
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(steps=STEPS)
-def test_no_process_goes_back_and_all_agree_after_healing(steps):
+def test_no_process_reverts_and_all_agree_after_recovery(steps):
     """Edits race while entries die, start, are cut off and read stale values.
 
     An entry that goes back to an older page gives a customer a limit that an operator
     has replaced; one that misses a page keeps the old limit for good.
     """
-    run_scene(steps)
+    run_steps(steps)
 
 
 @pytest.mark.parametrize(
@@ -200,14 +200,14 @@
 )
 def test_known_failures(steps):
     """The disturbances of the property, one at a time."""
-    run_scene(steps)
+    run_steps(steps)
 
 
 def run_fleet(scenario):
     async def run():
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
-            scene = Scene(fleet)
+            scene = Scenario(fleet)
             await scene.add_customers()
             await scenario(fleet, scene)
             nursery.cancel_scope.cancel()
@@ -233,7 +233,7 @@
     run_fleet(scenario)
 
 
-def test_stale_read_at_start_is_outdone_by_a_peer():
+def test_stale_read_at_start_is_superseded_by_a_peer():
     """A new entry reads the service through a replica that lags behind.
 
     It must not serve the old limit that its peers have replaced already, not even for
@@ -253,7 +253,7 @@
     run_fleet(scenario)
 
 
-def test_page_missing_beneath_a_newer_one_is_found():
+def test_missed_page_older_than_the_newest_is_found():
     """An entry misses the change of one page and gets a later change of another.
 
     Its revision then is the newest, so that a comparison of revisions shows nothing,
@@ -278,7 +278,7 @@
     run_fleet(scenario)
 
 
-def test_watcher_whose_watch_is_silent_reads_what_peers_did_not_tell():
+def test_watcher_with_a_silent_watch_reads_what_peers_did_not_send():
     """A watch goes silent, and a peer passes on the newest page but not the one before.
 
     The reader asks the service for what is newer than it has read there; asked for
@@ -303,7 +303,7 @@
     run_fleet(scenario)
 
 
-def test_entry_that_hears_no_watcher_reads_the_service():
+def test_entry_without_beats_of_a_watcher_reads_the_service():
     """Both watchers of a zone die, and the list of VMs shows them for long.
 
     The others would keep the limits of that moment, and nobody would notice but the
@@ -345,7 +345,7 @@
     run_fleet(scenario)
 
 
-def test_answer_is_bounded(monkeypatch):
+def test_answer_size_is_bounded(monkeypatch):
     """A table of many large pages must not become a frame that the peer refuses."""
     monkeypatch.setattr("hyssopvane._internal.coordination.spread.MAX_ANSWER_BYTES", 1)
 
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -33,7 +33,7 @@
 )
 
 BOB = parse_row_id("customer/bob")
-SETTLE_S = 40.0
+CONVERGENCE_S = 40.0
 
 
 def add(row):
@@ -126,7 +126,7 @@
     run_mocked(run)
 
 
-def test_reader_that_follows_notices_a_return():
+def test_following_reader_detects_a_restore():
     """Guards against a watch that waits at a revision which the service has lost."""
 
     async def run():
@@ -153,7 +153,7 @@
     run_mocked(run)
 
 
-def test_edit_sent_before_its_editor_knew_of_a_return_comes_into_force():
+def test_edit_sent_before_its_editor_knew_of_a_restore_comes_into_force():
     """Guards against an accepted edit whose revision a lost edit has had."""
 
     async def run():
@@ -185,7 +185,7 @@
     run_mocked(run)
 
 
-def test_agent_takes_rows_of_a_later_era():
+def test_agent_accepts_rows_of_a_later_era():
     """Guards against a target that keeps the row of a lost revision for ever."""
     key = "table/page/27"
     held = HeldRows(vm="t-1", service="draft")
@@ -246,13 +246,13 @@
     assert find_shared_sequence(other, one) == shared
 
 
-def test_version_that_lost_nothing_changes_nothing():
+def test_version_without_lost_edits_changes_nothing():
     page = Page(7, ("a",))
     assert merge_versions({1: Page(3), 2: page}) == page
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_fleet_follows_a_service_that_comes_back(seed, monkeypatch):
+def test_fleet_follows_a_restored_service(seed, monkeypatch):
     """Guards against accepted edits that revert or stay out at some entry."""
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
@@ -275,7 +275,7 @@
                     copy = fleet.state.copy_items()
                 elif draw < 0.2:
                     # What an editor was told a moment ago is known by some entry.
-                    await trio.sleep(SETTLE_S)
+                    await trio.sleep(CONVERGENCE_S)
                     fleet.restore_from(copy)
                 elif draw < 0.25:
                     member = random.choice(list(fleet.members.values()))
@@ -293,7 +293,7 @@
                     await trio.sleep(random.uniform(0, 3))
             for member in fleet.members.values():
                 member.cut = False
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(CONVERGENCE_S)
             for member in fleet.members.values():
                 for cell, value in accepted.items():
                     row = member.spread.table.customers[cell.row.name]
--- a/tests/unit/test_table_store.py
+++ b/tests/unit/test_table_store.py
@@ -34,7 +34,7 @@
 from hyssopvane._internal.standins.key_value_state import KeyValueState, Put
 from hyssopvane._internal.state.columns import parse_row_id
 from hyssopvane._internal.state.table import CellId, check_references
-from tests.lib.fake_key_value import LATE_S, FakeKeyValueStore, Fault
+from tests.lib.fake_key_value import LATE_WRITE_DELAY_S, FakeKeyValueStore, Fault
 
 ALICE = parse_row_id("customer/alice")
 WEIGHT = CellId(ALICE, "weight")
@@ -63,18 +63,18 @@
     return await reader.load()
 
 
-def count_landings(state):
+def count_applications(state):
     """Count how often each edit came into a cell; its text is the edit's id."""
-    landings = Counter()
+    applications = Counter()
     last = {}
     for event in state.get_events(0, PAGE_PREFIX.encode(), b"u"):
         page = parse_page(KeyValue("page", event.item.value, 0))
         for row, stored in page.rows.items():
             for name, cell in stored.cells.items():
                 if last.get((row, name)) != cell.revision:
-                    landings[cell.text] += 1
+                    applications[cell.text] += 1
                 last[row, name] = cell.revision
-    return landings
+    return applications
 
 
 def scripted(faults):
@@ -104,7 +104,7 @@
                 await make_editor(store).commit(set_cell(WEIGHT, "200", "200"))
 
             async def edit_second():
-                while not count_landings(state)["200"]:
+                while not count_applications(state)["200"]:
                     await trio.sleep(0.001)
                 other = FakeKeyValueStore(state, nursery)
                 await make_editor(other).commit(set_cell(WEIGHT, "300", "300"))
@@ -113,12 +113,12 @@
                 operators.start_soon(edit_first)
                 operators.start_soon(edit_second)
             assert (await load_table(state, nursery)).customers["alice"].weight == 300
-            assert count_landings(state) == {"200": 1, "300": 1}
+            assert count_applications(state) == {"200": 1, "300": 1}
 
     run_mocked(run)
 
 
-def test_write_that_got_lost_is_not_repeated_over_a_newer_value():
+def test_lost_write_is_not_retried_over_a_newer_value():
     """A write is lost before it reaches the service, and its sender can't know.
 
     Meanwhile a colleague sets the same cell and is told that it is accepted. Were the
@@ -144,12 +144,12 @@
                 with pytest.raises(EditConflict) as error:
                     await make_editor(store).commit(set_cell(WEIGHT, "200", "200"))
             assert "300" in str(error.value)
-            assert count_landings(state) == {"300": 1}
+            assert count_applications(state) == {"300": 1}
 
     run_mocked(run)
 
 
-def test_service_that_stays_down_after_a_lost_reply_leaves_the_outcome_unknown():
+def test_lost_reply_of_a_service_that_stays_down_is_reported_as_unknown():
     """The answer to a write is lost and the service does not come back.
 
     The operator must not be told that nothing was changed, as that may be wrong, and
@@ -167,7 +167,7 @@
             assert "--edit-id 200 --expect 1" in error.value.hint
             again = make_editor(FakeKeyValueStore(state, nursery))
             await again.commit(set_cell(WEIGHT, "200", "200", expected=1))
-            assert count_landings(state) == {"200": 1}
+            assert count_applications(state) == {"200": 1}
             for number in range(MAX_RECENT_EDITS + 1):
                 await again.commit(set_cell(PRIORITY, "1", f"other {number}"))
             with pytest.raises(EditConflict):
@@ -240,16 +240,16 @@
                 for number, (cell, expected, delay) in enumerate(edits):
                     arguments = (nursery, str(number + 1), cell, expected, delay)
                     operators.start_soon(edit, *arguments)
-        return count_landings(state)
+        return count_applications(state)
 
-    landings = run_mocked(run)
+    applications = run_mocked(run)
     for edit_id, outcome in outcomes.items():
         if isinstance(outcome, EditAccepted):
-            assert landings[edit_id] == 1
+            assert applications[edit_id] == 1
         elif isinstance(outcome, KeyValueUnknown):
-            assert landings[edit_id] <= 1
+            assert applications[edit_id] <= 1
         else:
-            assert landings[edit_id] == 0
+            assert applications[edit_id] == 0
 
 
 @pytest.mark.parametrize(
@@ -301,7 +301,7 @@
         ),
     ],
 )
-def test_refused_edit_changes_nothing_and_names_the_remedy(edit, words):
+def test_refused_edit_changes_nothing_and_includes_a_hint(edit, words):
     async def run():
         state = KeyValueState(trio.current_time)
         async with trio.open_nursery() as nursery:
@@ -340,7 +340,7 @@
     seed=st.integers(0, 2**32),
     faults=st.lists(st.sampled_from(Fault), max_size=30),
 )
-def test_reader_follows_and_never_goes_back(seed, faults):
+def test_reader_follows_and_never_reverts(seed, faults):
     """A reader's watch goes silent, its reads are stale and the service is down.
 
     Each edit must still come into force, and once it is, no older limit may return.
@@ -416,7 +416,7 @@
     run_mocked(run)
 
 
-def test_pages_of_a_peer_are_taken_over_only_when_newer():
+def test_pages_of_a_peer_are_accepted_only_when_newer():
     """A peer that was paused passes pages on that others have long replaced."""
 
     async def run():
@@ -439,7 +439,7 @@
     run_mocked(run)
 
 
-def test_page_that_cannot_be_read_leaves_the_last_one_in_force():
+def test_unreadable_page_leaves_the_last_one_in_force():
     """Somebody writes a page by hand, and it is not what a reader can use.
 
     The rows of this page keep their last limits, and other pages still come through.
@@ -461,7 +461,7 @@
     assert "can't be read" in str(reports[0])
 
 
-def test_stale_reads_do_not_hold_back_an_edit():
+def test_stale_reads_do_not_block_an_edit():
     """The replica that answers reads stays behind, so a page is always seen too old.
 
     The answer to the swap that lost shows the page as it is, and the edit goes on
@@ -478,7 +478,7 @@
             other = make_editor(FakeKeyValueStore(state, nursery))
             await other.commit(set_cell(PRIORITY, "1", "1"))
             await make_editor(stale).commit(set_cell(WEIGHT, "200", "200"))
-            assert count_landings(state) == {"1": 1, "200": 1}
+            assert count_applications(state) == {"1": 1, "200": 1}
 
     run_mocked(run)
 
@@ -505,7 +505,7 @@
     ],
     ids=["service and its target", "one key of two customers"],
 )
-def test_edits_that_do_not_fit_together_are_not_both_accepted(edits):
+def test_inconsistent_edits_are_not_both_accepted(edits):
     """Two operators change different rows at one moment. Each edit is right by itself,
     but together they give a target whose service is gone, or two customers one key.
 
@@ -536,7 +536,7 @@
     run_mocked(run)
 
 
-def test_write_that_arrives_late_does_not_follow_its_refusal():
+def test_late_write_of_a_refused_edit_is_not_applied():
     """A write is still on its way when another edit takes away what it refers to.
 
     Read back, the table refuses the edit by now, and the operator is told that
@@ -561,7 +561,7 @@
                 operators.start_soon(remove)
                 with pytest.raises(TableError):
                     await make_editor(store).commit(set_service("t-1", "draft"))
-            await trio.sleep(2 * LATE_S)
+            await trio.sleep(2 * LATE_WRITE_DELAY_S)
             assert not (await load_table(state, nursery)).targets
 
     run_mocked(run)
@@ -576,7 +576,7 @@
         yield receive
 
 
-def test_watch_that_ends_at_once_is_tried_ever_more_rarely():
+def test_watch_that_ends_at_once_is_retried_with_back_off():
     """The service answers reads but ends each watch at once, for an hour.
 
     Readers that come back without a pause would use up its reads a second, and
@@ -597,7 +597,7 @@
     assert run_mocked(run) < 3600
 
 
-def test_edit_accepted_after_the_service_lost_some_comes_into_force():
+def test_edit_accepted_after_a_restore_comes_into_force():
     """Guards against a page that is left out because its revision came before."""
 
     async def run():
--- a/tests/unit/test_vm_spread.py
+++ b/tests/unit/test_vm_spread.py
@@ -72,7 +72,7 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0.0))
 
 
-def test_change_reaches_an_entry_that_does_not_read():
+def test_change_reaches_an_entry_that_does_not_poll():
     async def scenario(platform, seen, lost):
         platform.records = (LEAVING, OTHER)
         await trio.sleep(POLL_INTERVAL_S)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 6, 7, 10, 11, 69, 86])
-def test_every_entry_is_reached_without_any_one(count):
+def test_every_entry_is_reached_despite_the_loss_of_any_one(count):
     """One entry in the middle dies, and the list of VMs still shows it."""
     zones = {f"entry-{number}": "arima" for number in range(count)}
     duties = {name: plan_duties(name, zones) for name in zones}
