--- a/src/hyssopvane/_internal/coordination/page_delta.py
+++ b/src/hyssopvane/_internal/coordination/page_delta.py
@@ -1,8 +1,9 @@
-"""Describe a change of one page by its changed rows.
+"""Encode a change of one page as its changed rows.
 
-A page at the target has 9 to 11 KB and an edit changes one cell of it. A watcher that
-passed the page on to six entries would send 19 KB/s at 25,000 changes a day, more than
-the 6 KB/s that a daemon has for control; the changed row costs a thirtieth.
+A page at the target size has 9 to 11 KB, and an edit changes one of its cells. A
+watcher that forwards whole pages to six entries would send 19 KB/s at 25,000 changes a
+day, more than the 6 KB/s that a daemon may use for control traffic. The changed row
+needs a thirtieth of that.
 """
 
 import json
@@ -16,7 +17,7 @@
 from hyssopvane._internal.state.store_position import StorePosition
 
 FULL_PAGE = 0
-"""Base of a change that carries the whole page."""
+"""Base revision of a change that contains the whole page."""
 
 _ROWS = "rows"
 _EDITS = "recent_edits"
@@ -24,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PageChange:
-    """Carry a page from one revision to another."""
+    """Describe the step of a page from one revision to another."""
 
     key: str
     base_revision: int
-    """Revision that the change builds on, or `WHOLE`."""
+    """Revision that the change builds on, or `FULL_PAGE`."""
     revision: int
     digest: int
     """Hash of the page after the change."""
@@ -38,13 +39,13 @@
 
 
 def make_full_change(item: KeyValue) -> PageChange:
-    """Return a change that needs no earlier page."""
+    """Return a change that contains the whole page and needs no base."""
     digest = hash_value(item.value)
     return PageChange(item.key, FULL_PAGE, item.revision, digest, item.value, item.era)
 
 
 def make_change(before: KeyValue | None, after: KeyValue) -> PageChange:
-    """Return the smaller of the changed rows and the whole page."""
+    """Return a change with the changed rows, or with the whole page if smaller."""
     whole = make_full_change(after)
     if before is None or before.era != after.era:
         return whole
@@ -59,7 +60,7 @@
 
 
 def apply_change(before: KeyValue | None, change: PageChange) -> KeyValue | None:
-    """Return the page after a change, None when the change builds on another page."""
+    """Return the page after a change, or None when its base is another version."""
     value = change.content
     if change.base_revision != FULL_PAGE:
         if before is None or before.position != StorePosition(
@@ -76,7 +77,7 @@
 
 
 def hash_value(value: bytes) -> int:
-    """Return the hash that shows whether a change was applied as it was meant."""
+    """Return the hash that verifies the result of an applied change."""
     return xxhash.xxh3_64_intdigest(value)
 
 
--- a/src/hyssopvane/_internal/coordination/spread.py
+++ b/src/hyssopvane/_internal/coordination/spread.py
@@ -1,4 +1,4 @@
-"""Bring the table from a few watchers to every process, and notice what is missing."""
+"""Distribute the table from watchers to all processes and detect missing pages."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Mapping, Sequence
@@ -39,64 +39,69 @@
 from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.state.table import Table
 
-# Control traffic at the target: 25,000 changes a day are 0.29 a second, a zone has 69
-# entries. In bytes, as encoded: the changed row 312, a beat 144, a link's heartbeat 88;
-# each with 56 of frame, TCP and IP, the first two with an acknowledgement of 52.
+# Control traffic at the target size: 25,000 changes a day are 0.29 per second, and a
+# zone has 69 entries. Encoded sizes in bytes: 312 for a changed row, 144 for a beat and
+# 88 for the heartbeat of a link. Each adds 56 for frame, TCP and IP; the first two also
+# need an acknowledgement of 52.
 #   for each receiver    0.29 * 420 changes + 2 * 0.5 * 252 beats      = 0.37 KB/s
 #   for each link        2 * 144 heartbeats                            = 0.29 KB/s
 #   watcher              6 receivers, 8 links: 2.2 + 2.3               = 4.5 KB/s sent
 #   inner entry          4 receivers, 6 links: 1.5 + 1.7               = 3.2 KB/s sent
 #   other entry          2 senders, 2 links                            = 0.6 KB/s sent
-#   agent                own rows of 680 on the few days that they change; the revision
-#                        rides on heartbeats that are sent anyway      = 0
-# A watcher also gets each changed page from the service: 11 KB, in base64 15 KB, which
-# is 4.3 KB/s received. A page passed on whole would be 4.3 KB/s for each receiver.
+#   agent                own rows of 680 on the few days that they change; heartbeats
+#                        carry the revision without extra messages     = 0
+# A watcher also receives each changed page from the service: 11 KB, or 15 KB in base64,
+# which is 4.3 KB/s. Forwarding whole pages would need 4.3 KB/s for each receiver.
 PAGES_TOPIC = "table/pages"
 QUESTION_TOPIC = "table/ask"
 BEAT_TOPIC = "table/beat"
 
 BEAT_INTERVAL_S = 2.0
-"""Time between two signs of a watcher that it is in touch with the service.
+"""Interval between two beats of a watcher.
 
-Every entry hears them; three that stay out are taken as the loss of both watchers,
-which leaves half of the 12 s in which a change must be in force everywhere.
+A beat reports whether the watcher is in contact with the service, and reaches every
+entry of the zone. After three missing beats an entry assumes that both watchers are
+lost. This uses half of the 12 s within which a change must be in force everywhere.
 """
 
 WATCHER_TIMEOUT_S = 3 * BEAT_INTERVAL_S
 
 FALLBACK_INTERVAL_S = 4.0
-"""Mean time between two readings of the service by an entry that hears no watcher.
+"""Mean interval between two reads of the service by an entry without watchers.
 
-960 entries that all lost their watchers make 240 reads a second, an eighth of what the
-service takes.
+960 entries that all lost their watchers make 240 reads per second, an eighth of the
+capacity of the service.
 """
 
 CATCH_UP_DELAY_S = 0.5
-"""Time in which a change that a peer already has may still come by itself."""
+"""Delay before a page is requested that a peer has; it may still arrive unrequested."""
 
 QUERY_TIMEOUT_S = 2.0
 START_TIMEOUT_S = 3.0
 START_PEERS = 3
-"""Peers that a process asks at its start; one of them may be starting too."""
+"""Peers that a process queries at its start; one of them may be starting as well."""
 
 MAX_ANSWER_BYTES = 1024 * 1024
-"""Bytes of pages in one answer, beyond the first page; a frame takes 4 MiB."""
+"""Maximum bytes of pages in one message, except that one page always fits.
+
+A frame holds up to 4 MiB.
+"""
 
 
 class Neighbours(ABC):
-    """Reach other entries."""
+    """Send questions and notices to other entries."""
 
     @abstractmethod
     async def ask(self, vm: str, topic: str, body: bytes) -> bytes:
-        """Ask an entry a question; raise `PeerLost` when there is no answer."""
+        """Return the answer of an entry; raise `PeerLost` when there is none."""
 
     @abstractmethod
     async def notify(self, vm: str, topic: str, body: bytes) -> None:
-        """Tell an entry something; raise `PeerLost` when it can't be reached."""
+        """Send a notice to an entry; raise `PeerLost` when it can't be reached."""
 
 
 class TableSpread:
-    """Hold the table of one entry, and pass it on."""
+    """Keep the table of one entry up to date and forward its changes to peers."""
 
     def __init__(
         self,
@@ -139,11 +144,11 @@
 
     @property
     def watches(self) -> bool:
-        """Tell whether this entry watches the service for its zone."""
+        """Return whether this entry watches the service for its zone."""
         return self._duties.watches
 
     def update_entries(self, zones: Mapping[str, str]) -> None:
-        """Learn the live entries and their zones."""
+        """Update the duties of this entry from the live entries and their zones."""
         duties = plan_duties(self._own_vm, zones)
         if duties != self._duties:
             self._duties = duties
@@ -152,7 +157,7 @@
         self._duties_known.set()
 
     async def run(self) -> None:
-        """Take the newest table at hand, then follow it, without end."""
+        """Load the newest available table, then follow its changes without end."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await self._start()
@@ -167,9 +172,9 @@
                     duty.cancel_scope.cancel()
 
     async def _start(self) -> None:
-        # A process that is started while the service is down, or that reads it stale,
-        # would serve an older table than the one it replaces. Its peers have the
-        # table, so both are asked before the first one comes into force.
+        # A process that starts while the service is down, or that gets a stale read,
+        # would serve an older table than the process that it replaces. Its peers have
+        # the table, so service and peers are both queried before a table is in force.
         with trio.move_on_after(START_TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._read_service)
@@ -181,8 +186,8 @@
     async def _catch_up_from_neighbours(self) -> None:
         await self._duties_known.wait()
         neighbours = self._duties.neighbours
-        # Any of them: a zone that starts at one moment would take 69 whole tables of
-        # 0.7 MB from its two watchers.
+        # The peers are chosen at random. Otherwise the 69 entries of a zone that start
+        # together would all load the whole table of 0.7 MB from its two watchers.
         chosen = self._random.sample(neighbours, min(START_PEERS, len(neighbours)))
         async with trio.open_nursery() as nursery:
             for vm in chosen:
@@ -202,9 +207,9 @@
                 pass
 
     async def _poll_while_silent(self) -> None:
-        # Both watchers of a zone may be lost at once, or be cut off from the service.
-        # Their entries would then go on for ever with an old limit, and nobody would
-        # notice but the customer whom it concerns.
+        # Both watchers of a zone may fail at once, or lose contact with the service.
+        # Without this fallback the entries would keep an old limit for good, and only
+        # the customer with that limit would notice.
         self._watcher_seen_at = trio.current_time()
         while True:
             await trio.sleep(FALLBACK_INTERVAL_S * self._random.uniform(0.5, 1.5))
@@ -213,9 +218,9 @@
                 await self._catch_up_from_any_neighbour()
 
     async def _catch_up_from_any_neighbour(self) -> None:
-        # With the service out as well, a peer may have what is missing here. All ask
-        # at such a time, so each asks another: 68 questions to the same two would be
-        # four times the budget of those.
+        # When the service is down as well, a peer may have the missing pages. All
+        # entries query then, so each picks a random peer: 68 questions to the same two
+        # peers would be four times the traffic budget of these.
         if self._duties.neighbours:
             await self._catch_up(self._random.choice(self._duties.neighbours))
 
@@ -244,7 +249,7 @@
         self.send_to_receivers(BEAT_TOPIC, encode_beat(beat))
 
     def receive_beat(self, vm: str, body: bytes) -> None:
-        """Take note that a watcher lives; pass it on in its own zone."""
+        """Record a beat of a watcher, and forward it within the zone of the watcher."""
         try:
             beat = decode_beat(body)
         except ProtocolError as error:
@@ -271,7 +276,7 @@
         self._send_beat(own)
 
     def receive_pages(self, vm: str, body: bytes) -> None:
-        """Take over changes that a peer passes on; ask for the page after a gap."""
+        """Apply changes from a peer, and request pages of which a change is missing."""
         try:
             changes = decode_pages(body).changes
             if not self._apply(changes):
@@ -280,7 +285,7 @@
             self._report(error)
 
     async def answer_question(self, body: bytes) -> bytes:
-        """Return the pages that a peer lacks, as many as one message may hold."""
+        """Return the pages that a peer lacks, as many as fit into one message."""
         try:
             held = decode_question(body)
         except ProtocolError as error:
@@ -298,10 +303,10 @@
     def compare(
         self, vm: str, position: StorePosition, digest: int | None = None
     ) -> None:
-        """Ask a peer for what it has and this entry lacks, unless that comes by itself.
+        """Request missing pages from a peer unless they arrive after a short delay.
 
-        The mark alone does not show a page that is missing beneath a newer one, nor one
-        that the service has lost; the digest does.
+        The position alone reveals neither a missing page that is older than the newest
+        one, nor a page that the service has lost. The digest reveals both.
         """
         if position.era > self.table.era:
             self._store.end_watches(position.era)
@@ -340,14 +345,14 @@
                     if not answer:
                         return
                     pages = decode_pages(answer)
-                    # Where nothing new can be applied the same question would bring
-                    # the same answer again.
+                    # When nothing new can be applied, the same question would get the
+                    # same answer again.
                     more = self._apply(pages.changes) and pages.more
         except (PeerLost, ProtocolError) as error:
             self._report(error)
 
     def _apply(self, changes: Sequence[PageChange]) -> bool:
-        """Take over what is newer; return False when a page in between is missing."""
+        """Apply newer changes; return False when the base of a change is missing."""
         items: list[KeyValue] = []
         whole = True
         for change in changes:
@@ -370,7 +375,7 @@
             self._observe(self.table)
 
     def send_to_receivers(self, topic: str, body: bytes) -> None:
-        """Send a notice to the entries that this one passes news on to."""
+        """Send a notice to the entries that this one forwards changes to."""
         if self._nursery is not None:
             for vm in self._duties.receivers:
                 self._nursery.start_soon(self._notify, vm, topic, body)
@@ -379,7 +384,7 @@
         try:
             await self._neighbours.notify(vm, topic, body)
         except PeerLost:
-            # The beats of the other watcher show it what it has missed.
+            # The beats of the other watcher show the entry which pages it lacks.
             return
 
 
@@ -395,7 +400,7 @@
 
 
 def _split_changes(changes: Sequence[PageChange]) -> list[tuple[PageChange, ...]]:
-    """Return the changes in messages that fit into a frame."""
+    """Split changes into messages that fit into a frame."""
     messages: list[tuple[PageChange, ...]] = []
     size = MAX_ANSWER_BYTES
     for change in changes:
--- a/src/hyssopvane/_internal/coordination/spread_messages.py
+++ b/src/hyssopvane/_internal/coordination/spread_messages.py
@@ -1,4 +1,4 @@
-"""Encode what processes tell one another about the table."""
+"""Encode and decode the messages about the table between processes."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pages:
-    """Hold changes of pages, and whether the sender has more."""
+    """Hold changes of pages and whether the sender has more of them."""
 
     changes: tuple[PageChange, ...]
     more: bool = False
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """Tell that a watcher lives, and what the sender has."""
+    """Report that a watcher is alive, and the version of the sender's table."""
 
     origin: str
     incarnation: int
@@ -34,7 +34,7 @@
     revision: int
     digest: int
     in_touch: bool
-    """Whether the watcher is in touch with the service."""
+    """Whether the watcher is in contact with the service."""
     vms_digest: int = 0
     """Hash of the sender's list of VMs."""
     era: int = 0
@@ -42,13 +42,13 @@
 
     @property
     def position(self) -> StorePosition:
-        """Return the point of the service's history that the sender's table is of."""
+        """Return the position of the sender's table in the history of the service."""
         return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
 class VmChanges:
-    """Hold what is new in the list of VMs."""
+    """Hold the VMs that changed in the list or left it."""
 
     changed: tuple[VmRecord, ...]
     gone: tuple[str, ...]
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnRow:
-    """Hold the cells of one row as of its page's revision."""
+    """Hold the cells of one row at the revision of its page."""
 
     row: str
     page_revision: int
@@ -64,20 +64,20 @@
     """None when the table has no such row."""
     page_era: int = 0
     lost_revision: int = 0
-    """Sum of the revisions of earlier eras that the sender holds of the page.
+    """Sum of the revisions of the page from earlier eras that the sender holds.
 
-    What the service has lost is learnt from peers after the page itself.
+    An entry receives edits that the service has lost from peers, after the page itself.
     """
 
     @property
     def order(self) -> tuple[StorePosition, int]:
-        """Return what orders the words of several senders on the row."""
+        """Return the key that orders the versions of the row from several senders."""
         return StorePosition(self.page_era, self.page_revision), self.lost_revision
 
 
 @dataclass(frozen=True, slots=True)
 class OwnRows:
-    """Hold the rows that concern one agent."""
+    """Hold the table rows that one agent needs."""
 
     table_revision: int
     rows: tuple[OwnRow, ...]
@@ -85,7 +85,7 @@
 
 
 def encode_pages(pages: Pages) -> bytes:
-    """Encode changes of pages."""
+    """Encode changes of pages and whether there are more."""
     message = load_schema(_SCHEMA_FILE).Pages.new_message()
     message.more = pages.more
     builders = message.init("changes", len(pages.changes))
@@ -120,7 +120,7 @@
 
 
 def encode_question(held: Mapping[str, Sequence[StorePosition]]) -> bytes:
-    """Encode the marks of the versions of each page that the asker has."""
+    """Encode the positions of all page versions that the sender holds."""
     message = load_schema(_SCHEMA_FILE).Question.new_message()
     states = [
         (key, position) for key, positions in held.items() for position in positions
@@ -136,9 +136,9 @@
 
 
 def decode_question(data: bytes) -> dict[tuple[str, int], int]:
-    """Decode the revision of each page and era that the asker has.
+    """Decode the held revision by page key and era.
 
-    Raise `ProtocolError` when it is no question.
+    Raise `ProtocolError` when the data is not a question.
     """
     return _unpack(
         "Question",
@@ -148,7 +148,7 @@
 
 
 def encode_beat(beat: Beat) -> bytes:
-    """Encode a beat."""
+    """Encode a beat of a watcher."""
     message = load_schema(_SCHEMA_FILE).Beat.new_message(
         origin=beat.origin,
         incarnation=beat.incarnation,
@@ -163,7 +163,7 @@
 
 
 def decode_beat(data: bytes) -> Beat:
-    """Decode a beat; raise `ProtocolError`."""
+    """Decode a beat of a watcher; raise `ProtocolError`."""
     return _unpack(
         "Beat",
         data,
@@ -181,7 +181,7 @@
 
 
 def encode_vm_changes(changes: VmChanges) -> bytes:
-    """Encode what is new in the list of VMs."""
+    """Encode changes of the list of VMs."""
     message = load_schema(_SCHEMA_FILE).VmChanges.new_message()
     message.gone = list(changes.gone)
     builders = message.init("changed", len(changes.changed))
@@ -196,7 +196,7 @@
 
 
 def decode_vm_changes(data: bytes) -> VmChanges:
-    """Decode what is new in the list of VMs; raise `ProtocolError`."""
+    """Decode changes of the list of VMs; raise `ProtocolError`."""
     return _unpack(
         "VmChanges",
         data,
@@ -218,7 +218,7 @@
 
 
 def encode_own_rows(rows: OwnRows) -> bytes:
-    """Encode the rows that concern one agent."""
+    """Encode the rows of one agent."""
     message = load_schema(_SCHEMA_FILE).OwnRows.new_message()
     message.tableRevision = rows.table_revision
     message.tableEra = rows.table_era
@@ -234,7 +234,7 @@
 
 
 def decode_own_rows(data: bytes) -> OwnRows:
-    """Decode the rows that concern one agent; raise `ProtocolError`."""
+    """Decode the rows of one agent; raise `ProtocolError`."""
 
     def read(message: Any) -> OwnRows:
         rows = tuple(
--- a/src/hyssopvane/_internal/coordination/vm_list.py
+++ b/src/hyssopvane/_internal/coordination/vm_list.py
@@ -13,14 +13,14 @@
 
 
 class VmRole(StrEnum):
-    """Name the kinds of VM that the system runs on."""
+    """Define the kinds of VM that the system runs on."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class VmState(StrEnum):
-    """Name the states that the platform's list knows."""
+    """Define the states of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmRecord:
-    """Hold one VM as the platform lists it, which may be late."""
+    """Describe one VM as the platform lists it; the list may lag behind the VM."""
 
     name: str
     address: str
@@ -40,7 +40,7 @@
 
 
 class VmListDocument(BaseModel):
-    """Hold the list as it is sent."""
+    """Define the JSON document of the list."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -53,7 +53,7 @@
 async def fetch_vms(
     address: str, *, timeout_s: float = DEFAULT_TIMEOUT_S
 ) -> tuple[VmRecord, ...]:
-    """Return the list from the service at "ip:port"."""
+    """Fetch the list from the service at "ip:port"; raise `VmListError`."""
     try:
         with trio.fail_after(timeout_s):
             async with httpcore.AsyncConnectionPool() as pool:
@@ -65,7 +65,7 @@
         httpcore.TimeoutException,
     ) as error:
         raise VmListError(
-            "the list of VMs can't be read",
+            "the list of VMs can't be fetched",
             context=address,
             hint="the last list stays in use; check the platform's service",
         ) from error
@@ -73,7 +73,7 @@
 
 
 def parse_vms(content: bytes, *, source: str) -> tuple[VmRecord, ...]:
-    """Read the list from JSON."""
+    """Parse the list from JSON; raise `VmListError` when it is malformed."""
     try:
         return _ADAPTER.validate_json(content).vms
     except ValidationError as error:
@@ -85,5 +85,5 @@
 
 
 def format_vms(vms: tuple[VmRecord, ...]) -> bytes:
-    """Write the list as JSON."""
+    """Format the list as JSON."""
     return _ADAPTER.dump_json(VmListDocument(vms=vms))
--- a/src/hyssopvane/_internal/coordination/vm_spread.py
+++ b/src/hyssopvane/_internal/coordination/vm_spread.py
@@ -1,4 +1,4 @@
-"""Follow the platform's list of VMs, from the platform or from a watcher."""
+"""Track the platform's list of VMs, by polling it or through a watcher."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -18,26 +18,26 @@
 VM_CHANGES_TOPIC = "vms/changes"
 
 POLL_INTERVAL_S = 1.0
-"""Time between two readings of the list by a watcher.
+"""Interval between two reads of the list by a watcher.
 
-960 entries that read it each second would be 960 calls a second; 28 watchers make 28.
+Polling by all 960 entries would be 960 calls per second; 28 watchers make 28.
 """
 
 MAX_LIST_AGE_S = 6.0
-"""Time without news of a watcher, or with another list than it has, until a reading."""
+"""Time without a beat of a watcher that confirms this list, until the list is read."""
 
 FALLBACK_INTERVAL_S = 2.0
-"""Mean time in which an entry looks whether its list is stale."""
+"""Mean interval between two checks of an entry for a stale list."""
 
 FetchVms = Callable[[], Awaitable[tuple[VmRecord, ...]]]
 
 
 class VmSpread:
-    """Hold the list of VMs of one entry, and pass its changes on.
+    """Keep the list of VMs of one entry up to date and forward its changes.
 
-    The list has no revisions, so two watchers that see it at different times may
-    contradict each other for a second; the last word counts. Whoever has another list
-    than its watchers for several seconds reads it itself.
+    The list has no revisions, so two watchers that read it at different times may
+    contradict each other for a second; the last received change applies. An entry whose
+    list differs from that of its watchers for several seconds reads the list itself.
     """
 
     def __init__(
@@ -60,10 +60,10 @@
         self._has_list = False
         self._confirmed_at = 0.0
         self.digest = 0
-        """Hash of the list; 0 while there is none."""
+        """Hash of the list; 0 before the first list is read."""
 
     async def run(self) -> None:
-        """Follow the list without end."""
+        """Read the list when it is due, without end."""
         while True:
             if self._is_due():
                 await self._read()
@@ -73,9 +73,9 @@
                 await trio.sleep(FALLBACK_INTERVAL_S * self._random.uniform(0.5, 1.5))
 
     def receive_changes(self, body: bytes) -> None:
-        """Take over what a peer passes on."""
+        """Apply changes of the list from a peer."""
         if not self._has_list:
-            # Changes alone are no list.
+            # Changes can't be applied before the whole list is known.
             return
         try:
             changes = decode_vm_changes(body)
@@ -88,13 +88,13 @@
         self._replace(records)
 
     def compare(self, digest: int) -> None:
-        """Take note of the list that a peer has."""
+        """Confirm this list when a peer reports the same digest."""
         if digest and digest == self.digest:
             self._confirmed_at = trio.current_time()
 
     def _is_due(self) -> bool:
-        # A notice that was lost would leave a VM in this list that is gone, or keep one
-        # out that has come: an agent without work, and nobody would notice.
+        # A lost notice would leave a removed VM in this list, or keep a new one out of
+        # it. The new agent would then get no work, without any visible error.
         stale = trio.current_time() - self._confirmed_at > MAX_LIST_AGE_S
         return self._watches() or not self._has_list or stale
 
@@ -102,7 +102,7 @@
         try:
             records = await self._fetch()
         except VmListError as error:
-            # The platform's list may be out for long; the last one stays in use.
+            # The platform's list may be unavailable for long; the last one is kept.
             self._report(error)
             return
         self._has_list = True
