--- a/src/hyssopvane/_internal/coordination/lost_edits.py
+++ b/src/hyssopvane/_internal/coordination/lost_edits.py
@@ -1,4 +1,4 @@
-"""Keep edits in force that the service lost when it came back from a copy."""
+"""Keep edits in force that the service lost when it was restored from a copy."""
 
 from collections.abc import Mapping
 from itertools import zip_longest
@@ -8,10 +8,10 @@
 
 
 def merge_versions(versions: Mapping[int, Page]) -> Page:
-    """Return a page with what was lost of it, given its last version of each era.
+    """Merge the last versions of a page, one for each era, into one page.
 
-    Every cell has what was written last: in the newest version, or else in the last one
-    that the service has lost.
+    Each cell has the value that was written last, in the newest version or in a lost
+    one.
     """
     (*lost_eras, newest) = sorted(versions)
     merged = versions[newest]
@@ -24,7 +24,7 @@
 
 
 def find_shared_sequence(one: Page, other: Page) -> int:
-    """Return the sequence up to which two versions of a page have the same edits."""
+    """Return the last sequence number up to which two versions have the same edits."""
     for own, others in zip_longest(one.eras, other.eras):
         if own != others:
             ends = (
@@ -48,10 +48,10 @@
     row: StoredRow | None, lost: StoredRow | None, shared: int
 ) -> StoredRow | None:
     if row is None:
-        # One that both versions had was removed since the return.
+        # A row that both versions had was removed since the service was restored.
         return lost if lost is not None and lost.revision > shared else None
     if lost is None:
-        # One that both versions had was removed by an edit that was lost.
+        # A row that both versions had was removed by a lost edit.
         newest = max(row.revision, *(one.revision for one in row.cells.values()), 0)
         return row if newest > shared else None
     added = max(row.revision, lost.revision)
--- a/src/hyssopvane/_internal/coordination/table_csv.py
+++ b/src/hyssopvane/_internal/coordination/table_csv.py
@@ -1,4 +1,4 @@
-"""Read and write the table as CSV, one line a cell."""
+"""Parse and format the table as CSV with one line per cell."""
 
 import csv
 import io
@@ -14,15 +14,15 @@
 from hyssopvane._internal.state.table import CellId, Table, format_cell
 
 FIELDS = ("kind", "name", "column", "value")
-"""Fields of a line; one without a column adds a row that has only defaults."""
+"""Fields of a line; a line without a column adds a row with only defaults."""
 
 
 def parse_csv(text: str, *, source: str, edit_id: str) -> TableEdit:
-    """Return the edit that brings the lines into the table, or refuse them all."""
+    """Return the edit that imports all lines; raise `TableError` for an invalid one."""
     reader = csv.reader(io.StringIO(text))
     if tuple(next(reader, ())) != FIELDS:
         raise TableError(
-            "the first line is not the heading of a table",
+            "the first line is not the header of a table",
             context=source,
             hint=f"start the file with {','.join(FIELDS)}; nothing was changed",
         )
@@ -47,7 +47,7 @@
 
 
 def format_csv(table: Table) -> str:
-    """Return the cells that were set, and the rows that have only defaults."""
+    """Format the cells that were set and the rows that have only defaults."""
     output = io.StringIO()
     writer = csv.writer(output, lineterminator="\n")
     writer.writerow(FIELDS)
@@ -59,7 +59,7 @@
 def _parse_line(fields: list[str], *, place: str) -> tuple[RowId, CellWrite | None]:
     if len(fields) != len(FIELDS):
         raise TableError(
-            f"a line has {len(fields)} fields in place of {len(FIELDS)}",
+            f"a line has {len(fields)} fields instead of {len(FIELDS)}",
             context=place,
             hint=f"write {','.join(FIELDS)}; nothing was changed",
         )
--- a/src/hyssopvane/_internal/coordination/table_edit.py
+++ b/src/hyssopvane/_internal/coordination/table_edit.py
@@ -1,4 +1,4 @@
-"""Apply an operator's edit to pages of the table."""
+"""Validate an operator's edit and apply it to pages of the table."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -15,38 +15,38 @@
 from hyssopvane._internal.state.table import CellId
 
 _WHOLE_TABLE_COLUMNS = frozenset({"path_prefix", "key_sha256", "service"})
-"""Columns whose cells must fit to other rows."""
+"""Columns whose cells must be consistent with other rows."""
 
 
 @dataclass(frozen=True, slots=True)
 class CellWrite:
-    """Ask for one cell to hold a text."""
+    """Set one cell to a text."""
 
     cell: CellId
     text: str
     expected_revision: int | None = None
-    """Cell revision the operator has seen; None takes the one found at the start."""
+    """Cell revision that the operator saw; None uses the one at the first read."""
 
 
 @dataclass(frozen=True, slots=True)
 class TableEdit:
-    """Hold the changes that are carried out together or not at all."""
+    """Hold changes of the table that are applied together or not at all."""
 
     edit_id: str
     writes: tuple[CellWrite, ...] = ()
     added: tuple[RowId, ...] = ()
     """Rows that must not exist yet."""
     ensured: tuple[RowId, ...] = ()
-    """Rows that are added where they don't exist."""
+    """Rows that are added unless they exist."""
     removed: tuple[RowId, ...] = ()
 
     def get_rows(self) -> set[RowId]:
-        """Return the rows that the edit touches."""
+        """Return the rows that the edit writes, adds or removes."""
         rows = {write.cell.row for write in self.writes}
         return rows | {*self.added, *self.ensured, *self.removed}
 
     def needs_whole_table(self) -> bool:
-        """Return whether the edit must be checked against other rows."""
+        """Return whether the edit must be validated against other rows."""
         columns = {write.cell.column for write in self.writes}
         kinds = {row.kind for row in (*self.added, *self.ensured, *self.removed)}
         return bool(columns & _WHOLE_TABLE_COLUMNS) or RowKind.SERVICE in kinds
@@ -54,13 +54,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EditBase:
-    """Hold the revisions that an edit builds on.
+    """Hold the cell and row revisions that an edit expects.
 
-    They are taken once, before the first write is sent, and stay the same however
-    often the edit is tried. Suppose the answer to a write is lost, another operator
-    then changes the cell, and the edit is tried again on what is there by now: the
-    other's accepted value would be gone, and its operator would notice only that the
-    cell has its old value. A base that is never renewed turns this into a conflict.
+    They are read once, before the first write, and are the same for every retry.
+    Suppose the answer to a write is lost and another operator then changes the cell. A
+    retry on the current revisions would silently overwrite the accepted value of the
+    other operator. With fixed revisions the retry is a conflict.
     """
 
     cells: Mapping[CellId, int]
@@ -71,14 +70,14 @@
 
 
 def check_edit(edit: TableEdit) -> None:
-    """Refuse an edit with an unknown column or a value out of range."""
+    """Raise `TableError` for an unknown column or an invalid value."""
     for write in edit.writes:
         column = get_column(write.cell.row.kind, write.cell.column)
         column.parse(write.text, row=write.cell.row)
 
 
 def make_base(edit: TableEdit, pages: Pages) -> EditBase:
-    """Return the revisions that an edit builds on."""
+    """Return the revisions that an edit expects, given the current pages."""
     return EditBase(
         cells={
             write.cell: _get_cell_revision(pages, write.cell)
@@ -93,7 +92,7 @@
 def apply_edit(
     edit: TableEdit, pages: Pages, base: EditBase, *, era: int = FIRST_ERA
 ) -> dict[str, Page]:
-    """Return the pages that the edit changes, or refuse it whole."""
+    """Return the changed pages; raise `TableError` or `EditConflict`."""
     _check_rows(edit, pages)
     _check_base(edit, pages, base)
     changed = {
@@ -113,8 +112,9 @@
 def renumber_edit(edit: TableEdit, pages: Pages, era: int) -> dict[str, Page]:
     """Return the pages of a committed edit with the revisions of a later era.
 
-    An edit that was sent before its editor knew of the service's return has a revision
-    that a lost edit may have had, and would not come into force where that is known.
+    An edit that was sent before its editor knew that the service was restored may have
+    the revision of a lost edit. It would not come into force in processes that know the
+    lost edit.
     """
     changed = {
         key: pages[key].begin_edit(edit.edit_id, era=era)
@@ -161,7 +161,7 @@
         if _get_row_version(pages, row) != base.rows[row]:
             raise EditConflict(
                 f"another operator changed {row} first",
-                hint="read the row again and decide anew",
+                hint="read the row again and decide whether to remove it",
             )
 
 
--- a/src/hyssopvane/_internal/coordination/table_import.py
+++ b/src/hyssopvane/_internal/coordination/table_import.py
@@ -1,4 +1,4 @@
-"""Read the example tables that ship with the program."""
+"""Load the example tables that are included in the package."""
 
 import hashlib
 from dataclasses import replace
@@ -15,12 +15,12 @@
 
 
 def read_example(name: str) -> str:
-    """Return the CSV of an example table."""
+    """Return the CSV text of an example table."""
     return (resources.files(_EXAMPLES_PACKAGE) / f"{name}.csv").read_text("utf-8")
 
 
 def read_example_edit(name: str, *, key: str) -> TableEdit:
-    """Return the edit that imports an example; its first customer gets the key."""
+    """Return the edit that imports an example and sets its first customer's key."""
     edit = parse_csv(read_example(name), source=name, edit_id=str(uuid6.uuid7()))
     first = next(row for row in edit.ensured if row.kind is RowKind.CUSTOMER)
     digest = hashlib.sha256(key.encode()).hexdigest()
--- a/src/hyssopvane/_internal/coordination/table_pages.py
+++ b/src/hyssopvane/_internal/coordination/table_pages.py
@@ -1,4 +1,4 @@
-"""Keep the table's rows in pages of the key-value service."""
+"""Store the rows of the table in pages of the key-value service."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -27,24 +27,24 @@
 PAGE_PREFIX = "table/page/"
 
 PAGE_COUNT = 64
-"""Pages of the table.
+"""Number of pages of the table.
 
-An edit rewrites one page and a reader is sent one page, so more pages make an edit
-cheaper. All of them must fit in one transaction, in which etcd takes 128 changes.
+An edit rewrites one page and sends one page to each reader, so more pages make edits
+cheaper. All pages must fit into one transaction, which etcd limits to 128 operations.
 """
 
 MAX_PAGE_BYTES = MAX_VALUE_BYTES - 16 * 1024
-"""Largest page, with room for the service's own overhead."""
+"""Maximum size of a page; the remainder is for the service's own overhead."""
 
 MAX_RECENT_EDITS = 32
-"""Edit ids that a page remembers, to resolve a reply that was lost."""
+"""Number of recent edit ids in a page, which resolve lost replies."""
 
 _FORMAT = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """Hold the text of one cell and the page's sequence at which it was set."""
+    """Hold the text of one cell and the sequence number of the edit that set it."""
 
     text: str
     revision: int
@@ -52,25 +52,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """Hold the cells of one row that were set."""
+    """Hold the cells of one row that an operator has set."""
 
     revision: int
-    """Revision at which the row was added."""
+    """Sequence number of the edit that added the row."""
     cells: Mapping[str, Cell] = field(default_factory=dict)
 
     def get_cell_revision(self, column: str) -> int:
-        """Return the revision of a cell."""
+        """Return the revision of a cell, or that of its row where it is not set."""
         cell = self.cells.get(column)
         return cell.revision if cell else self.revision
 
     def get_texts(self) -> dict[str, str]:
-        """Return the texts of the cells that were set."""
+        """Return the texts of the set cells by column."""
         return {name: cell.text for name, cell in self.cells.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class PageEra:
-    """Say how far a page had come when an era of the service began."""
+    """Hold the sequence number of a page at the start of an era of the service."""
 
     era: int
     copied_sequence: int
@@ -78,21 +78,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Hold the rows of one page.
+    """Hold the rows and the edit history of one page.
 
-    `sequence` counts the page's edits and gives cells their revisions. Pages are
-    never deleted, so a row that is removed and added again has higher revisions
-    than before, and an edit that expects the old row can't hit the new one.
+    `sequence` counts the edits of the page and is the source of cell revisions. Pages
+    are never deleted, so a row that is removed and added again has higher revisions
+    than before. An edit that expects the old row therefore can't change the new one.
     """
 
     sequence: int = 0
     recent_edits: tuple[str, ...] = ()
     rows: Mapping[RowId, StoredRow] = field(default_factory=dict)
     eras: tuple[PageEra, ...] = ()
-    """Later eras of the service in which the page was edited."""
+    """Eras of the service after the first one in which the page was edited."""
 
     def begin_edit(self, edit_id: str, *, era: int = FIRST_ERA) -> "Page":
-        """Return the page with its sequence raised and the edit remembered."""
+        """Return the page with the next sequence number and the edit id recorded."""
         recent = (*self.recent_edits, edit_id)[-MAX_RECENT_EDITS:]
         sequence, eras = self.sequence, self.eras
         if not self.is_edited_in(era):
@@ -101,7 +101,7 @@
         return replace(self, sequence=sequence + 1, recent_edits=recent, eras=eras)
 
     def is_edited_in(self, era: int) -> bool:
-        """Tell whether an edit of this era, or of a later one, is in the page."""
+        """Return whether the page has an edit of this era or of a later one."""
         return era <= max([FIRST_ERA, *(one.era for one in self.eras)])
 
     def with_row(self, row: RowId, stored: StoredRow) -> "Page":
@@ -121,7 +121,7 @@
 
 
 def format_page(page: Page) -> bytes:
-    """Write a page as JSON; raise `TableError` when it is too large."""
+    """Format a page as JSON; raise `TableError` when it is too large."""
     rows = {
         str(row): [
             stored.revision,
@@ -144,14 +144,14 @@
     if len(content) > MAX_PAGE_BYTES:
         raise TableError(
             f"the table is too large: one of its pages would have {len(content)} bytes",
-            context=f"the key-value service takes {MAX_PAGE_BYTES} a page",
+            context=f"the key-value service accepts at most {MAX_PAGE_BYTES} per page",
             hint="remove rows that are no longer needed; nothing was changed",
         )
     return content
 
 
 def parse_page(item: KeyValue) -> Page:
-    """Read a page; raise `TableError` when it is not one."""
+    """Parse a page; raise `TableError` when it is malformed."""
     try:
         document = json.loads(item.value)
         if document["format"] != _FORMAT:
@@ -166,12 +166,12 @@
         raise TableError(
             f"a page of the table can't be read: {error!r}",
             context=f"{item.key} at revision {item.revision}",
-            hint="the last table stays in force; import the table anew",
+            hint="the last table stays in force; import the table again",
         ) from error
 
 
 def read_page_prefix(value: bytes) -> bytes:
-    """Return the first bytes of a page, which name its last edit; none where unread."""
+    """Return the bytes before the rows, which identify the last edit; empty if none."""
     head, rows, _ = value.partition(b',"rows":')
     return head if rows else b""
 
@@ -187,11 +187,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedPage:
-    """Hold a page's rows as the rest of the system uses them.
+    """Hold the parsed rows of a page by kind.
 
-    They are kept by kind, so that joining all pages after a change of one copies
-    references and parses nothing: a table of 10,000 targets changes every few
-    seconds, and each process has a few per cent of a core for it.
+    Joining all pages after a change of one of them then only copies references and
+    parses nothing. A table of 10,000 targets changes every few seconds, and each
+    process has a few per cent of a core for this.
     """
 
     revision: int
@@ -203,7 +203,7 @@
 
 
 def build_parsed_page(page: Page, revision: int, *, era: int = 0) -> ParsedPage:
-    """Parse each row of a page; raise `TableError` for a bad cell."""
+    """Parse each row of a page; raise `TableError` for an invalid cell."""
     rows = [_build_known_cells(row, stored) for row, stored in page.rows.items()]
     return ParsedPage(
         revision=revision,
@@ -222,15 +222,15 @@
 
 
 def _build_known_cells(row: RowId, stored: StoredRow) -> Row:
-    # While the fleet is upgraded, a newer operator may set a column that this
-    # version does not know. Refusing the page would hold back every other row of it.
+    # During an upgrade of the fleet, a newer version may set a column that this version
+    # does not support. Rejecting the page would block all of its other rows.
     known = COLUMNS[row.kind]
     texts = {name: text for name, text in stored.get_texts().items() if name in known}
     return build_row(row, texts)
 
 
 def build_table(pages: Iterable[ParsedPage]) -> Table:
-    """Join pages to the table; its mark is the last of theirs."""
+    """Join pages into the table; its position is the newest of theirs."""
     position = StorePosition(0, 0)
     customers: dict[str, CustomerRow] = {}
     services: dict[str, ServiceRow] = {}
