--- a/src/hyssopvane/_internal/coordination/__init__.py
+++ b/src/hyssopvane/_internal/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Agree with other processes through the platform's key-value service."""
+"""Coordinate processes through the platform's key-value service."""
--- a/src/hyssopvane/_internal/coordination/own_rows.py
+++ b/src/hyssopvane/_internal/coordination/own_rows.py
@@ -1,4 +1,4 @@
-"""Give each agent the rows of the table that concern it."""
+"""Select the table rows that an agent needs, and keep them at the agent."""
 
 from collections.abc import Mapping, Sequence
 
@@ -17,7 +17,7 @@
 
 OWN_ROWS_TOPIC = "table/own-rows"
 LISTED_TOPIC = "vms/listed"
-"""Tells an agent whether the platform's list shows its VM as leaving."""
+"""Topic that reports to an agent whether the platform lists its VM as leaving."""
 LEAVING = b"leaving"
 STAYING = b"staying"
 
@@ -29,10 +29,10 @@
     vm: str,
     service: str,
 ) -> OwnRows:
-    """Return the rows of an agent's target and service, as of their pages' revisions.
+    """Return the rows of an agent's target and service with their pages' positions.
 
-    An agent needs no other row. A whole table at each agent would cost 10,000 times
-    the traffic of an entry, for customers and targets that it never sees.
+    An agent needs no other row. Sending the whole table to each of 10,000 agents would
+    cost 10,000 times the traffic of one entry, for rows that the agents never use.
     """
     rows = (RowId(RowKind.TARGET, vm), RowId(RowKind.SERVICE, service))
     return OwnRows(
@@ -63,45 +63,46 @@
 
 
 class HeldRows:
-    """Hold the rows that concern this agent; never go back to older ones."""
+    """Hold the rows of this agent and reject older versions of them."""
 
     def __init__(self, *, vm: str, service: str) -> None:
         self.position = StorePosition(0, 0)
-        """Last mark of the table that an entry told, with these rows of it."""
+        """Newest table position that an entry reported, whose rows are held here."""
         self.target = TargetRow(vm)
         self.service = ServiceRow(service)
         self._orders: dict[str, tuple[StorePosition, int]] = {}
 
     @property
     def revision(self) -> int:
-        """Return the revision of the table's mark."""
+        """Return the revision of the table's position."""
         return self.position.revision
 
     @property
     def takes_work(self) -> bool:
-        """Tell whether the operators let the target take new work."""
+        """Return whether the operators allow new work on the target."""
         return self.target.in_service and self.target.weight > 0
 
     def accept(self, rows: OwnRows) -> None:
-        """Take over the rows that are newer; raise `TableError` for a bad cell."""
+        """Apply rows that are newer; raise `TableError` for an invalid cell."""
         for row in rows.rows:
-            # Several entries tell; one of them may lag behind the others. To follow it
-            # would take a target into service again that an operator took out.
+            # Several entries send the rows, and one of them may lag behind. Applying
+            # its older row would return a target to service that an operator removed
+            # from service.
             known = self._orders.get(row.row)
             if known is None or row.order > known:
                 self._apply_row(row)
         self.update_position(StorePosition(rows.table_era, rows.table_revision))
 
     def update_position(self, position: StorePosition) -> None:
-        """Take note of the mark of the table that an entry has.
+        """Record the position of the table that an entry has.
 
         An entry sends changed rows before the heartbeat with their revision, on the
-        same connection, so that a heartbeat never speaks of rows that are missing here.
+        same connection. A heartbeat therefore never refers to rows that are missing.
         """
         self.position = max(self.position, position)
 
     def describe(self) -> dict[str, object]:
-        """Return the rows in force as texts."""
+        """Return the cells of the rows in force as text."""
         return {
             "service": _format_cells(self.service, RowKind.SERVICE),
             "target": _format_cells(self.target, RowKind.TARGET),
@@ -110,7 +111,7 @@
     def _apply_row(self, row: OwnRow) -> None:
         kind, _, name = row.row.partition("/")
         row_id = RowId(RowKind(kind), name)
-        # A newer entry may know a column that this version does not.
+        # A newer entry may send a column that this version does not support.
         known = COLUMNS[row_id.kind]
         cells = {
             column: text
--- a/src/hyssopvane/_internal/coordination/table_store.py
+++ b/src/hyssopvane/_internal/coordination/table_store.py
@@ -1,4 +1,4 @@
-"""Edit and follow the table in the platform's key-value service."""
+"""Commit edits of the table to the key-value service, and follow its changes."""
 
 import math
 from collections.abc import Callable, Mapping, Sequence
@@ -51,42 +51,42 @@
 from hyssopvane._internal.utils.backoff import Backoff
 
 GIVE_UP_S = 15.0
-"""Time for which an edit is tried; most of it goes to reading back lost replies."""
+"""Time limit for committing an edit; most of it is for reading back lost replies."""
 
 REFRESH_S = 5.0
-"""Time without news after which a reader asks whether its watch is still heard.
+"""Time without changes after which a reader checks that its watch still works.
 
-A watch whose connection went silent for good looks like a table that nobody edits;
-an edit would then never come into force here. With a change due everywhere within
-12 s, one such question and its timeout must fit in.
+A watch on a dead connection looks like a table without edits, so an edit would never
+come into force here. A change must be in force everywhere within 12 s; one such check
+and its timeout must fit into that.
 """
 
 MAX_TRANSACTION_BYTES = 1_400_000
-"""Largest sum of pages in a transaction; etcd takes 1.5 MiB with all around them."""
+"""Maximum size of all pages in a transaction; etcd's 1.5 MiB includes overhead."""
 
 ErrorReport = Callable[[HyssopvaneError], None]
 
 
 @dataclass(frozen=True, slots=True)
 class EditAccepted:
-    """Tell that an edit is committed."""
+    """Report that an edit is committed."""
 
     table_revision: int
-    """Revision of the table that has the edit."""
+    """Revision of the table that contains the edit."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PagesRead:
-    """Hold pages with the revisions at which they were read."""
+    """Hold pages that were read together, with their revisions."""
 
     pages: Pages
     revisions: Mapping[str, int]
     prefixes: Mapping[str, bytes]
-    """First bytes of the pages that are there."""
+    """First bytes of each page that exists, up to its rows."""
     era: int
 
     def find_edit(self, keys: set[str], edit_id: str) -> int | None:
-        """Return the revision of a page that remembers the edit."""
+        """Return the revision of a page that lists the edit, or None."""
         for key in keys:
             if edit_id in self.pages[key].recent_edits:
                 return self.revisions[key]
@@ -104,18 +104,18 @@
         self._give_up_s = give_up_s
 
     async def commit(self, edit: TableEdit) -> EditAccepted:
-        """Carry out an edit once, or raise and change nothing.
+        """Apply an edit exactly once, or raise an error.
 
-        Raise `TableError` for an edit that the table refuses, `EditConflict` when
-        another operator was first, `KeyValueUnavailable` when nothing was changed,
-        and `KeyValueUnknown` when it could not be found out.
+        Raise `TableError` for an invalid edit, `EditConflict` when another operator
+        changed the cell first, `KeyValueUnavailable` when the service is unavailable
+        and nothing was changed, and `KeyValueUnknown` when the outcome is unknown.
         """
         check_edit(edit)
         return await _Commit(self._store, edit, self._random).run(self._give_up_s)
 
 
 class _Commit:
-    """Try one edit until its outcome is certain."""
+    """Retry one edit until its outcome is certain or the time limit is reached."""
 
     def __init__(self, store: KeyValueStore, edit: TableEdit, random: Random) -> None:
         self._store = store
@@ -125,7 +125,7 @@
         self._base: EditBase | None = None
         self._seen: dict[str, KeyValue] = {}
         self._sent_in_era: int | None = None
-        """Era of the service that the last write was prepared in."""
+        """Era of the service in which the last write was prepared."""
         self._lost_reply: KeyValueUnknown | None = None
 
     async def run(self, give_up_s: float) -> EditAccepted:
@@ -134,8 +134,8 @@
             try:
                 accepted = await self._try()
             except KeyValueUnknown as error:
-                # The write may have been carried out. The next try reads the pages
-                # back and finds the edit's id there if it was.
+                # The write may have been applied. In that case the next attempt finds
+                # the id of the edit in the pages.
                 self._lost_reply = error
             except KeyValueError as error:
                 if self._lost_reply is None:
@@ -190,11 +190,11 @@
     def _make_checks(
         self, read: _PagesRead, changed: Mapping[str, Page]
     ) -> list[Check]:
-        # Two edits of different pages can each be right and be wrong together: one
-        # removes a service while the other gives it a target. One would notice a
-        # target that gets no work. The one that comes second finds a page changed.
-        # So does a write with a lost reply that arrives after the table has come to
-        # refuse its edit: the refusal is final.
+        # Two edits of different pages can be valid alone but not together: one removes
+        # a service while the other assigns a target to it, and the target would get no
+        # work. With these checks the second write fails on a changed page. The checks
+        # also stop a delayed write whose reply was lost and whose edit has been refused
+        # since, so a refusal is final.
         if not self._edit.needs_whole_table():
             return []
         others = sorted(read.revisions.keys() - changed.keys())
@@ -210,7 +210,7 @@
             era = self._store.era
             if before in {0, era}:
                 break
-            # What was seen before a return orders nothing of what is there now.
+            # Positions from before a restore can't be compared with current pages.
             self._seen.clear()
         keys = {*_get_page_keys(), *self._keys}
         seen = self._seen
@@ -230,7 +230,7 @@
             self._record_seen([item] if item else [])
 
     def _record_seen(self, items: Sequence[KeyValue]) -> None:
-        # A stale read must not hide what a lost swap has already shown.
+        # A stale read must not replace a newer page that a failed swap returned.
         for item in items:
             known = self._seen.get(item.key)
             if known is None or item.position > known.position:
@@ -240,24 +240,24 @@
         if self._lost_reply is not None:
             return self._make_unknown()
         return TableError(
-            "too many operators edit this part of the table at one time",
+            "too many operators edit this part of the table at the same time",
             hint="nothing was changed; try again",
         )
 
     def _make_unknown(self) -> KeyValueUnknown:
         return KeyValueUnknown(
-            "the reply to the edit was lost, and it can't be read back whether "
-            "the table has it",
+            "the reply to the edit was lost, and the table can't be read back to see "
+            "whether the edit was applied",
             context=f"edit id {self._edit.edit_id}",
             hint=f"run the same command again with {self._describe_repeat()}: "
-            "it is not carried out twice",
+            "it is not applied twice",
         )
 
     def _describe_repeat(self) -> str:
         """Return the options that make it safe to run the command again.
 
-        A page forgets an edit's id after some further edits; the revision that the
-        edit builds on still keeps it from overwriting a colleague's value then.
+        A page drops an edit's id after some further edits. The expected revision then
+        still prevents the edit from overwriting the value of another operator.
         """
         options = f"--edit-id {self._edit.edit_id}"
         if self._base is not None and len(self._base.cells) == 1:
@@ -275,7 +275,7 @@
     if size > MAX_TRANSACTION_BYTES:
         raise TableError(
             f"the edit is too large for one transaction: {size} bytes",
-            context=f"the key-value service takes {MAX_TRANSACTION_BYTES}",
+            context=f"the key-value service accepts at most {MAX_TRANSACTION_BYTES}",
             hint="import fewer rows at a time; nothing was changed",
         )
 
@@ -287,12 +287,12 @@
 
 
 def ignore_error(error: HyssopvaneError) -> None:
-    """Do nothing with an error."""
+    """Ignore an error; the default for callers without error reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class PageUpdate:
-    """Tell that a page came into force."""
+    """Hold a page that came into force, and the version before it in the same era."""
 
     before: KeyValue | None
     after: KeyValue
@@ -302,11 +302,11 @@
 
 
 def ignore_pages(updates: Sequence[PageUpdate]) -> None:
-    """Do nothing with pages that came into force."""
+    """Ignore updated pages; the default for readers without an observer."""
 
 
 class TableReader:
-    """Read the table and follow its changes; never go back to an older page."""
+    """Read the table and follow its changes, without reverting to an older page."""
 
     def __init__(
         self,
@@ -326,23 +326,23 @@
         self._versions: dict[str, dict[int, KeyValue]] = {}
         """Last version of each page by the era of the service.
 
-        Those of earlier eras are kept while they have edits that the service lost.
+        Versions of earlier eras are kept while they have edits that the service lost.
         """
         self._read_position = StorePosition(0, 0)
         self.last_contact_at = -math.inf
-        """Clock value at which the service was last heard."""
+        """Clock time in seconds of the last answer or event of the service."""
         self.digest = 0
-        """Hash of the revisions of all pages in force."""
+        """Hash of the positions of all page versions that are held."""
         self.table = Table()
-        """Table that was last accepted; it stays while the service is down."""
+        """Last accepted table; it stays in force while the service is down."""
 
     async def load(self) -> Table:
-        """Read the table and return it, or raise `KeyValueError`."""
+        """Read the table from the service and return it; raise `KeyValueError`."""
         await self._load()
         return self.table
 
     async def follow(self, send: trio.MemorySendChannel[Table]) -> None:
-        """Send the table and each later one, without end."""
+        """Send the table and each later version of it, without end."""
         while True:
             try:
                 await self._load_and_watch(send)
@@ -363,12 +363,12 @@
                     if not await self.refresh():
                         self._backoff.reset()
                         continue
-                    # The watch missed a change, so it is no longer heard.
+                    # The watch missed a change, so it no longer works.
                     await send.send(self.table)
                     return
                 if not items:
-                    # The delays keep growing where watches end at once while reads
-                    # work, or every reader would load the table many times a second.
+                    # The back-off is not reset here. If watches end at once while reads
+                    # work, every reader would load the table many times a second.
                     return
                 self._backoff.reset()
                 self._note_read(max(item.position for item in items))
@@ -381,19 +381,19 @@
         return self.accept(snapshot.items)
 
     async def refresh(self) -> bool:
-        """Read what the service has since it was last read; raise `KeyValueError`.
+        """Read pages that changed since the last read; raise `KeyValueError`.
 
-        Return whether there was anything.
+        Return whether there were any.
         """
-        # Not from the table's own revision: a peer may have passed on the newest page
-        # while an older change of another page is still missing here. That one would
-        # never be asked for, and an operator would see one cell in force without the
-        # one that was set before it.
+        # The read starts at the last read revision, not at that of the table. A peer
+        # may have forwarded the newest page while an older change of another page is
+        # still missing here. Starting at the table's revision would never read that
+        # change, and a cell would be in force without one that was set before it.
         snapshot = await self._store.get_prefix(
             PAGE_PREFIX, min_revision=self._read_position.revision + 1
         )
         if snapshot.era != self._read_position.era and self._read_position.era:
-            # The service came back from a copy, in which all revisions may be lower.
+            # The service was restored from a copy, where all revisions may be lower.
             await self._load()
             return True
         self._note_read(snapshot.position)
@@ -401,12 +401,12 @@
         return bool(snapshot.items)
 
     def _note_read(self, position: StorePosition) -> None:
-        # A stale read is of an earlier revision than was already read.
+        # A stale read has an earlier revision than one that was already read.
         self._read_position = max(self._read_position, position)
         self.last_contact_at = trio.current_time()
 
     def get_page(self, key: str, era: int) -> KeyValue | None:
-        """Return the last version of a page in an era."""
+        """Return the last version of a page in an era, or None."""
         return self._versions.get(key, {}).get(era)
 
     def get_revisions(self) -> dict[str, int]:
@@ -414,7 +414,7 @@
         return {key: page.revision for key, page in self._pages.items()}
 
     def get_held_positions(self) -> dict[str, tuple[StorePosition, ...]]:
-        """Return the marks of all versions of each page, the last one first."""
+        """Return the positions of all versions held of each page, newest first."""
         return {
             key: tuple(
                 sorted((item.position for item in versions.values()), reverse=True)
@@ -423,7 +423,7 @@
         }
 
     def get_pages(self, *, min_revision: int = 0) -> tuple[KeyValue, ...]:
-        """Return the versions that are at least as new, to pass them on to peers."""
+        """Return the held versions from a revision on, to forward them to peers."""
         return tuple(
             item
             for versions in self._versions.values()
@@ -432,23 +432,23 @@
         )
 
     def accept(self, items: Sequence[KeyValue]) -> bool:
-        """Take newer pages over, also from a peer; return whether there were any."""
+        """Apply newer pages of the service or a peer; return whether there were any."""
         updates: list[PageUpdate] = []
         for item in items:
             known = self.get_page(item.key, item.era)
-            # A stale read or a watch that starts in the past shows older pages. To
-            # take one over would bring back a limit that an operator has replaced.
+            # A stale read or a watch from an earlier revision returns older pages.
+            # Applying one would restore a limit that an operator has replaced.
             if known is not None and item.revision <= known.revision:
                 continue
             versions = {**self._versions.get(item.key, {}), item.era: item}
             try:
                 kept, page = _merge(versions)
             except TableError as error:
-                # The other pages still come into force.
+                # An unreadable page must not block the other pages.
                 self._report(error)
                 continue
             if item.era not in kept:
-                # All that it has is in the later versions, too.
+                # Later versions already contain all of its edits.
                 continue
             updates.append(PageUpdate(known, item))
             self._versions[item.key] = kept
@@ -461,7 +461,7 @@
 
 
 def _merge(versions: Mapping[int, KeyValue]) -> tuple[dict[int, KeyValue], ParsedPage]:
-    """Return the versions that are still needed, and the page that is in force."""
+    """Return the versions that are still needed and the merged page in force."""
     newest = versions[max(versions)]
     pages = {era: parse_page(item) for era, item in versions.items()}
     merged = merge_versions(pages)
@@ -485,12 +485,12 @@
 async def _receive_items(
     events: trio.MemoryReceiveChannel[WatchEvent],
 ) -> list[KeyValue]:
-    """Wait for changes and return all that are there, or none at the end."""
+    """Wait for changes and return all available ones, or none when the watch ended."""
     items: list[KeyValue] = []
     try:
         event = await events.receive()
         while True:
-            # Pages are never deleted. Should one vanish, its last state stays.
+            # Pages are never deleted. If one disappears, its last state stays.
             if event.value is not None:
                 items.append(
                     KeyValue(event.key, event.value, event.revision, event.era)
