--- a/src/hyssopvane/_internal/coordination/etcd_key_value.py
+++ b/src/hyssopvane/_internal/coordination/etcd_key_value.py
@@ -1,4 +1,4 @@
-"""Speak etcd's JSON gateway to the platform's key-value service."""
+"""Access the platform's key-value service through etcd's JSON gateway."""
 
 import json
 import math
@@ -57,13 +57,13 @@
 MAX_CONNECTIONS = 32
 
 MAX_COMPARED_KEYS = 64
-"""Keys of one transaction that can each be compared by two bounds of their values."""
+"""Maximum keys of a transaction, since each may need two comparisons of its value."""
 
 MIN_CHECK_INTERVAL_S = 30.0
-"""Least time between two writes that tell a stale read from a return."""
+"""Minimum interval between two writes that distinguish a stale read from a restore."""
 
 WATCH_BUFFER = 4096
-"""Events that wait for a slow reader; one that falls further behind loads anew."""
+"""Events buffered for a slow reader; a slower one loses its watch and loads again."""
 
 _NOT_CARRIED_OUT = frozenset(
     {
@@ -72,10 +72,10 @@
         "etcdserver: too many requests",
     }
 )
-"""Errors by which the service says that it did not even start on a write."""
+"""Errors of the service that mean that a write was not started."""
 
 _CANCELED = frozenset({408, 499})
-"""Statuses of a call that was given up; a write may have been carried out."""
+"""Statuses of an aborted call; a write may have been applied."""
 
 _NEVER_SENT = (
     httpcore.ConnectError,
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CallStart:
-    """Hold what was known when a call began."""
+    """Hold the era and the highest revision that were known when a call began."""
 
     record: EraRecord | None
     revision: int
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FoundRecord:
-    """Hold the record of an era as a call found it."""
+    """Hold the record of an era as it was read, with the header of the answer."""
 
     header: ServiceHeader
     revision: int
@@ -123,12 +123,12 @@
         self._era = ServiceEra()
         self._era_lock = trio.Lock()
         self._highest_revision = 0
-        """Highest revision that an answer of the era has told."""
+        """Highest revision in an answer of the era."""
         self._is_recorded = False
         """Whether the record of the era is in the service, or none is needed."""
         self._checked_at = -math.inf
         self._watches: dict[trio.CancelScope, int] = {}
-        """Scopes of the watches, and the eras in which they were begun."""
+        """Cancel scopes of the watches and the eras in which they were opened."""
 
     @property
     def era(self) -> int:
@@ -176,7 +176,7 @@
             self._is_recorded = self._is_recorded or bool(first)
             return result
         if any(item.key == ERA_KEY for item in result.current):
-            # Another process was first with the record alone.
+            # Another process has written the record first; the swaps may still hold.
             self._is_recorded = True
             return await self.compare_and_swap(swaps, checks=checks)
         return result
@@ -217,7 +217,7 @@
             }
         }
         if self._nursery is None:
-            raise RuntimeError("start the store before a watch")
+            raise RuntimeError("start the store before opening a watch")
         scope = trio.CancelScope()
         self._watches[scope] = era
         self._nursery.start_soon(self._read_watch, request, send, scope, era)
@@ -251,13 +251,13 @@
                         if not _send_events(line, send, era=era, cluster=cluster):
                             return
             except (httpcore.NetworkError, httpcore.ProtocolError):
-                # The end of the channel tells the reader that the watch is gone.
+                # The end of the channel shows the reader that the watch has ended.
                 return
             except httpcore.TimeoutException:
                 return
 
     async def _read(self, request: JsonObject) -> tuple[JsonObject, int]:
-        """Return the answer of a read, and the era that it belongs to."""
+        """Return the answer of a read and its era."""
         start = self._begin_call()
         answer = await self._call("/v3/kv/range", request)
         era = await self._process_header(
@@ -279,7 +279,7 @@
         *,
         writes: bool,
     ) -> int:
-        """Return the era of an answer; raise where it was given before a return."""
+        """Return the era of an answer; raise if it dates from before a restore."""
         with self._parsing(lost):
             header = parse_header(answer)
         if header.cluster == NO_CLUSTER:
@@ -288,17 +288,17 @@
             try:
                 await self._follow_era(header, start, writes=writes)
             except KeyValueError as error:
-                raise self._make_error(lost, "has not told its era") from error
+                raise self._make_error(lost, "did not report its era") from error
         if self._era.is_current(header.cluster) and self._is_certain(start, writes):
             self._highest_revision = max(self._highest_revision, header.revision)
             return self.era
-        raise self._make_error(lost, "has come back from a copy meanwhile")
+        raise self._make_error(lost, "was restored from a copy during the call")
 
     def _is_certain(self, start: _CallStart, writes: bool) -> bool:
-        """Tell whether an answer of the present cluster is of the present era."""
+        """Return whether an answer of the current cluster is of the current era."""
         if start.record is None or start.record == self._era.record:
             return True
-        # What was written on the ground of an earlier era has to be read back.
+        # A write that was based on an earlier era must be read back.
         same_cluster = start.record.cluster == self._era.cluster
         return not writes and not same_cluster
 
@@ -327,16 +327,16 @@
                 self._adopt(due, header.revision)
 
     async def _list_first_record(self) -> list[Swap]:
-        """Return the record of the first era where the service has none yet.
+        """Return the record of the first era if the service has none yet.
 
-        It is written with the first change of anything else. Copies that hold something
-        of this system then name the cluster they are of.
+        It is written together with the first other write. Each copy with data of this
+        system then contains the id of the cluster that it was taken from.
         """
         async with self._era_lock:
             try:
                 found = await self._read_record()
             except KeyValueError as error:
-                # The next write tries again.
+                # The next write retries this.
                 log_event("warning", "store-era-unrecorded", why=error)
                 return []
         cluster = found.header.cluster
@@ -349,10 +349,10 @@
         return [Swap(ERA_KEY, format_record(record), ABSENT)]
 
     async def _check_for_restore(self, highest: int, *, is_certain: bool) -> None:
-        """Find out whether a lower revision than before means a return.
+        """Begin a new era if a lower revision than before is caused by a restore.
 
-        A service may come back from a copy under its old name. A read may be stale; a
-        write never is, so one that changes nothing decides.
+        A service may be restored from a copy with its old cluster id. A read may be
+        stale but a write never is, so a write without a change decides.
         """
         known = self._era.record
         assert known is not None
@@ -395,7 +395,7 @@
             return _FoundRecord(header, items[0].revision, record)
 
     async def _write_record(self, record: EraRecord, expected_revision: int) -> bool:
-        """Write a record; return whether it is there as it was meant."""
+        """Write a record; return whether it was written to the cluster it names."""
         swap = Swap(ERA_KEY, format_record(record), expected_revision)
         answer = await self._send_transaction(make_transaction([swap], []))
         with self._parsing(KeyValueUnknown):
@@ -408,7 +408,7 @@
     async def _call(
         self, path: str, request: JsonObject, *, writes: bool = False
     ) -> JsonObject:
-        """Send one call; tell a call that was not carried out from a lost answer."""
+        """Send one call; distinguish a call that was not applied from a lost answer."""
         lost = KeyValueUnknown if writes else KeyValueUnavailable
         try:
             with trio.fail_after(self._timeout_s):
@@ -416,8 +416,8 @@
                     "POST",
                     f"http://{self._address}{path}",
                     content=json.dumps(request).encode(),
-                    # The shorter limit lets a connection that can't be opened be
-                    # told from a write whose answer does not come.
+                    # The shorter timeout distinguishes a failed connection from a
+                    # write without an answer.
                     extensions={"timeout": {"connect": self._timeout_s / 2}},
                 )
         except _NEVER_SENT as error:
@@ -445,7 +445,7 @@
         if message in _NOT_CARRIED_OUT:
             raise self._make_error(KeyValueUnavailable, f"is not ready: {message}")
         if 400 <= response.status < 500 and response.status not in _CANCELED:
-            raise self._make_error(KeyValueRefused, f"refused the call: {message}")
+            raise self._make_error(KeyValueRefused, f"rejected the call: {message}")
         raise self._make_error(lost, f"failed with status {response.status}: {message}")
 
     @contextmanager
@@ -454,7 +454,7 @@
             yield
         except _MALFORMED as error:
             raise self._make_error(
-                lost, f"gave a malformed answer: {error!r}"
+                lost, f"sent a malformed answer: {error!r}"
             ) from error
 
     def _make_error(self, kind: type[KeyValueError], problem: str) -> KeyValueError:
@@ -481,8 +481,8 @@
 ) -> bool:
     """Send the events of one line; return False when the watch has ended.
 
-    A line holds whole transactions. Its events are sent without giving way, so a
-    reader that empties the channel never sees half of a transaction.
+    A line holds whole transactions. Its events are sent without a checkpoint, so a
+    reader that empties the channel never sees a part of a transaction.
     """
     try:
         result = json.loads(line)["result"]
--- a/src/hyssopvane/_internal/coordination/etcd_messages.py
+++ b/src/hyssopvane/_internal/coordination/etcd_messages.py
@@ -1,4 +1,4 @@
-"""Write and read the messages of etcd's JSON gateway."""
+"""Build and parse the messages of etcd's JSON gateway."""
 
 from base64 import b64decode, b64encode
 from collections.abc import Sequence
@@ -19,12 +19,12 @@
 JsonObject: TypeAlias = dict[str, Any]
 
 _NO_END = b"\0"
-"""What etcd takes as the end of a range that goes to the last key."""
+"""End of a range that includes the last key, as etcd defines it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceHeader:
-    """Hold what each answer tells of the service itself."""
+    """Hold the cluster id and the revision of the service from an answer."""
 
     cluster: int
     revision: int
@@ -39,7 +39,7 @@
 
 
 def make_transaction(swaps: Sequence[Swap], checks: Sequence[Check]) -> JsonObject:
-    """Return the call that carries out swaps if they and the checks hold."""
+    """Return the request that applies swaps if they and the checks hold."""
     expected: tuple[Swap | Check, ...] = (*swaps, *checks)
     return {
         "compare": [one for item in expected for one in _make_compares(item)],
@@ -64,7 +64,7 @@
 
 
 def list_value_bounds(prefix: bytes) -> list[tuple[str, bytes]]:
-    """Return the comparisons that hold for longer values with a prefix alone."""
+    """Return the comparisons that hold only for values longer than their prefix."""
     end = get_range_end(prefix)
     return [("GREATER", prefix)] + ([("LESS", end)] if end != _NO_END else [])
 
@@ -79,14 +79,14 @@
 
 
 def parse_event(event: JsonObject, era: int) -> WatchEvent:
-    """Read one change of a watch."""
+    """Parse one change of a watch."""
     item = _parse_item(event["kv"], era)
     value = None if event.get("type") == "DELETE" else item.value
     return WatchEvent(item.key, value, item.revision, era)
 
 
 def parse_transaction(answer: JsonObject, era: int) -> Swapped | SwapLost:
-    """Read how a transaction ended."""
+    """Parse the result of a transaction."""
     if answer.get("succeeded", False):
         return Swapped(parse_revision(answer), era)
     current: list[KeyValue] = []
@@ -96,12 +96,12 @@
 
 
 def parse_revision(answer: JsonObject) -> int:
-    """Return the service's revision at an answer."""
+    """Return the revision of the service in the header of an answer."""
     return int(answer["header"]["revision"])
 
 
 def parse_header(answer: JsonObject) -> ServiceHeader:
-    """Read what an answer tells of the service itself."""
+    """Parse the header of an answer."""
     header = answer["header"]
     return ServiceHeader(
         int(header.get("cluster_id", NO_CLUSTER)), int(header["revision"])
@@ -109,7 +109,7 @@
 
 
 def parse_items(answer: JsonObject, era: int) -> tuple[KeyValue, ...]:
-    """Read the keys of an answer."""
+    """Parse the keys and values of an answer."""
     return tuple(_parse_item(item, era) for item in answer.get("kvs", []))
 
 
@@ -123,10 +123,10 @@
 
 
 def encode_text(text: str) -> str:
-    """Return a key in base64."""
+    """Encode a key in base64."""
     return encode_bytes(text.encode())
 
 
 def encode_bytes(value: bytes) -> str:
-    """Return a value in base64."""
+    """Encode a value in base64."""
     return b64encode(value).decode()
--- a/src/hyssopvane/_internal/coordination/key_value.py
+++ b/src/hyssopvane/_internal/coordination/key_value.py
@@ -1,4 +1,4 @@
-"""Describe the platform's key-value service."""
+"""Define the interface of the platform's key-value service."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -15,44 +15,44 @@
 NO_LEASE = 0
 
 MAX_VALUE_BYTES = 1024 * 1024
-"""Largest value that the service takes."""
+"""Maximum size of a value in the service."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """Hold one key as it was at one revision of the service."""
+    """Hold the value of one key at one revision of the service."""
 
     key: str
     value: bytes
     revision: int
     """Revision of the service at which this value was written."""
     era: int = field(default=0, compare=False)
-    """Era of the service in which it was read; 0 where not told."""
+    """Era of the service in which it was read; 0 if unknown."""
 
     @property
     def position(self) -> StorePosition:
-        """Return the point of the service's history that orders the values of a key."""
+        """Return the position in the service's history that orders a key's values."""
         return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Hold the keys under a prefix as of one revision of the service."""
+    """Hold the keys under a prefix at one revision of the service."""
 
     revision: int
     items: tuple[KeyValue, ...]
     era: int = 0
-    """Number of the era, higher after each return from a copy; 0 where not told."""
+    """Number of the era, higher after each restore from a copy; 0 if unknown."""
 
     @property
     def position(self) -> StorePosition:
-        """Return the point of the service's history up to which the keys are known."""
+        """Return the position in the service's history at which the keys were read."""
         return StorePosition(self.era, self.revision)
 
 
 @dataclass(frozen=True, slots=True)
 class Swap:
-    """Ask for one key to change if its revision is still the expected one."""
+    """Change one key if its revision, or the start of its value, is as expected."""
 
     key: str
     value: bytes | None
@@ -60,15 +60,16 @@
     expected_revision: int
     lease: int = NO_LEASE
     expected_prefix: bytes = b""
-    """First bytes of the expected value, where they name it; never the whole value.
+    """First bytes that identify the expected value; never the whole value.
 
-    A service that has come back from a copy gives revisions out again, to other values.
+    They replace the revision in the comparison where they are set. A service that was
+    restored from a copy assigns the same revisions again to other values.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Ask that one key is still at a revision, without changing it."""
+    """Require that one key is unchanged, without writing it."""
 
     key: str
     expected_revision: int
@@ -76,13 +77,13 @@
 
 
 def get_value_prefix(value: bytes) -> bytes:
-    """Return the first bytes that a swap expects of a JSON value and of no other."""
+    """Return the prefix that a swap expects, which only this JSON value has."""
     return value[:-1]
 
 
 @dataclass(frozen=True, slots=True)
 class Swapped:
-    """Tell that every swap of a transaction was carried out."""
+    """Report that every swap of a transaction was applied."""
 
     revision: int
     era: int = field(default=0, compare=False)
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwapLost:
-    """Tell that no swap was carried out, and show the keys as they are."""
+    """Report that no swap was applied, with the current values of the keys."""
 
     current: tuple[KeyValue, ...]
     era: int = field(default=0, compare=False)
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """Tell that a key was written, or deleted where the value is None."""
+    """Report that a key was written, or deleted if the value is None."""
 
     key: str
     value: bytes | None
@@ -109,27 +110,29 @@
 class KeyValueStore(ABC):
     """Read and change the platform's key-value service.
 
-    A call raises `KeyValueUnavailable` when it was certainly not carried out,
+    A call raises `KeyValueUnavailable` when it was certainly not applied,
     `KeyValueUnknown` when a write was sent but its answer was lost, and
-    `KeyValueRefused` when the service refuses it.
+    `KeyValueRefused` when the service rejects it.
     """
 
     watch_s: float = 0.0
-    """Seconds that a watch waits for a change before it is asked again; a service whose
-    watches need no asking leaves it unused."""
+    """Seconds that a watch waits for a change before it polls again.
+
+    A service that sends changes without polls leaves it unused.
+    """
 
     @property
     def era(self) -> int:
-        """Return the era of the last answer; 0 where eras are not told."""
+        """Return the era of the last answer; 0 if the service has no eras."""
         return 0
 
     async def wait_past_era(self, era: int) -> None:
-        """Wait until the service has come back from a copy since an era."""
+        """Wait until an era has ended because the service was restored from a copy."""
         await trio.sleep_forever()
 
     @abstractmethod
     async def start(self, nursery: trio.Nursery) -> None:
-        """Make the store ready for calls."""
+        """Prepare the store for calls; the nursery runs its background tasks."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -147,7 +150,7 @@
     async def compare_and_swap(
         self, swaps: Sequence[Swap], *, checks: Sequence[Check] = ()
     ) -> Swapped | SwapLost:
-        """Carry out all swaps in one transaction, or none when a key has changed."""
+        """Apply all swaps in one transaction, or none if a key has changed."""
 
     @abstractmethod
     async def grant_lease(self, ttl_s: int) -> int:
@@ -155,15 +158,15 @@
 
     @abstractmethod
     async def keep_lease(self, lease: int) -> bool:
-        """Renew a lease; return False when it has lapsed."""
+        """Renew a lease; return False when it has expired."""
 
     @abstractmethod
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
     @abstractmethod
     def end_watches(self, era: int) -> None:
-        """End the watches begun before an era, of which a peer has told."""
+        """End the watches that were opened before an era that a peer reported."""
 
     @abstractmethod
     def watch(
@@ -172,6 +175,6 @@
         """Receive the changes under a prefix from a revision on.
 
         The channel ends when the service closes the watch, no longer has the start
-        revision, or has come back from a copy since the era; the caller then loads the
+        revision, or was restored from a copy after the era. The caller then loads the
         prefix again.
         """
--- a/src/hyssopvane/_internal/coordination/service_era.py
+++ b/src/hyssopvane/_internal/coordination/service_era.py
@@ -1,7 +1,8 @@
-"""Number the eras of a key-value service, which end when it comes back from a copy.
+"""Number the eras of a key-value service; an era ends when it is restored from a copy.
 
-The service names its cluster in each answer, and a cluster that is restored from a
-copy has a new name. Names have no order, so a record in the service gives them numbers.
+Each answer of the service contains the id of its cluster, and a cluster that is
+restored from a copy has a new id. The ids have no order, so a record in the service
+maps them to ordered numbers.
 """
 
 import json
@@ -14,46 +15,47 @@
 ERA_KEY = "service/era"
 
 NO_CLUSTER = 0
-"""Name of the cluster where the service tells none; it then has no eras."""
+"""Cluster id if the service sends none; the service then has no eras."""
 
 FIRST_ERA = 1
 
 NUMBERS_PER_ERA = 1_000
-"""Numbers between those that two eras begin with, which are a millisecond apart."""
+"""Sequence numbers between the starts of two eras that begin a millisecond apart."""
 
 _MILLISECONDS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class EraRecord:
-    """Say which cluster an era belongs to."""
+    """Map the number of an era to the id of its cluster."""
 
     era: int
     cluster: int
 
 
 def format_record(record: EraRecord) -> bytes:
-    """Write a record as JSON."""
+    """Format a record as JSON."""
     return json.dumps({"era": record.era, "cluster": record.cluster}).encode()
 
 
 def parse_record(value: bytes) -> EraRecord:
-    """Read a record; raise `ValueError` when it is not one."""
+    """Parse a record; raise `ValueError` when it is malformed."""
     try:
         document = json.loads(value)
         return EraRecord(int(document["era"]), int(document["cluster"]))
     except (KeyError, TypeError) as error:
-        raise ValueError(f"no record of an era: {error!r}") from error
+        raise ValueError(f"malformed record of an era: {error!r}") from error
 
 
 def plan_record(
     found: EraRecord | None, cluster: int, known: EraRecord | None, *, now: float
 ) -> EraRecord:
-    """Return the record that is due for a cluster; any other than found is written.
+    """Return the record for a cluster; the caller writes it if it is not the found one.
 
-    `known` is what this process held before it heard of the cluster, `now` the time in
-    seconds since 1970. A copy may lack the records of several eras, of which a process
-    that has just started knows nothing; so a later era is numbered by its time.
+    `known` is the record that this process held before it saw the cluster, and `now` is
+    the time in seconds since 1970. A copy may lack the records of several eras, which
+    are unknown to a process that has just started. A later era is therefore numbered by
+    its time.
     """
     if found is None and known is None:
         return EraRecord(FIRST_ERA, cluster)
@@ -65,20 +67,24 @@
 
 
 def make_era(highest: int, now: float) -> int:
-    """Return the number of an era that begins now: milliseconds since 1970."""
+    """Return the number of an era that begins now, in milliseconds since 1970.
+
+    It is always higher than the highest number so far.
+    """
     return max(highest + 1, int(now * _MILLISECONDS))
 
 
 def get_first_number(era: int) -> int:
-    """Return the number above which an era counts what must not be given out twice.
+    """Return the number above which an era assigns its sequence numbers.
 
-    Whatever is numbered in an era is then higher than all that an earlier one has lost.
+    Each number of an era is then higher than all lost numbers of earlier eras, so no
+    number is assigned twice.
     """
     return max(0, era - FIRST_ERA) * NUMBERS_PER_ERA
 
 
 class ServiceEra:
-    """Hold the era that a process knows its service to be in."""
+    """Track the current era of the service as this process knows it."""
 
     def __init__(self) -> None:
         self.record: EraRecord | None = None
@@ -88,16 +94,16 @@
 
     @property
     def era(self) -> int:
-        """Return the number of the era; 0 where none is known."""
+        """Return the number of the era; 0 if none is known."""
         return 0 if self.record is None else self.record.era
 
     @property
     def cluster(self) -> int:
-        """Return the name of the cluster of the era."""
+        """Return the id of the cluster of the era."""
         return NO_CLUSTER if self.record is None else self.record.cluster
 
     def is_current(self, cluster: int) -> bool:
-        """Tell whether an answer of a cluster belongs to the era."""
+        """Return whether an answer of a cluster belongs to the era."""
         return (
             self.record is not None
             and cluster == self.record.cluster
@@ -105,16 +111,16 @@
         )
 
     def is_past(self, cluster: int) -> bool:
-        """Tell whether an answer of a cluster was given before a return."""
+        """Return whether an answer of a cluster dates from before a restore."""
         return cluster in self._past
 
     def note_era(self, era: int) -> None:
-        """Learn that a later era has begun; its record is read with the next answer."""
+        """Record that a later era has begun; its record is read at the next answer."""
         if self.record is not None and era > self.record.era:
             self._outdated = True
 
     def adopt(self, record: EraRecord) -> None:
-        """Go on in the era of a record."""
+        """Make the era of a record the current one."""
         before, self.record = self.record, record
         self._outdated = False
         if before == record:
@@ -127,6 +133,6 @@
         self._changed = trio.Event()
 
     async def wait_past(self, era: int) -> None:
-        """Wait until an era is over."""
+        """Wait until an era has ended."""
         while self.era <= era:
             await self._changed.wait()
