--- a/tests/unit/test_own_rows.py
+++ b/tests/unit/test_own_rows.py
@@ -1,4 +1,4 @@
-"""Test the rows that an agent holds of the table."""
+"""Test the selection and the update of an agent's rows."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def send_rows(held, revision, *, in_service=True, weight=100, table_revision=20):
-    """Let an entry tell the rows of a table, as they go over the connection."""
+    """Encode the rows of a table as an entry does, and pass them to the agent."""
     table = Table(
         table_revision,
         services={"draft": ServiceRow("draft", deadline_s=7.0)},
@@ -44,9 +44,9 @@
 
 
 def test_lagging_entry_does_not_restore_an_old_row():
-    """Four entries tell the agent its rows, and one of them has an old table.
+    """Guard against a target that takes work again after its removal from service.
 
-    The target that an operator took out of service would take work again.
+    Four entries send the agent its rows, and one of them has an old table.
     """
     held = HeldRows(vm="t-1", service="draft")
     send_rows(held, 9, in_service=False)
@@ -65,7 +65,7 @@
 
 
 def test_unknown_column_is_ignored_and_an_invalid_cell_keeps_the_row():
-    """A newer entry tells a column that this version does not know."""
+    """A newer entry sends a column that this version does not support."""
     held = HeldRows(vm="t-1", service="draft")
     row = OwnRow("target/t-1", 5, {"weight": "0", "colour": "red"})
     held.accept(OwnRows(5, (row,)))
--- a/tests/unit/test_spread.py
+++ b/tests/unit/test_spread.py
@@ -1,4 +1,4 @@
-"""Test that a table reaches every process, and that none goes back."""
+"""Test that a table reaches every process, and that none reverts to an older one."""
 
 from random import Random
 
@@ -40,7 +40,7 @@
 
 
 class Scenario:
-    """Edit the table of a fleet and disturb it."""
+    """Edit the table of a fleet and inject faults into it."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -63,7 +63,7 @@
         try:
             await self.make_editor(store).commit(edit)
         except HyssopvaneError:
-            # The service is out; what matters is that all agree in the end.
+            # The service may be down; the test checks only that all agree in the end.
             pass
 
     async def race(self, row):
@@ -89,7 +89,7 @@
             new = self.fleet.start(old.zone, stale=old.stale)
             await trio.sleep(4)
             self.fleet.kill(old)
-            assert not old.in_force or new.in_force, "the new one serves no table"
+            assert not old.in_force or new.in_force, "the new entry serves no table"
             self.fleet.publish_vm_list()
 
     async def kill_watchers(self, _):
@@ -125,7 +125,7 @@
         with trio.move_on_after(RECOVERY_S):
             while self.fleet.get_lagging():
                 await trio.sleep(0.5)
-        # Nor does anything that was under way bring an older page back.
+        # Messages in flight must not restore an older page either.
         await trio.sleep(3)
         assert not self.fleet.get_lagging()
         tables = [one.spread.table for one in self.fleet.members.values()]
@@ -133,7 +133,7 @@
 
 
 def run_steps(steps, *, entries=4):
-    """Run steps on a fleet of two zones with a table, then heal it."""
+    """Run steps on a fleet of two zones with a table, then end all faults."""
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -177,10 +177,11 @@
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(steps=STEPS)
 def test_no_process_reverts_and_all_agree_after_recovery(steps):
-    """Edits race while entries die, start, are cut off and read stale values.
+    """Guard against entries that revert to an older page or miss a page for good.
 
-    An entry that goes back to an older page gives a customer a limit that an operator
-    has replaced; one that misses a page keeps the old limit for good.
+    Concurrent edits run while entries die, start, are disconnected and read stale
+    values. A reverted or missed page gives a customer a limit that an operator has
+    replaced.
     """
     run_steps(steps)
 
@@ -199,7 +200,7 @@
     ],
 )
 def test_known_failures(steps):
-    """The disturbances of the property, one at a time."""
+    """Check the faults of the property test one at a time."""
     run_steps(steps)
 
 
@@ -216,9 +217,10 @@
 
 
 def test_entry_started_during_an_outage_takes_the_table_from_its_peers():
-    """The platform replaces a VM while the key-value service is down.
+    """Guard against a new entry without a table.
 
-    Without its peers the new entry would have no table and refuse every caller.
+    The platform replaces a VM while the key-value service is down. Unless it gets the
+    table from its peers, the new entry refuses every caller.
     """
 
     async def scenario(fleet, scene):
@@ -234,10 +236,10 @@
 
 
 def test_stale_read_at_start_is_superseded_by_a_peer():
-    """A new entry reads the service through a replica that lags behind.
+    """Guard against a new entry that serves an old limit in its first seconds.
 
-    It must not serve the old limit that its peers have replaced already, not even for
-    the first seconds.
+    The new entry reads the service through a replica that lags behind, while its peers
+    already have the newer limit.
     """
 
     async def scenario(fleet, scene):
@@ -254,10 +256,10 @@
 
 
 def test_missed_page_older_than_the_newest_is_found():
-    """An entry misses the change of one page and gets a later change of another.
+    """Guard against a missed page that a comparison of revisions doesn't reveal.
 
-    Its revision then is the newest, so that a comparison of revisions shows nothing,
-    while one customer keeps the old limit.
+    An entry misses the change of one page and gets a later change of another page. Its
+    revision is then the newest, but one customer still has the old limit.
     """
 
     async def scenario(fleet, scene):
@@ -279,10 +281,11 @@
 
 
 def test_watcher_with_a_silent_watch_reads_what_peers_did_not_send():
-    """A watch goes silent, and a peer passes on the newest page but not the one before.
+    """Guard against a page that is never read because the table has a newer one.
 
-    The reader asks the service for what is newer than it has read there; asked for
-    what is newer than its table, the service would never show the page in between.
+    A watch goes silent, and a peer forwards the newest page but not the one before. The
+    reader must read the changes since its last read of the service. The changes since
+    its table's revision don't include the page in between.
     """
 
     async def scenario(fleet, scene):
@@ -304,10 +307,10 @@
 
 
 def test_entry_without_beats_of_a_watcher_reads_the_service():
-    """Both watchers of a zone die, and the list of VMs shows them for long.
+    """Guard against entries that keep old limits after their watchers died.
 
-    The others would keep the limits of that moment, and nobody would notice but the
-    customers concerned.
+    Both watchers of a zone die while the list of VMs still shows them. Without reads of
+    their own the others would keep the old limits, and only the customers would notice.
     """
 
     async def scenario(fleet, scene):
@@ -324,7 +327,10 @@
 
 
 def test_only_watchers_call_the_service():
-    """Calls of 20 entries would grow with their number, and the service has a limit."""
+    """Guard against calls to the service that grow with the number of entries.
+
+    The service has a limit of calls.
+    """
 
     async def scenario(fleet, scene):
         for _ in range(20):
@@ -346,7 +352,7 @@
 
 
 def test_answer_size_is_bounded(monkeypatch):
-    """A table of many large pages must not become a frame that the peer refuses."""
+    """Guard against an answer of many large pages that exceeds a peer's frame limit."""
     monkeypatch.setattr("hyssopvane._internal.coordination.spread.MAX_ANSWER_BYTES", 1)
 
     async def scenario(fleet, scene):
@@ -376,7 +382,7 @@
 
 
 def test_change_of_a_cell_is_small_and_exact():
-    """A page of the target has 9 KB; passing it on whole would take the budget."""
+    """Guard against forwarding whole pages of 9 KB, which exceeds the budget."""
     before = KeyValue("table/page/00", make_page(7), 5)
     after = KeyValue("table/page/00", make_page(7, weight="50", sequence=2), 9)
     change = make_change(before, after)
@@ -390,9 +396,10 @@
 
 @pytest.mark.parametrize("revision", [4, 5])
 def test_change_of_another_page_is_not_applied(revision):
-    """A process missed one change of a page and gets the next.
+    """Guard against a page that was never accepted.
 
-    Put on top of the older page, it would make a page that was never accepted.
+    A process missed one change of a page and gets the next one. Applied to the older
+    page, the change would produce such a page.
     """
     before = KeyValue("table/page/00", make_page(7), 5)
     after = KeyValue("table/page/00", make_page(7, weight="50", sequence=2), 9)
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -1,4 +1,4 @@
-"""Test the table over a key-value service that comes back from copies."""
+"""Test the table when the key-value service is restored from copies."""
 
 from random import Random
 
@@ -94,7 +94,7 @@
 def test_lost_edits_stay_in_force_by_cell(
     kept, lost, since, expected, knows_the_lost_era
 ):
-    """Guards against lost edits that revert or hold back what is written since."""
+    """Guard against lost edits that revert or block edits made after the restore."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -127,7 +127,7 @@
 
 
 def test_following_reader_detects_a_restore():
-    """Guards against a watch that waits at a revision which the service has lost."""
+    """Guard against a watch that waits for a revision that the service has lost."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -154,7 +154,7 @@
 
 
 def test_edit_sent_before_its_editor_knew_of_a_restore_comes_into_force():
-    """Guards against an accepted edit whose revision a lost edit has had."""
+    """Guard against an accepted edit that has the revision of a lost one."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -186,7 +186,7 @@
 
 
 def test_agent_accepts_rows_of_a_later_era():
-    """Guards against a target that keeps the row of a lost revision for ever."""
+    """Guard against a target that keeps the row of a lost revision for good."""
     key = "table/page/27"
     held = HeldRows(vm="t-1", service="draft")
 
@@ -253,7 +253,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_fleet_follows_a_restored_service(seed, monkeypatch):
-    """Guards against accepted edits that revert or stay out at some entry."""
+    """Guard against accepted edits that are reverted or missing at an entry."""
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
     random = Random(seed)
@@ -274,7 +274,7 @@
                 if draw < 0.1:
                     copy = fleet.state.copy_items()
                 elif draw < 0.2:
-                    # What an editor was told a moment ago is known by some entry.
+                    # First wait until some entry has each edit that was accepted.
                     await trio.sleep(CONVERGENCE_S)
                     fleet.restore_from(copy)
                 elif draw < 0.25:
--- a/tests/unit/test_table_store.py
+++ b/tests/unit/test_table_store.py
@@ -1,4 +1,4 @@
-"""Test edits that race and lose replies, and readers that lose the service."""
+"""Test concurrent edits, lost replies, and readers during outages of the service."""
 
 import itertools
 from collections import Counter
@@ -64,7 +64,7 @@
 
 
 def count_applications(state):
-    """Count how often each edit came into a cell; its text is the edit's id."""
+    """Count how often each edit was applied to a cell; its text is the edit's id."""
     applications = Counter()
     last = {}
     for event in state.get_events(0, PAGE_PREFIX.encode(), b"u"):
@@ -85,11 +85,11 @@
 
 @pytest.mark.parametrize("fault", [Fault.LOST_REPLY, Fault.LATE_WRITE])
 def test_lost_reply_is_resolved_without_a_second_write(fault):
-    """The service carries out an edit but its answer is lost on the way.
+    """Guard against a retry that overwrites the accepted value of another operator.
 
-    Before the operator's command looks again, a colleague sets the same cell. A
-    command that simply tried again would put back its own value: the colleague was
-    told that the edit is accepted, and would later find the old limit in force.
+    The service applies an edit but its answer is lost. Another operator sets the same
+    cell before the command reads it back. A plain retry would restore the first value,
+    although the second edit was accepted.
     """
 
     async def run():
@@ -119,11 +119,11 @@
 
 
 def test_lost_write_is_not_retried_over_a_newer_value():
-    """A write is lost before it reaches the service, and its sender can't know.
+    """Guard against a retry that overwrites a newer value without a conflict.
 
-    Meanwhile a colleague sets the same cell and is told that it is accepted. Were the
-    first command to try again on top of that, the colleague's value would be gone
-    without a conflict shown to anybody.
+    A write is lost before it reaches the service, and its sender can't know. Meanwhile
+    another operator's edit of the same cell is accepted. A retry of the first edit on
+    top of that value would silently replace it.
     """
 
     async def run():
@@ -150,10 +150,11 @@
 
 
 def test_lost_reply_of_a_service_that_stays_down_is_reported_as_unknown():
-    """The answer to a write is lost and the service does not come back.
+    """Guard against a false report that nothing was changed.
 
-    The operator must not be told that nothing was changed, as that may be wrong, and
-    gets the id with which the same edit can be sent again without being done twice.
+    The answer to a write is lost and the service stays down. The error must say that
+    the outcome is unknown, and contain the edit id with which the same edit can be sent
+    again without being applied twice.
     """
 
     async def run():
@@ -177,7 +178,7 @@
 
 
 def test_edit_is_refused_at_once_while_the_service_is_down():
-    """The service is down when an operator sets a cell; nothing can have changed."""
+    """The service is down when an operator sets a cell, so nothing was changed."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -206,10 +207,10 @@
     faults=st.lists(st.sampled_from(Fault), max_size=40),
 )
 def test_racing_operators_never_revert_an_accepted_cell(seed, edits, faults):
-    """Operators edit one row at one moment while the service is down, stale or
-    loses replies. An edit that comes into force a second time, or comes into force
-    although its operator was told that it lost, undoes what a colleague was told is
-    accepted.
+    """Guard against an edit that is applied twice, or applied after it was refused.
+
+    Operators edit one row concurrently while the service is down, answers stale reads
+    or loses replies. Such an edit would revert an accepted edit of another operator.
     """
     outcomes = {}
 
@@ -256,9 +257,10 @@
     ("cells", "accepted"), [((WEIGHT, PRIORITY), 2), ((WEIGHT, WEIGHT), 1)]
 )
 def test_race_of_two_operators(cells, accepted):
-    """Two operators read the row at one moment and both set a cell.
+    """Two operators read a row at the same time, and each sets a cell.
 
-    On different cells neither may lose its edit; on the same cell one must be told.
+    Edits of different cells are both accepted; of two edits of one cell, the second one
+    is a conflict.
     """
 
     async def run():
@@ -316,9 +318,10 @@
 
 
 def test_row_that_is_added_again_does_not_match_the_old_one():
-    """A row is removed and added anew while an operator still looks at the old one.
+    """Guard against an edit of an old row that changes the new one.
 
-    The operator's expected revision must not fit the new row by accident.
+    A row is removed and added again after an operator has read it. The expected
+    revision of the old row must not match the new row.
     """
 
     async def run():
@@ -341,9 +344,10 @@
     faults=st.lists(st.sampled_from(Fault), max_size=30),
 )
 def test_reader_follows_and_never_reverts(seed, faults):
-    """A reader's watch goes silent, its reads are stale and the service is down.
+    """Guard against a lost edit or an older limit that returns.
 
-    Each edit must still come into force, and once it is, no older limit may return.
+    The watch of the reader goes silent, its reads are stale and the service is down.
+    Each edit must still come into force, and must not be reverted afterwards.
     """
     seen = []
 
@@ -417,7 +421,7 @@
 
 
 def test_pages_of_a_peer_are_accepted_only_when_newer():
-    """A peer that was paused passes pages on that others have long replaced."""
+    """A peer that was paused forwards pages that were replaced since."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -440,9 +444,10 @@
 
 
 def test_unreadable_page_leaves_the_last_one_in_force():
-    """Somebody writes a page by hand, and it is not what a reader can use.
+    """Guard against a malformed page that clears limits or blocks other pages.
 
-    The rows of this page keep their last limits, and other pages still come through.
+    A page was overwritten with content that a reader can't parse. The rows of this page
+    keep their last values, and other pages still come into force.
     """
     reports = []
 
@@ -462,10 +467,11 @@
 
 
 def test_stale_reads_do_not_block_an_edit():
-    """The replica that answers reads stays behind, so a page is always seen too old.
+    """Guard against an edit that fails because all reads are stale.
 
-    The answer to the swap that lost shows the page as it is, and the edit goes on
-    from there; else the operator would be told that too many edit at one time.
+    The replica that answers reads lags behind, so every read returns an old page. The
+    answer to the failed swap has the current page, and the next attempt builds on it.
+    Otherwise the edit would fail with the error that too many operators edit at once.
     """
 
     async def run():
@@ -506,10 +512,11 @@
     ids=["service and its target", "one key of two customers"],
 )
 def test_inconsistent_edits_are_not_both_accepted(edits):
-    """Two operators change different rows at one moment. Each edit is right by itself,
-    but together they give a target whose service is gone, or two customers one key.
+    """Guard against concurrent edits that are valid alone but not together.
 
-    The first leaves a target without work, the second bills one customer for another.
+    Two operators change different rows at the same time. Together the edits leave a
+    target without its service, which gets no work, or give two customers one key, which
+    bills one customer for the other.
     """
 
     async def run():
@@ -537,10 +544,11 @@
 
 
 def test_late_write_of_a_refused_edit_is_not_applied():
-    """A write is still on its way when another edit takes away what it refers to.
+    """Guard against a delayed write that is applied after its edit was refused.
 
-    Read back, the table refuses the edit by now, and the operator is told that
-    nothing was changed. The write that arrives afterwards must not prove this wrong.
+    A write is in flight while another edit removes the row that it refers to. When the
+    table is read back, the edit is invalid, and the operator is told that nothing was
+    changed. The delayed write must then fail.
     """
 
     async def run():
@@ -577,10 +585,11 @@
 
 
 def test_watch_that_ends_at_once_is_retried_with_back_off():
-    """The service answers reads but ends each watch at once, for an hour.
+    """Guard against readers that overload the service when watches fail.
 
-    Readers that come back without a pause would use up its reads a second, and
-    operators and callers would find it slow.
+    For an hour the service answers reads but ends each watch at once. Readers that
+    retry without a back-off would use up its capacity for reads, and slow down
+    operators and callers.
     """
 
     async def run():
@@ -598,7 +607,7 @@
 
 
 def test_edit_accepted_after_a_restore_comes_into_force():
-    """Guards against a page that is left out because its revision came before."""
+    """Guard against a page that is ignored because a lost page had its revision."""
 
     async def run():
         state = KeyValueState(trio.current_time)
--- a/tests/unit/test_vm_spread.py
+++ b/tests/unit/test_vm_spread.py
@@ -1,4 +1,4 @@
-"""Test that the list of VMs reaches the entries that don't read it."""
+"""Test that the list of VMs reaches the entries that don't poll it."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
 
 
 class Platform:
-    """Hold the platform's list and count its readings."""
+    """Serve the platform's list and count the reads of it."""
 
     def __init__(self):
         self.records = (TARGET,)
@@ -36,7 +36,7 @@
 
 
 def run_pair(scenario):
-    """Run a watcher and a listener that hears its notices and beats."""
+    """Run a watcher and a listener that receives its notices and beats."""
 
     async def run():
         platform = Platform()
@@ -88,9 +88,10 @@
 
 
 def test_lost_notice_is_found_by_the_list_hash():
-    """A notice of a leaving VM is lost, and everything else goes on as before.
+    """Guard against a list that stays wrong after a notice was lost.
 
-    The entry would send work to that VM for as long as it lives, or none to a new one.
+    The notice of a leaving VM is lost without any other fault. The entry would send
+    work to that VM until its end, or send none to a new VM.
     """
 
     async def scenario(platform, seen, lost):
@@ -113,7 +114,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 6, 7, 10, 11, 69, 86])
 def test_every_entry_is_reached_despite_the_loss_of_any_one(count):
-    """One entry in the middle dies, and the list of VMs still shows it."""
+    """Any one entry that forwards updates dies while the list of VMs still shows it."""
     zones = {f"entry-{number}": "arima" for number in range(count)}
     duties = {name: plan_duties(name, zones) for name in zones}
     watchers = [name for name in zones if duties[name].watches]
