--- a/tests/functional/test_key_value.py
+++ b/tests/functional/test_key_value.py
@@ -1,4 +1,4 @@
-"""Test the key-value client against the stand-in in its own process."""
+"""Test the key-value client against a stand-in that runs in its own process."""
 
 import json
 from functools import partial
@@ -112,7 +112,7 @@
 
 
 def test_watch_ends_when_the_service_goes_down(address):
-    """The service goes away under an open watch; its reader must learn of it."""
+    """Guard against a reader that waits on a watch of a service that went down."""
 
     async def run(store):
         async with store.watch("d/", 1) as events:
@@ -125,7 +125,7 @@
 
 
 def test_unavailable_service_applies_no_write(address):
-    """The service says that it is not ready; a caller may rely on no change."""
+    """The service reports that it is not ready, so no write was applied."""
     set_faults(address, down=True)
 
     async def run(store):
@@ -138,7 +138,7 @@
 
 
 def test_unreachable_service_is_unavailable():
-    """No process listens at the address; nothing can have been carried out."""
+    """No process listens at the address, so no write can have been applied."""
 
     async def run(store):
         with pytest.raises(KeyValueUnavailable):
@@ -148,7 +148,7 @@
 
 
 def test_lost_answer_is_unknown(address):
-    """The service carries the write out and its answer is cut on the way."""
+    """The service applies the write, and the connection breaks before its answer."""
     set_faults(address, lose_next_write_answers=1)
 
     async def run(store):
@@ -160,7 +160,7 @@
 
 
 def test_slow_write_is_unknown(address):
-    """The service takes longer than the caller waits; the write may still land."""
+    """The service exceeds the caller's timeout; the write may still be applied."""
     set_faults(address, delay_ms=60_000)
 
     async def run(store):
@@ -173,7 +173,7 @@
 
 
 def test_stale_read_shows_an_older_value(address):
-    """The service answers reads from a replica that is behind."""
+    """The service answers reads from a replica that lags behind."""
 
     async def run(store):
         old = await store.compare_and_swap([Swap("stale/1", b"old", 0)])
@@ -197,9 +197,10 @@
 
 
 def test_watch_from_a_compacted_revision_ends():
-    """The service has dropped the history that a reader was cut off from.
+    """Guard against missed changes after a reader was disconnected.
 
-    Its watch must end, so that the reader loads anew and misses no change.
+    The service has compacted the history that the reader needs. The watch must end, so
+    that the reader loads the keys again and misses no change.
     """
 
     async def run():
@@ -237,9 +238,9 @@
     "body", [b"", b"[]", b"{}", b'{"header": 1}', b'{"header": {}, "kvs": [{}]}']
 )
 def test_malformed_answer_raises_a_key_value_error(body):
-    """Something else answers at the service's address, and not as it should.
+    """Guard against a crash when another server answers at the service's address.
 
-    A process must go on with its last table, as it does while the service is down.
+    A process must keep its last table, as it does while the service is down.
     """
 
     async def answer(scope, receive, send):
--- a/tests/functional/test_table_commands.py
+++ b/tests/functional/test_table_commands.py
@@ -1,4 +1,4 @@
-"""Test the commands that read and edit the table, in their own processes."""
+"""Test the commands that read and edit the table as separate processes."""
 
 import re
 
@@ -58,9 +58,10 @@
 
 
 def test_second_operator_gets_a_conflict(platform):
-    """Two operators looked at the same cell, and one has set it meanwhile.
+    """Guard against an operator who overwrites a value that they haven't seen.
 
-    The other must see the new value before it is replaced.
+    Two operators read the same cell, and one of them sets it. The other must see the
+    new value before replacing it.
     """
     run_table(platform, "add", "customer/carol")
     _, revision = show_cell(platform, "customer/carol", "weight")
@@ -76,9 +77,9 @@
 
 
 def test_lost_reply_is_resolved(platform):
-    """The service carries out an edit and its answer is lost on the way.
+    """The service applies an edit and its answer is lost.
 
-    The operator's command reads it back and reports it as accepted.
+    The operator's command reads the edit back and reports it as accepted.
     """
     run_table(platform, "add", "customer/dave")
     _, revision = show_cell(platform, "customer/dave", "weight")
@@ -91,7 +92,7 @@
 
 
 def test_same_edit_id_is_applied_once(platform):
-    """An operator sends an edit of unknown outcome again, after a colleague's."""
+    """An operator repeats an edit of unknown outcome after another operator's edit."""
     run_table(platform, "add", "customer/erin")
     command = ("set", "customer/erin", "weight")
     run_table(platform, *command, "5", "--edit-id", "one")
--- a/tests/functional/test_vm_list.py
+++ b/tests/functional/test_vm_list.py
@@ -1,4 +1,4 @@
-"""Test the list of VMs and its stand-in."""
+"""Test the client of the list of VMs and its stand-in."""
 
 import httpcore
 import pytest
--- a/tests/lib/fake_key_value.py
+++ b/tests/lib/fake_key_value.py
@@ -1,4 +1,4 @@
-"""Fake the key-value service in memory, with faults that a test chooses."""
+"""Fake the key-value service in memory, with injected faults."""
 
 from collections.abc import AsyncIterator, Callable, Sequence
 from contextlib import asynccontextmanager
@@ -42,7 +42,7 @@
 
 
 class Fault(StrEnum):
-    """Name what goes wrong with one call."""
+    """Define the fault of one call."""
 
     NONE = "none"
     DOWN = "down"
@@ -57,7 +57,7 @@
 
 
 class FakeKeyValueStore(KeyValueStore):
-    """Carry out calls on a state that several stores may share."""
+    """Apply calls to a state that several stores may share."""
 
     def __init__(
         self,
@@ -80,12 +80,12 @@
 
     @property
     def state(self) -> KeyValueState:
-        """Return the state that the service is in."""
+        """Return the current state of the service."""
         return self._state
 
     @state.setter
     def state(self, state: KeyValueState) -> None:
-        """Come back from a copy; the restored cluster has an identity of its own."""
+        """Restore the service from a copy; the restored cluster gets a new id."""
         used = self._era.is_past(state.cluster_id)
         if state is not self._state and (
             used or state.cluster_id == self._state.cluster_id
@@ -128,10 +128,14 @@
             before = self.era
             swapped = self._swap(swaps, checks)
             if before not in {0, self.era}:
-                raise KeyValueUnknown("the service has come back from a copy meanwhile")
+                raise KeyValueUnknown(
+                    "the service was restored from a copy during the call"
+                )
             if fault is not Fault.LOST_REPLY:
                 return swapped
-        assert fault not in {Fault.NONE, Fault.STALE_READ}, "an answer is due"
+        assert fault not in {Fault.NONE, Fault.STALE_READ}, (
+            "the call must return an answer"
+        )
         raise KeyValueUnknown("the reply was lost")
 
     async def grant_lease(self, ttl_s: int) -> int:
@@ -153,7 +157,7 @@
         fault = await self._begin()
         send, receive = trio.open_memory_channel[WatchEvent](10_000)
         scope = trio.CancelScope()
-        # A watch with a fault stays open and silent.
+        # A watch with a fault stays open and sends nothing.
         if fault is Fault.NONE:
             arguments = (prefix, start_revision, send, scope)
             self._nursery.start_soon(self._send_changes, *arguments, era)
@@ -182,7 +186,7 @@
                 await trio.sleep(0.01)
 
     def end(self) -> None:
-        """Answer nothing any more, as if the process had died."""
+        """Stop answering calls, as if the process had died."""
         self._ended = True
 
     async def _begin(self) -> Fault:
@@ -198,14 +202,14 @@
     async def _read(self) -> tuple[KeyValueState, int]:
         if await self._begin() is Fault.STALE_READ:
             if self._era.is_past(self._older.cluster_id):
-                raise KeyValueUnavailable("the service has come back from a copy")
+                raise KeyValueUnavailable("the service was restored from a copy")
             return self._older, self._find_era(self._older)
         copy = self.state.copy_items()
         self._older = copy
         return copy, self._find_era(self.state)
 
     def _find_era(self, state: KeyValueState, *, writes: bool = False) -> int:
-        """Follow the era as the real client does, by calls that never fail."""
+        """Track the era as the real client does, with calls that never fail."""
         is_current = self._era.is_current(state.cluster_id)
         if is_current and (not writes or self._is_recorded):
             return self.era
