--- a/tests/unit/test_spread.py
+++ b/tests/unit/test_spread.py
@@ -39,7 +39,7 @@
 ZONE = ZONES[0]
 
 
-class Scenario:
+class FleetDriver:
     """Edit the table of a fleet and inject faults into it."""
 
     def __init__(self, fleet):
@@ -138,15 +138,15 @@
     async def run():
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
-            scene = Scenario(fleet)
-            await scene.add_customers()
+            driver = FleetDriver(fleet)
+            await driver.add_customers()
             for number in range(entries):
                 fleet.start(ZONES[number // 3 % 2])
             await trio.sleep(5)
             assert not fleet.get_lagging()
             for kind, number in steps:
-                await scene.run(kind, number)
-            await scene.recover()
+                await driver.run(kind, number)
+            await driver.recover()
             nursery.cancel_scope.cancel()
 
     trio.run(
@@ -199,7 +199,7 @@
         pytest.param([("cut", 2), ("edit", 1), ("cut", 2)], id="cut and back"),
     ],
 )
-def test_known_failures(steps):
+def test_each_fault_alone(steps):
     """Check the faults of the property test one at a time."""
     run_steps(steps)
 
@@ -208,9 +208,9 @@
     async def run():
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
-            scene = Scenario(fleet)
-            await scene.add_customers()
-            await scenario(fleet, scene)
+            driver = FleetDriver(fleet)
+            await driver.add_customers()
+            await scenario(fleet, driver)
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0.0))
@@ -223,7 +223,7 @@
     table from its peers, the new entry refuses every caller.
     """
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         for _ in range(3):
             fleet.start()
         await trio.sleep(5)
@@ -242,11 +242,11 @@
     already have the newer limit.
     """
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         for _ in range(3):
             fleet.start()
         fleet.snapshot_for_stale_reads()
-        await scene.edit()
+        await driver.edit()
         await trio.sleep(5)
         new = fleet.start(stale=True)
         await trio.sleep(5)
@@ -262,15 +262,15 @@
     revision is then the newest, but one customer still has the old limit.
     """
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         members = [fleet.start() for _ in range(3)]
         await trio.sleep(5)
         (listener,) = [one for one in members if not one.spread.watches]
         listener.notices_lost = True
-        await scene.edit(0)
+        await driver.edit(0)
         await trio.sleep(0.1)
         listener.notices_lost = False
-        await scene.edit(1)
+        await driver.edit(1)
         await trio.sleep(0.1)
         assert listener.spread.table.revision == fleet.state.revision
         assert listener.in_force != fleet.get_committed()
@@ -288,12 +288,12 @@
     its table's revision don't include the page in between.
     """
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         (watcher,) = [fleet.start()]
         await trio.sleep(5)
         watcher.cut = True
-        await scene.edit(0)
-        await scene.edit(1)
+        await driver.edit(0)
+        await driver.edit(1)
         watcher.cut = False
         items = fleet.state.get_range(b"table/page/", b"u")
         newest = max(items, key=lambda item: item.mod_revision)
@@ -313,13 +313,13 @@
     their own the others would keep the old limits, and only the customers would notice.
     """
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         members = [fleet.start() for _ in range(3)]
         await trio.sleep(5)
         for member in members:
             if member.spread.watches:
                 fleet.kill(member)
-        await scene.edit()
+        await driver.edit()
         await trio.sleep(12)
         assert not fleet.get_lagging()
 
@@ -332,7 +332,7 @@
     The service has a limit of calls.
     """
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         for _ in range(20):
             fleet.start()
         await trio.sleep(10)
@@ -341,7 +341,7 @@
         calls = {
             one.name: one.spread.reader._store.calls for one in fleet.members.values()
         }
-        await scene.edit()
+        await driver.edit()
         await trio.sleep(10)
         for member in fleet.members.values():
             if member not in watching:
@@ -355,7 +355,7 @@
     """Guard against an answer of many large pages that exceeds a peer's frame limit."""
     monkeypatch.setattr("hyssopvane._internal.coordination.spread.MAX_ANSWER_BYTES", 1)
 
-    async def scenario(fleet, scene):
+    async def scenario(fleet, driver):
         member = fleet.start()
         await trio.sleep(5)
         answer = decode_pages(await member.spread.answer_question(encode_question({})))
