--- a/tests/functional/test_direct_promises.py
+++ b/tests/functional/test_direct_promises.py
@@ -149,7 +149,7 @@
     trio.run(play, ["another-refusal"] * 4, [path] * 4)
 
 
-def find_split(plan, paths):
+def find_break(plan, paths):
     broken = False
     try:
         trio.run(play, plan, paths)
@@ -162,7 +162,7 @@
     monkeypatch.setattr(
         direct_call.DirectCall, "_may_repeat", lambda self, failure: True
     )
-    assert find_split(["nothing"] * 4, ["/bids/7"] * 4)
+    assert find_break(["nothing"] * 4, ["/bids/7"] * 4)
 
 
 def test_check_sees_a_failure_that_is_told_as_not_run(monkeypatch):
@@ -170,7 +170,7 @@
         return direct_call.DirectAnswer(direct_call.DirectRefusal.REPLICA_REFUSED, 0.1)
 
     monkeypatch.setattr(direct_call.DirectCall, "_describe_failure", describe)
-    assert find_split(["nothing"] * 4, ["/bids/7"] * 4)
+    assert find_break(["nothing"] * 4, ["/bids/7"] * 4)
 
 
 def test_check_sees_an_answer_that_belongs_to_another_request(monkeypatch):
@@ -183,7 +183,7 @@
         await self._relay_whole(response)
 
     monkeypatch.setattr(direct_call.DirectCall, "_relay", relay)
-    assert find_split(["twice"] * 12, ["/status/7"] * 8)
+    assert find_break(["twice"] * 12, ["/status/7"] * 8)
 
 
 @pytest.mark.parametrize("share", [0.0])
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -27,7 +27,7 @@
 """Times without requests that a refusing replica asks for; one is drawn each time."""
 
 FULL = "full"
-FAULT_CASES = ("error", "lost", "half", "extra", "slow", FULL)
+TROUBLES = ("error", "lost", "half", "extra", "slow", FULL)
 """What a troubled replica does instead of answering."""
 
 
@@ -148,7 +148,7 @@
             return True
         trouble = "whole"
         if self._random.random() < self.trouble_share:
-            trouble = self._random.choice(FAULT_CASES)
+            trouble = self._random.choice(TROUBLES)
         if trouble == FULL or (self.group is not None and self.group.broken):
             headers = (("X-Not-Executed", "1"),)
             answer = make_answer(request, status=503, signed=False, headers=headers)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -48,7 +48,7 @@
 DRAIN_S = 2.0
 """Time after which a replica that leaves gets nothing new."""
 
-SECOND_RELAY_S = 3.0
+CALM_S = 3.0
 """Time without faults before a request from which a planned stop must not cut it."""
 
 
@@ -410,7 +410,7 @@
             if self._is_cut_by_plan(call) and runs:
                 self.journal.violate(f"cut by a planned stop: {told}")
             if call.status == -1 and not self.faults.harmed(
-                call.entry, call.sent_at - SECOND_RELAY_S, call.ended_at
+                call.entry, call.sent_at - CALM_S, call.ended_at
             ):
                 self.journal.violate(
                     f"no answer in {TIMEOUT_S + self.callers.late_s} s: {told}"
