--- a/src/hyssopvane/_internal/policy/group_capacity.py
+++ b/src/hyssopvane/_internal/policy/group_capacity.py
@@ -68,9 +68,7 @@
 
     @property
     def entries(self) -> int:
-        """Return the number of entries that send to the group, estimated until
-        reported.
-        """
+        """Return the number of sending entries, estimated until reported."""
         return self._reported_entries or estimate_entries(len(self.members))
 
     def observe(self, load: RankLoad, *, now: float, members: int = 1) -> None:
@@ -165,8 +163,7 @@
         return max(0, int(share + self._draw) - self._reserved)
 
     def _is_probing(self, now: float) -> bool:
-        """Return whether a single request probes whether a group that refused serves
-        again.
+        """Return whether one request probes whether a refusing group serves again.
 
         Otherwise all waiting requests would be sent at once and refused together.
         """
@@ -207,8 +204,7 @@
         return max(1 / self.entries, min(1.0, own / reported) if reported > 0 else 0.0)
 
     def estimate_arrivals(self, now: float) -> float:
-        """Return the number of requests that all entries send in the time between two
-        loads.
+        """Return the number of requests that all entries send between two loads.
 
         The known state of a rank is up to one poll of its agent plus one of the leader
         old. Requests arrive at the rate at which they finish, so their number follows
