--- a/src/hyssopvane/_internal/policy/move_worth.py
+++ b/src/hyssopvane/_internal/policy/move_worth.py
@@ -7,8 +7,8 @@
 from hyssopvane._internal.state.routing import ExpertLayout
 
 COPY_SLOWDOWN = 0.15
-"""Fraction by which passes take longer while a rank of the group copies experts. The
-engines specify this figure.
+"""Fraction by which passes take longer while a rank of the group copies experts, a
+figure of the engines.
 """
 
 _BITS = 8
