--- a/src/hyssopvane/_internal/policy/__init__.py
+++ b/src/hyssopvane/_internal/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decide under load, without input, output or a wall clock."""
+"""Make the decisions of load balancing, without I/O or a wall clock."""
