--- a/src/hyssopvane/_internal/coordination/table_csv.py
+++ b/src/hyssopvane/_internal/coordination/table_csv.py
@@ -22,7 +22,7 @@
     reader = csv.reader(io.StringIO(text))
     if tuple(next(reader, ())) != FIELDS:
         raise TableError(
-            "the first line is not the header of a table",
+            "the first line is not the heading of a table",
             context=source,
             hint=f"start the file with {','.join(FIELDS)}; nothing was changed",
         )
