--- a/src/hyssopvane/_internal/coordination/claim_fence.py
+++ b/src/hyssopvane/_internal/coordination/claim_fence.py
@@ -40,7 +40,7 @@
         self._known = _Fence(0, NO_FENCE)
         self._lock = trio.Lock()
 
-    async def find_slice(self, era: int) -> int:
+    async def get_fenced_slice(self, era: int) -> int:
         """Return the newest slice that is fenced in an era; raise `KeyValueError`.
 
         Whoever is first in an era writes it. Keys of callers whose clocks run ahead
@@ -49,21 +49,23 @@
         if era <= FIRST_ERA:
             return NO_FENCE
         async with self._lock:
-            await self._learn(era)
+            await self._update(era)
         return self._known.slice
 
-    async def _learn(self, era: int) -> None:
+    async def _update(self, era: int) -> None:
         while self._known.era < era:
             item = await self._store.get(FENCE_KEY)
             found = _Fence(0, NO_FENCE) if item is None else _parse(item.value)
             if found.era < era:
                 newest = get_slice(self._clock() + CLOCK_ALLOWANCE_S) + 1
-                due = _Fence(era, max(found.slice, newest))
+                new_fence = _Fence(era, max(found.slice, newest))
                 revision = ABSENT if item is None else item.revision
-                swap = Swap(FENCE_KEY, f"{due.era} {due.slice}".encode(), revision)
+                swap = Swap(
+                    FENCE_KEY, f"{new_fence.era} {new_fence.slice}".encode(), revision
+                )
                 if not isinstance(await self._store.compare_and_swap([swap]), Swapped):
                     continue
-                found = due
+                found = new_fence
             self._known = found
 
 
--- a/src/hyssopvane/_internal/coordination/claim_pages.py
+++ b/src/hyssopvane/_internal/coordination/claim_pages.py
@@ -25,7 +25,7 @@
 class ChangeStatus(IntEnum):
     """Tell how a change ended."""
 
-    SEEN = 0
+    KNOWN = 0
     """The claim that is in the page now is known."""
     UNAVAILABLE = 1
     """It was certainly not carried out."""
--- a/src/hyssopvane/_internal/coordination/claims.py
+++ b/src/hyssopvane/_internal/coordination/claims.py
@@ -64,23 +64,23 @@
 FLOOR_KEY = "claims/floor"
 """Holds the oldest slice whose pages have not been deleted."""
 
-CONFLICT_DELAY_S = 0.01
+MAX_CONFLICT_DELAY_S = 0.01
 """Longest wait after a write that was lost to another entry's."""
 
-FAILING_S = 0.5
+FAILURE_BACKOFF_S = 0.5
 """Time after a failed write in which the service is not tried again."""
 
 SWEEP_SLICES = 6
 """Slices deleted at a time; more would not fit in one transaction."""
 
 # They stay below the service's largest value, at 24 bytes each.
-_MAX_CLAIMS = 40_000
+_MAX_CLAIMS_PER_PAGE = 40_000
 _MAX_CACHED_PAGES = 64
 
 _MAX_KNOWN_PAGES = 100
 """Pages kept to be written again where the service loses them: those of a window."""
 
-RESTORE_PAUSE_S = 0.1
+MAX_RESTORE_DELAY_S = 0.1
 """Longest wait before a page is restored; all entries may notice a return at once."""
 
 _WRITE_ID_BITS = 64
@@ -104,14 +104,14 @@
 
 
 @dataclass(eq=False, slots=True)
-class _Waiting:
+class _PendingChange:
     change: ClaimChange
     done: trio.Event = field(default_factory=trio.Event)
     result: ChangeResult = field(
         default_factory=lambda: ChangeResult(ChangeStatus.UNAVAILABLE)
     )
 
-    def settle(self, result: ChangeResult) -> None:
+    def finish(self, result: ChangeResult) -> None:
         """Tell whoever waits how the change ended."""
         self.result = result
         self.done.set()
@@ -139,7 +139,7 @@
                 store,
                 fence=fence,
                 random=random,
-                first_floor=self._get_oldest_slice,
+                get_initial_floor=self._get_oldest_slice,
                 interval_s=interval_s,
                 give_up_s=give_up_s,
             )
@@ -153,12 +153,14 @@
 
     async def find(self, key: ClaimKey) -> Claim | None:
         """Return the claim of a key as the service has it; raise `KeyValueError`."""
-        if self._buckets[key.bucket].failing:
+        if self._buckets[key.bucket].is_failing:
             raise KeyValueUnavailable("the key-value service is out")
         page_key = get_page_key(key.slice, key.bucket)
         item = await self._store.get(page_key)
-        claim = _parse(item).page.claims.get(key.key_hash)
-        return claim or self._buckets[key.bucket].find_lost(page_key, key.key_hash)
+        claim = _decode_item(item).page.claims.get(key.key_hash)
+        return claim or self._buckets[key.bucket].find_lost_claim(
+            page_key, key.key_hash
+        )
 
     async def change(self, change: ClaimChange) -> ChangeResult:
         """Make a change with the next batch of its bucket."""
@@ -193,26 +195,26 @@
         *,
         fence: ClaimFence,
         random: Random,
-        first_floor: Callable[[], int],
+        get_initial_floor: Callable[[], int],
         interval_s: float,
         give_up_s: float,
     ) -> None:
         self._store = store
         self._fence = fence
         self._random = random
-        self._first_floor = first_floor
+        self._get_initial_floor = get_initial_floor
         self._interval_s = interval_s
         self._give_up_s = give_up_s
-        self._waiting: deque[_Waiting] = deque()
-        self._failing_until: float | None = None
+        self._pending: deque[_PendingChange] = deque()
+        self._retry_at: float | None = None
         self._writing = False
         self._cache: OrderedDict[str, _Stored] = OrderedDict()
         self._floor: _Floor | None = None
-        self._filled = trio.Event()
+        self._has_pending = trio.Event()
         self._era = 0
-        self._known: OrderedDict[str, ClaimPage] = OrderedDict()
+        self._known_pages: OrderedDict[str, ClaimPage] = OrderedDict()
         """Pages as they were last written or read, also while the service is out."""
-        self._lost: dict[str, ClaimPage] = {}
+        self._lost_pages: dict[str, ClaimPage] = {}
         """Pages known from before a return, until the service has their claims."""
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -220,30 +222,30 @@
         nursery.start_soon(self._watch_era)
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Tell whether the service was out a moment ago and is not tried now.
 
         Made for a service that takes every call and answers none. Without this each
         keyed request would wait for its timeout, and callers would wait behind them;
         one write at a time tries the service, all others are refused at once.
         """
-        return self._failing_until is not None and (
-            self._writing or trio.current_time() < self._failing_until
+        return self._retry_at is not None and (
+            self._writing or trio.current_time() < self._retry_at
         )
 
     async def change(self, change: ClaimChange) -> ChangeResult:
-        if self.failing:
+        if self.is_failing:
             return ChangeResult(ChangeStatus.UNAVAILABLE)
-        waiting = _Waiting(change)
-        self._waiting.append(waiting)
-        self._filled.set()
-        await waiting.done.wait()
-        return waiting.result
+        pending = _PendingChange(change)
+        self._pending.append(pending)
+        self._has_pending.set()
+        await pending.done.wait()
+        return pending.result
 
-    def find_lost(self, page_key: str, key_hash: int) -> Claim | None:
+    def find_lost_claim(self, page_key: str, key_hash: int) -> Claim | None:
         """Return a claim that this entry knows and the service has lost."""
         self._follow_era()
-        page = self._lost.get(page_key)
+        page = self._lost_pages.get(page_key)
         return None if page is None else page.claims.get(key_hash)
 
     async def _watch_era(self) -> None:
@@ -256,7 +258,7 @@
                     is_done = await self._restore()
                 except (KeyValueError, ProtocolError) as error:
                     log_event("warning", "claims-not-restored", why=error)
-                    await trio.sleep(FAILING_S)
+                    await trio.sleep(FAILURE_BACKOFF_S)
 
     async def _restore(self) -> bool:
         """Write lost claims of one page again; return whether none are left.
@@ -265,45 +267,45 @@
         than it can be claimed.
         """
         era = self._store.era
-        fenced = await self._fence.find_slice(era)
-        if not self._lost:
+        fenced_slice = await self._fence.get_fenced_slice(era)
+        if not self._lost_pages:
             return True
-        await trio.sleep(self._random.uniform(0, RESTORE_PAUSE_S))
-        key = next(iter(self._lost), "")
+        await trio.sleep(self._random.uniform(0, MAX_RESTORE_DELAY_S))
+        key = next(iter(self._lost_pages), "")
         if not key:
             return True
-        stored = await self._load(key, fenced)
+        stored = await self._load(key, fenced_slice)
         floor = await self._load_floor()
         if stored.revision == ABSENT and get_page_slice(key) < floor.slice:
             # Nobody would delete it again.
-            self._lost.pop(key, None)
+            self._lost_pages.pop(key, None)
         elif stored.restored and self._store.era == era:
             swap = self._make_swap(key, stored, stored.page)
             result = await self._store.compare_and_swap([swap])
             if isinstance(result, Swapped):
-                self._take_written([swap], {key: stored.page}, result.revision)
+                self._record_written([swap], {key: stored.page}, result.revision)
             else:
-                self._take_current([swap], result.current)
+                self._record_current([swap], result.current)
         else:
             self._cache.pop(key, None)
-        return not self._lost
+        return not self._lost_pages
 
     def _follow_era(self) -> None:
         """Take what is known for lost when the service has come back from a copy."""
         if self._store.era == self._era:
             return
         if self._era:
-            self._lost.update(self._known)
-            self._known.clear()
+            self._lost_pages.update(self._known_pages)
+            self._known_pages.clear()
         self._era = self._store.era
         self._cache.clear()
         self._floor = None
 
     async def _write_batches(self) -> None:
         while True:
-            while not self._waiting:
-                self._filled = trio.Event()
-                await self._filled.wait()
+            while not self._pending:
+                self._has_pending = trio.Event()
+                await self._has_pending.wait()
             started_at = trio.current_time()
             batch = self._take_batch()
             self._writing = True
@@ -311,72 +313,74 @@
             self._writing = False
             await trio.sleep_until(started_at + self._interval_s)
 
-    def _take_batch(self) -> list[_Waiting]:
-        batch: list[_Waiting] = []
+    def _take_batch(self) -> list[_PendingChange]:
+        batch: list[_PendingChange] = []
         pages: set[int] = set()
-        while self._waiting and len(pages) < MAX_PAGES_PER_WRITE:
-            one = self._waiting.popleft()
+        while self._pending and len(pages) < MAX_PAGES_PER_WRITE:
+            one = self._pending.popleft()
             batch.append(one)
             pages.add(one.change.key.slice)
         return batch
 
-    async def _commit(self, batch: list[_Waiting]) -> None:
+    async def _commit(self, batch: list[_PendingChange]) -> None:
         """Try until it is certain which claims are in the pages."""
         give_up_at = trio.current_time() + self._give_up_s
         backoff = Backoff(self._random, first_s=0.005, longest_s=0.5)
         uncertain = False
         while True:
             try:
-                done = await self._try(batch)
+                done = await self._try_write(batch)
             except KeyValueUnknown:
                 # The write may have been carried out, or may still be. The next try
                 # reads the pages back, finds the attempts there, or takes the revision
                 # away from under the late write.
                 uncertain = True
-                self._forget()
+                self._clear_cache()
             except (KeyValueError, ProtocolError):
-                self._forget()
+                self._clear_cache()
                 if not uncertain:
                     return self._give_up(batch, ChangeStatus.UNAVAILABLE)
             else:
-                self._failing_until = None
+                self._retry_at = None
                 if done:
                     return
                 if trio.current_time() < give_up_at:
                     # Another entry wrote first, and its page came with the answer. To
                     # wait longer would lose the next race as well.
-                    await trio.sleep(self._random.uniform(0, CONFLICT_DELAY_S))
+                    await trio.sleep(self._random.uniform(0, MAX_CONFLICT_DELAY_S))
                     continue
             if trio.current_time() >= give_up_at:
                 status = ChangeStatus.UNKNOWN if uncertain else ChangeStatus.UNAVAILABLE
                 return self._give_up(batch, status)
             await trio.sleep(backoff.get_next_delay())
 
-    def _give_up(self, batch: list[_Waiting], status: ChangeStatus) -> None:
-        self._failing_until = trio.current_time() + FAILING_S
-        _settle(batch, status)
+    def _give_up(self, batch: list[_PendingChange], status: ChangeStatus) -> None:
+        self._retry_at = trio.current_time() + FAILURE_BACKOFF_S
+        _finish(batch, status)
 
-    async def _try(self, batch: list[_Waiting]) -> bool:
-        pages = _group(batch)
+    async def _try_write(self, batch: list[_PendingChange]) -> bool:
+        pages = _group_by_page(batch)
         era = self._store.era
-        fenced = await self._fence.find_slice(era)
-        stored = {key: await self._load(key, fenced) for key in pages}
+        fenced_slice = await self._fence.get_fenced_slice(era)
+        stored = {key: await self._load(key, fenced_slice) for key in pages}
         if self._store.era != era:
             return False
         for key, group in list(pages.items()):
-            if group[0].change.key.slice <= fenced:
-                _settle_fenced(pages.pop(key), stored[key].page)
+            if group[0].change.key.slice <= fenced_slice:
+                _finish_fenced(pages.pop(key), stored[key].page)
         if any(stored[key].revision == ABSENT for key in pages):
             floor = await self._load_floor()
             for key, group in list(pages.items()):
                 if group[0].change.key.slice < floor.slice:
-                    _settle(pages.pop(key), ChangeStatus.EXPIRED)
+                    _finish(pages.pop(key), ChangeStatus.EXPIRED)
         changed = {
             key: stored[key].page.apply(one.change for one in group)
             for key, group in pages.items()
         }
-        for key in [k for k, one in changed.items() if len(one.claims) > _MAX_CLAIMS]:
-            _settle(pages.pop(key), ChangeStatus.UNAVAILABLE)
+        for key in [
+            k for k, one in changed.items() if len(one.claims) > _MAX_CLAIMS_PER_PAGE
+        ]:
+            _finish(pages.pop(key), ChangeStatus.UNAVAILABLE)
             del changed[key]
         swaps = self._make_swaps(stored, changed)
         if swaps:
@@ -385,13 +389,13 @@
                 return False
             result = await self._store.compare_and_swap(swaps)
             if not isinstance(result, Swapped):
-                self._take_current(swaps, result.current)
+                self._record_current(swaps, result.current)
                 return False
-            self._take_written(swaps, changed, result.revision)
+            self._record_written(swaps, changed, result.revision)
         for key, group in pages.items():
             for one in group:
                 claim = changed[key].claims.get(one.change.key.key_hash)
-                one.settle(ChangeResult(ChangeStatus.SEEN, claim))
+                one.finish(ChangeResult(ChangeStatus.KNOWN, claim))
         return True
 
     def _make_swaps(
@@ -413,7 +417,7 @@
         value = encode_page(page, write_id=write_id)
         return Swap(key, value, stored.revision, expected_prefix=stored.prefix)
 
-    def _take_written(
+    def _record_written(
         self, swaps: list[Swap], changed: Mapping[str, ClaimPage], revision: int
     ) -> None:
         for swap in swaps:
@@ -421,33 +425,33 @@
                 self._floor = None
             else:
                 assert swap.value is not None
-                self._lost.pop(swap.key, None)
+                self._lost_pages.pop(swap.key, None)
                 prefix = read_page_prefix(swap.value)
-                self._keep(swap.key, _Stored(revision, changed[swap.key], prefix))
+                self._cache_page(swap.key, _Stored(revision, changed[swap.key], prefix))
 
-    def _take_current(self, swaps: list[Swap], current: tuple[KeyValue, ...]) -> None:
+    def _record_current(self, swaps: list[Swap], current: tuple[KeyValue, ...]) -> None:
         found = {item.key: item for item in current}
         self._floor = None
         for swap in swaps:
             if swap.key != FLOOR_KEY:
-                self._keep(swap.key, _parse(found.get(swap.key)))
+                self._cache_page(swap.key, _decode_item(found.get(swap.key)))
 
-    async def _load(self, key: str, fenced: int) -> _Stored:
+    async def _load(self, key: str, fenced_slice: int) -> _Stored:
         """Return a page, with the claims that this entry knows to be lost of it."""
         self._follow_era()
         if key not in self._cache:
             item = await self._store.get(key)
             self._follow_era()
-            self._keep(key, _parse(item))
+            self._cache_page(key, _decode_item(item))
         stored = self._cache[key]
-        lost = self._lost.get(key)
+        lost = self._lost_pages.get(key)
         if lost is None:
             return stored
         page = restore_claims(
-            stored.page, lost, prefer_lost=get_page_slice(key) <= fenced
+            stored.page, lost, prefer_lost=get_page_slice(key) <= fenced_slice
         )
         if page == stored.page:
-            del self._lost[key]
+            del self._lost_pages[key]
             return stored
         return replace(stored, page=page, restored=True)
 
@@ -455,27 +459,27 @@
         if self._floor is None:
             self._floor = await _read_floor(self._store)
             if self._floor.revision == ABSENT:
-                self._floor = _Floor(ABSENT, self._first_floor())
+                self._floor = _Floor(ABSENT, self._get_initial_floor())
         return self._floor
 
-    def _keep(self, key: str, stored: _Stored) -> None:
+    def _cache_page(self, key: str, stored: _Stored) -> None:
         self._cache[key] = stored
         self._cache.move_to_end(key)
         while len(self._cache) > _MAX_CACHED_PAGES:
             self._cache.popitem(last=False)
-        self._known[key] = stored.page
-        self._known.move_to_end(key)
-        while len(self._known) > _MAX_KNOWN_PAGES:
-            self._known.popitem(last=False)
+        self._known_pages[key] = stored.page
+        self._known_pages.move_to_end(key)
+        while len(self._known_pages) > _MAX_KNOWN_PAGES:
+            self._known_pages.popitem(last=False)
 
-    def _forget(self) -> None:
+    def _clear_cache(self) -> None:
         self._follow_era()
         self._cache.clear()
         self._floor = None
 
 
-def _group(batch: list[_Waiting]) -> dict[str, list[_Waiting]]:
-    pages: dict[str, list[_Waiting]] = {}
+def _group_by_page(batch: list[_PendingChange]) -> dict[str, list[_PendingChange]]:
+    pages: dict[str, list[_PendingChange]] = {}
     for one in batch:
         if not one.done.is_set():
             key = get_page_key(one.change.key.slice, one.change.key.bucket)
@@ -483,13 +487,13 @@
     return pages
 
 
-def _settle(batch: list[_Waiting], status: ChangeStatus) -> None:
+def _finish(batch: list[_PendingChange], status: ChangeStatus) -> None:
     for one in batch:
         if not one.done.is_set():
-            one.settle(ChangeResult(status))
+            one.finish(ChangeResult(status))
 
 
-def _settle_fenced(batch: list[_Waiting], page: ClaimPage) -> None:
+def _finish_fenced(batch: list[_PendingChange], page: ClaimPage) -> None:
     """Settle changes of keys that are not claimed any more since a return.
 
     Only an attempt of somebody else can be joined; one of its own may have been written
@@ -500,9 +504,9 @@
         claim = page.claims.get(change.key.key_hash)
         own = {change.claim.attempt, change.expected_attempt}
         if claim is None or claim.attempt in own:
-            one.settle(ChangeResult(ChangeStatus.UNKNOWN))
+            one.finish(ChangeResult(ChangeStatus.UNKNOWN))
         else:
-            one.settle(ChangeResult(ChangeStatus.SEEN, claim))
+            one.finish(ChangeResult(ChangeStatus.KNOWN, claim))
 
 
 async def _read_floor(store: KeyValueStore) -> _Floor:
@@ -510,7 +514,7 @@
     return _Floor(ABSENT, 0) if item is None else _Floor(item.revision, int(item.value))
 
 
-def _parse(item: KeyValue | None) -> _Stored:
+def _decode_item(item: KeyValue | None) -> _Stored:
     if item is None:
         return _Stored(ABSENT, ClaimPage())
     value = item.value
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -184,7 +184,7 @@
             deadline = max(deadline, trio.current_time() + _VOID_TIMEOUT_S)
         with trio.move_on_at(deadline):
             result = await self._claims.change(step.change)
-            if result.status is ChangeStatus.SEEN:
+            if result.status is ChangeStatus.KNOWN:
                 next_step = self._flow.handle_written(result.claim)
                 if not isinstance(next_step, Send):
                     self._give_up_place()
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -78,8 +78,8 @@
     change = ClaimChange(name, expected, claim)
     assert decode_change(encode_change(change)) == change
     for result in (
-        ChangeResult(ChangeStatus.SEEN, claim),
-        ChangeResult(ChangeStatus.SEEN),
+        ChangeResult(ChangeStatus.KNOWN, claim),
+        ChangeResult(ChangeStatus.KNOWN),
         ChangeResult(ChangeStatus.UNKNOWN),
     ):
         assert decode_result(encode_result(key, result)) == result
@@ -206,7 +206,7 @@
                 writer.start(nursery)
             key = make_key(1)
             ran = await first.change(make_change(key, 1))
-            assert ran.status is ChangeStatus.SEEN
+            assert ran.status is ChangeStatus.KNOWN
             await trio.sleep(WINDOW_S + 3 * SLICE_S)
             for _ in range(int(WINDOW_S / SLICE_S)):
                 await first.sweep()
--- a/tests/unit/test_claims_after_return.py
+++ b/tests/unit/test_claims_after_return.py
@@ -63,7 +63,7 @@
 
 
 def is_confirmed(result, change):
-    return result.status is ChangeStatus.SEEN and result.claim == change.claim
+    return result.status is ChangeStatus.KNOWN and result.claim == change.claim
 
 
 def test_claim_made_after_a_return_is_not_overwritten():
