--- a/src/hyssopvane/_internal/coordination/quarantine.py
+++ b/src/hyssopvane/_internal/coordination/quarantine.py
@@ -37,10 +37,10 @@
 REFRESH_S = 30.0
 _FORMAT = 1
 
-Cases = Mapping[BodyId, SuspectRecord]
+SuspectRecords = Mapping[BodyId, SuspectRecord]
 
 
-class QuarantineShare:
+class QuarantineSync:
     """Keep one entry's suspect book and the shared page alike.
 
     Without it each entry would have to see two crashes for itself, and a caller that
@@ -51,7 +51,7 @@
     def __init__(
         self,
         store: KeyValueStore,
-        book: SuspectTracker,
+        tracker: SuspectTracker,
         *,
         random: Random,
         get_quarantine_s: Callable[[str], float],
@@ -60,24 +60,24 @@
         refresh_s: float = REFRESH_S,
     ) -> None:
         self._store = store
-        self._book = book
+        self._tracker = tracker
         self._random = random
         self._get_quarantine_s = get_quarantine_s
         self._report = report
         self._wall_clock = wall_clock
         self._refresh_s = refresh_s
-        self._mark = StorePosition(0, ABSENT)
+        self._position = StorePosition(0, ABSENT)
         self._prefix = b""
         """First bytes of the page at the mark."""
-        self._shared: Cases = {}
+        self._shared: SuspectRecords = {}
 
     async def run(self) -> None:
         """Read and write the page until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow)
+            nursery.start_soon(self._follow_page)
             nursery.start_soon(self._flush_changes)
 
-    async def _follow(self) -> None:
+    async def _follow_page(self) -> None:
         backoff = Backoff(self._random)
         while True:
             try:
@@ -105,7 +105,7 @@
         backoff = Backoff(self._random, first_s=0.02)
         while True:
             await trio.sleep(_FLUSH_INTERVAL_S)
-            changes = self._book.take_changes()
+            changes = self._tracker.take_changes()
             if not changes:
                 continue
             try:
@@ -114,54 +114,54 @@
             except KeyValueError as error:
                 # A write whose reply was lost is sent again: to add the same crash or
                 # to drop the same case twice changes nothing.
-                self._book.return_changes(changes)
+                self._tracker.return_changes(changes)
                 self._report(error)
                 await trio.sleep(backoff.get_next_delay())
 
     async def _write(self, bodies: frozenset[BodyId]) -> None:
         while True:
-            changes = {body: self._book.get_record(body) for body in bodies}
-            cases = _join(self._shared, changes, now=trio.current_time())
-            if cases == self._shared:
+            changes = {body: self._tracker.get_record(body) for body in bodies}
+            records = _merge_changes(self._shared, changes, now=trio.current_time())
+            if records == self._shared:
                 return
-            content = format_page(cases, offset=self._get_offset())
+            content = format_page(records, offset=self._get_offset())
             swap = Swap(
-                PAGE_KEY, content, self._mark.revision, expected_prefix=self._prefix
+                PAGE_KEY, content, self._position.revision, expected_prefix=self._prefix
             )
             result = await self._store.compare_and_swap([swap])
             if isinstance(result, Swapped):
-                self._note_page(StorePosition(result.era, result.revision), content)
-                self._shared = cases
+                self._record_page(StorePosition(result.era, result.revision), content)
+                self._shared = records
                 return
             # The answer shows the page as it is, also after a return to an older one.
             self._follow_era(result.era)
-            self._note_page(StorePosition(result.era, ABSENT))
+            self._record_page(StorePosition(result.era, ABSENT))
             for item in result.current:
                 self._accept(item)
             # What this entry shares again after a return goes with the next try.
-            bodies |= self._book.take_changes()
+            bodies |= self._tracker.take_changes()
 
     def _follow_era(self, era: int) -> None:
         """Share again what the service may have lost by coming back from a copy."""
-        if era <= self._mark.era:
+        if era <= self._position.era:
             return
-        if self._mark.era:
-            self._book.return_changes(self._shared)
+        if self._position.era:
+            self._tracker.return_changes(self._shared)
             self._shared = {}
-        self._note_page(StorePosition(era, ABSENT))
+        self._record_page(StorePosition(era, ABSENT))
 
-    def _note_page(self, position: StorePosition, value: bytes = b"") -> None:
-        self._mark = position
+    def _record_page(self, position: StorePosition, value: bytes = b"") -> None:
+        self._position = position
         self._prefix = take_prefix(value)
 
     def _accept(self, item: KeyValue) -> None:
         """Take over a newer page."""
-        if item.key != PAGE_KEY or item.position <= self._mark:
+        if item.key != PAGE_KEY or item.position <= self._position:
             return
         self._follow_era(item.era)
         now, offset = trio.current_time(), self._get_offset()
         try:
-            cases = parse_page(item.value, offset=offset)
+            records = parse_page(item.value, offset=offset)
         except ValueError as error:
             # What this entry knows stays in force; the next write replaces the page.
             self._report(
@@ -171,38 +171,43 @@
                     hint="nothing to do unless it comes again",
                 )
             )
-            self._note_page(item.position, item.value)
+            self._record_page(item.position, item.value)
             return
-        for body in self._shared.keys() - cases.keys():
-            self._book.drop(body)
-        for body, case in cases.items():
+        for body in self._shared.keys() - records.keys():
+            self._tracker.drop(body)
+        for body, record in records.items():
             quarantine_s = self._get_quarantine_s(body.service)
-            self._book.merge(body, case, quarantine_s=quarantine_s, now=now)
-        self._shared = cases
-        self._note_page(item.position, item.value)
+            self._tracker.merge(body, record, quarantine_s=quarantine_s, now=now)
+        self._shared = records
+        self._record_page(item.position, item.value)
 
     def _get_offset(self) -> float:
         """Return what turns clock values of this process into shared times."""
         return self._wall_clock() - trio.current_time()
 
 
-def _join(
-    shared: Cases, changes: Mapping[BodyId, SuspectRecord | None], *, now: float
+def _merge_changes(
+    shared: SuspectRecords,
+    changes: Mapping[BodyId, SuspectRecord | None],
+    *,
+    now: float,
 ) -> dict[BodyId, SuspectRecord]:
-    cases = {body: case for body, case in shared.items() if case.until > now}
-    for body, case in changes.items():
-        known = cases.get(body)
-        if case is None:
+    records = {body: record for body, record in shared.items() if record.until > now}
+    for body, record in changes.items():
+        known = records.get(body)
+        if record is None:
             if known is not None and not known.quarantined:
-                del cases[body]
+                del records[body]
         else:
-            cases[body] = combine(known, case) if known else case
+            records[body] = combine(known, record) if known else record
     # The page must stay within the service's value. Those that end soonest go first.
-    kept = sorted(cases, key=lambda body: (cases[body].quarantined, cases[body].until))
-    return {body: cases[body] for body in kept[-MAX_RECORDS:]}
+    kept = sorted(
+        records, key=lambda body: (records[body].quarantined, records[body].until)
+    )
+    return {body: records[body] for body in kept[-MAX_RECORDS:]}
 
 
-def format_page(cases: Cases, *, offset: float) -> bytes:
+def format_page(records: SuspectRecords, *, offset: float) -> bytes:
     """Write cases as JSON, with times of the wall clock."""
     document = {
         "format": _FORMAT,
@@ -212,12 +217,12 @@
                 "digest": body.digest.hex(),
                 "crashes": [
                     [crash.target, crash.incarnation, round(crash.at + offset, 3)]
-                    for crash in case.crashes
+                    for crash in record.crashes
                 ],
-                "quarantined": case.quarantined,
-                "until": round(case.until + offset, 3),
+                "quarantined": record.quarantined,
+                "until": round(record.until + offset, 3),
             }
-            for body, case in cases.items()
+            for body, record in records.items()
         ],
     }
     return json.dumps(document, separators=(",", ":")).encode()
@@ -229,12 +234,12 @@
         document = json.loads(content)
         if document["format"] != _FORMAT:
             raise ValueError(f"unknown format {document['format']}")
-        return dict(_parse_case(one, offset) for one in document["cases"])
+        return dict(_parse_record(one, offset) for one in document["cases"])
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"unreadable page: {error!r}") from error
 
 
-def _parse_case(
+def _parse_record(
     document: dict[str, object], offset: float
 ) -> tuple[BodyId, SuspectRecord]:
     crashes = document["crashes"]
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -15,7 +15,7 @@
     LISTED_TOPIC,
     STAYING,
 )
-from hyssopvane._internal.coordination.quarantine import QuarantineShare
+from hyssopvane._internal.coordination.quarantine import QuarantineSync
 from hyssopvane._internal.coordination.vm_list import (
     VmRecord,
     VmRole,
@@ -104,7 +104,7 @@
         self._nursery: trio.Nursery | None = None
         self._listed_leaving: frozenset[str] = frozenset()
         self._subset = SubsetMap(Member(settings.vm, settings.availability_zone))
-        self._quarantine = QuarantineShare(
+        self._quarantine = QuarantineSync(
             self._store,
             self.scheduler.planner.suspects,
             random=self._random,
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -12,7 +12,7 @@
 from hyssopvane._internal.coordination.key_value import MAX_VALUE_BYTES
 from hyssopvane._internal.coordination.quarantine import (
     PAGE_KEY,
-    QuarantineShare,
+    QuarantineSync,
     format_page,
     parse_page,
 )
@@ -28,7 +28,7 @@
 
 POISON = BodyId("draft", b"poison")
 QUARANTINE_S = 60.0
-SPREAD_S = 0.2
+PROPAGATION_S = 0.2
 
 
 def run_mocked(function):
@@ -40,43 +40,43 @@
 
 
 @asynccontextmanager
-async def share_books(count, *, state=None, choose_fault=choose_no_fault, stores=None):
+async def run_trackers(count, *, state=None, choose_fault=choose_no_fault, stores=None):
     """Run some entries' shares; their clocks differ from the wall clock."""
     state = state or KeyValueState(trio.current_time)
-    books = [SuspectTracker() for _ in range(count)]
+    trackers = [SuspectTracker() for _ in range(count)]
     stores = [] if stores is None else stores
     async with trio.open_nursery() as nursery:
-        for number, book in enumerate(books):
+        for number, tracker in enumerate(trackers):
             stores.append(FakeKeyValueStore(state, nursery, choose_fault=choose_fault))
-            share = QuarantineShare(
+            sync = QuarantineSync(
                 stores[-1],
-                book,
+                tracker,
                 random=Random(number),
                 get_quarantine_s=lambda service: QUARANTINE_S,
                 report=lambda error: None,
                 wall_clock=lambda: trio.current_time() + 1_000_000,
                 refresh_s=1.0,
             )
-            nursery.start_soon(share.run)
-        await trio.sleep(SPREAD_S)
-        yield books
+            nursery.start_soon(sync.run)
+        await trio.sleep(PROPAGATION_S)
+        yield trackers
         nursery.cancel_scope.cancel()
 
 
-def record_crash(book, target, body=POISON):
+def record_crash(tracker, target, body=POISON):
     now = trio.current_time()
     crash = Crash(target, 1, now)
-    book.record_crash(body, crash, quarantine_s=QUARANTINE_S, now=now)
+    tracker.record_crash(body, crash, quarantine_s=QUARANTINE_S, now=now)
 
 
-def count_quarantined(books, body=POISON):
+def count_quarantined(trackers, body=POISON):
     now = trio.current_time()
-    return sum(book.is_quarantined(body, now=now) for book in books)
+    return sum(tracker.is_quarantined(body, now=now) for tracker in trackers)
 
 
-def count_suspecting(books, body=POISON):
+def count_suspecting(trackers, body=POISON):
     now = trio.current_time()
-    return sum(book.is_suspect(body, now=now) for book in books)
+    return sum(tracker.is_suspect(body, now=now) for tracker in trackers)
 
 
 def test_crashes_at_two_entries_quarantine_at_all():
@@ -87,40 +87,40 @@
     """
 
     async def run():
-        async with share_books(3) as books:
-            record_crash(books[0], "t0")
-            await trio.sleep(SPREAD_S)
-            assert count_suspecting(books) == 3
-            record_crash(books[1], "t1")
-            await trio.sleep(SPREAD_S)
-            assert count_quarantined(books) == 3
+        async with run_trackers(3) as trackers:
+            record_crash(trackers[0], "t0")
+            await trio.sleep(PROPAGATION_S)
+            assert count_suspecting(trackers) == 3
+            record_crash(trackers[1], "t1")
+            await trio.sleep(PROPAGATION_S)
+            assert count_quarantined(trackers) == 3
             await trio.sleep(QUARANTINE_S)
-            assert count_quarantined(books) == 0
+            assert count_quarantined(trackers) == 0
 
     run_mocked(run)
 
 
 def test_one_crash_seen_by_all_entries_counts_once():
     async def run():
-        async with share_books(3) as books:
-            for book in books:
-                record_crash(book, "t0")
+        async with run_trackers(3) as trackers:
+            for tracker in trackers:
+                record_crash(tracker, "t0")
                 await trio.sleep(0.01)
-            await trio.sleep(SPREAD_S)
-            assert count_suspecting(books) == 3
-            assert count_quarantined(books) == 0
+            await trio.sleep(PROPAGATION_S)
+            assert count_suspecting(trackers) == 3
+            assert count_quarantined(trackers) == 0
 
     run_mocked(run)
 
 
 def test_body_cleared_at_one_entry_is_clear_at_all():
     async def run():
-        async with share_books(3) as books:
-            record_crash(books[0], "t0")
-            await trio.sleep(SPREAD_S)
-            books[2].clear(POISON)
-            await trio.sleep(SPREAD_S)
-            assert count_suspecting(books) == 0
+        async with run_trackers(3) as trackers:
+            record_crash(trackers[0], "t0")
+            await trio.sleep(PROPAGATION_S)
+            trackers[2].clear(POISON)
+            await trio.sleep(PROPAGATION_S)
+            assert count_suspecting(trackers) == 0
 
     run_mocked(run)
 
@@ -128,13 +128,13 @@
 def test_entry_that_starts_later_knows_the_quarantine():
     async def run():
         state = KeyValueState(trio.current_time)
-        async with share_books(1, state=state) as books:
-            record_crash(books[0], "t0")
-            record_crash(books[0], "t1")
-            await trio.sleep(SPREAD_S)
-            assert count_quarantined(books) == 1
-        async with share_books(2, state=state) as books:
-            assert count_quarantined(books) == 2
+        async with run_trackers(1, state=state) as trackers:
+            record_crash(trackers[0], "t0")
+            record_crash(trackers[0], "t1")
+            await trio.sleep(PROPAGATION_S)
+            assert count_quarantined(trackers) == 1
+        async with run_trackers(2, state=state) as trackers:
+            assert count_quarantined(trackers) == 2
 
     run_mocked(run)
 
@@ -143,20 +143,20 @@
     async def run():
         state = KeyValueState(trio.current_time)
         state.commit([], [Put(PAGE_KEY.encode(), b'{"format": 9}', 0)])
-        async with share_books(2, state=state) as books:
-            record_crash(books[0], "t0")
-            await trio.sleep(SPREAD_S)
-            assert count_suspecting(books) == 2
+        async with run_trackers(2, state=state) as trackers:
+            record_crash(trackers[0], "t0")
+            await trio.sleep(PROPAGATION_S)
+            assert count_suspecting(trackers) == 2
 
     run_mocked(run)
 
 
 @pytest.mark.parametrize("quarantined", [False, True])
 def test_page_keeps_cases(quarantined):
-    case = SuspectRecord(
+    record = SuspectRecord(
         (Crash("t0", 7, 10.0), Crash("t1", 8, 11.5)), quarantined, 600.0
     )
-    page = format_page({POISON: case}, offset=1000.0)
+    page = format_page({POISON: record}, offset=1000.0)
     assert parse_page(page, offset=900.0) == {
         POISON: SuspectRecord(
             (Crash("t0", 7, 110.0), Crash("t1", 8, 111.5)), quarantined, 700.0
@@ -166,11 +166,11 @@
 
 def test_full_page_fits_the_service():
     crashes = (Crash("t" * 63, 2**63, 1e9), Crash("u" * 63, 2**63, 1e9))
-    cases = {
+    records = {
         BodyId("s" * 20, number.to_bytes(32, "big")): SuspectRecord(crashes, True, 1e9)
         for number in range(MAX_RECORDS)
     }
-    assert len(format_page(cases, offset=0.0)) < MAX_VALUE_BYTES
+    assert len(format_page(records, offset=0.0)) < MAX_VALUE_BYTES
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
@@ -198,19 +198,19 @@
                 [Fault.NONE, Fault.DOWN, Fault.LOST_REPLY, Fault.LOST_WRITE]
             )
 
-        async with share_books(3, choose_fault=choose_fault) as books:
+        async with run_trackers(3, choose_fault=choose_fault) as trackers:
             for entry, number, crashes in steps:
                 body = BodyId("draft", bytes([number]))
                 if crashes:
-                    record_crash(books[entry], f"t{entry}", body)
+                    record_crash(trackers[entry], f"t{entry}", body)
                 else:
-                    books[entry].clear(body)
+                    trackers[entry].clear(body)
                 await trio.sleep(0.3)
             await trio.sleep(8.0)
             for number in range(4):
                 body = BodyId("draft", bytes([number]))
-                assert count_quarantined(books, body) in (0, 3)
-                assert count_suspecting(books, body) in (0, 3)
+                assert count_quarantined(trackers, body) in (0, 3)
+                assert count_suspecting(trackers, body) in (0, 3)
 
     run_mocked(run)
 
@@ -223,32 +223,32 @@
     async def run():
         state = KeyValueState(trio.current_time)
         stores = []
-        async with share_books(3, state=state, stores=stores) as books:
-            record_crash(books[0], "t9", early)
-            await trio.sleep(SPREAD_S)
+        async with run_trackers(3, state=state, stores=stores) as trackers:
+            record_crash(trackers[0], "t9", early)
+            await trio.sleep(PROPAGATION_S)
             copy = state.copy_items()
             for number in range(4):
-                record_crash(books[1], "t8", BodyId("draft", bytes([number])))
-                await trio.sleep(SPREAD_S)
+                record_crash(trackers[1], "t8", BodyId("draft", bytes([number])))
+                await trio.sleep(PROPAGATION_S)
             if lost_first:
-                record_crash(books[0], "t0")
-                record_crash(books[0], "t1")
-                await trio.sleep(SPREAD_S)
-                assert count_quarantined(books) == 3
+                record_crash(trackers[0], "t0")
+                record_crash(trackers[0], "t1")
+                await trio.sleep(PROPAGATION_S)
+                assert count_quarantined(trackers) == 3
             copy.begin_cluster()
             for store in stores:
                 store.state = copy
             await trio.sleep(2.0)
             if not lost_first:
-                record_crash(books[1], "t0")
-                record_crash(books[1], "t1")
-                await trio.sleep(SPREAD_S)
-            assert count_quarantined(books) == 3
-            assert count_suspecting(books, early) == 3
-            books[2].clear(early)
-            await trio.sleep(SPREAD_S)
-            assert count_suspecting(books, early) == 0
-        async with share_books(2, state=copy) as books:
-            assert count_quarantined(books) == 2
+                record_crash(trackers[1], "t0")
+                record_crash(trackers[1], "t1")
+                await trio.sleep(PROPAGATION_S)
+            assert count_quarantined(trackers) == 3
+            assert count_suspecting(trackers, early) == 3
+            trackers[2].clear(early)
+            await trio.sleep(PROPAGATION_S)
+            assert count_suspecting(trackers, early) == 0
+        async with run_trackers(2, state=copy) as trackers:
+            assert count_quarantined(trackers) == 2
 
     run_mocked(run)
