--- a/src/hyssopvane/_internal/coordination/demand.py
+++ b/src/hyssopvane/_internal/coordination/demand.py
@@ -19,12 +19,12 @@
 from hyssopvane._internal.state.shares import EntryId, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
 
-_INTERVAL_S = 1.0
+_EXCHANGE_INTERVAL_S = 1.0
 # An answer that comes later than this is of little use: a good part of the shortest
 # lease is over, and the next ask makes it void.
 _ANSWER_TIMEOUT_S = 2.0
 
-AskEntry = Callable[[str, str, bytes], Awaitable[bytes]]
+SendRequest = Callable[[str, str, bytes], Awaitable[bytes]]
 GetCustomers = Callable[[], Mapping[str, CustomerRow]]
 
 
@@ -37,14 +37,14 @@
         *,
         own_vm: str,
         incarnation: int,
-        ask: AskEntry,
+        send_request: SendRequest,
         get_customers: GetCustomers,
     ) -> None:
         self._own = EntryId(own_vm, incarnation)
-        self._ask = ask
+        self._send_request = send_request
         self._get_customers = get_customers
         self._view = EntryView(own_vm=own_vm)
-        self._giver = ShareGranter(self._view, own_vm=own_vm)
+        self._granter = ShareGranter(self._view, own_vm=own_vm)
         self._holder = ShareHolder(self._view, admission)
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -58,39 +58,42 @@
     def answer(self, entry: EntryId, body: bytes) -> bytes:
         """Answer another entry's asks."""
         now = trio.current_time()
-        found = [self._giver.answer(entry, ask, now=now) for ask in decode_asks(body)]
-        return encode_answers([one for one in found if one is not None])
+        grants = [
+            self._granter.answer(entry, request, now=now)
+            for request in decode_asks(body)
+        ]
+        return encode_answers([one for one in grants if one is not None])
 
     async def _run(self, nursery: trio.Nursery) -> None:
         while True:
-            await trio.sleep(_INTERVAL_S)
+            await trio.sleep(_EXCHANGE_INTERVAL_S)
             if self._view.live:
-                self._look(nursery)
+                self._exchange_all(nursery)
 
-    def _look(self, nursery: trio.Nursery) -> None:
+    def _exchange_all(self, nursery: trio.Nursery) -> None:
         now = trio.current_time()
         customers = self._get_customers()
         self._holder.update_view(now=now)
-        self._giver.update_customers(customers, now=now)
+        self._granter.update_customers(customers, now=now)
         self._holder.measure_demand(customers, now=now)
-        for vm, asks in self._holder.choose_asks(now=now).items():
-            nursery.start_soon(self._exchange, vm, asks, now)
+        for vm, requests in self._holder.choose_asks(now=now).items():
+            nursery.start_soon(self._exchange, vm, requests, now)
 
     async def _exchange(
-        self, vm: str, asks: list[ShareRequest], sent_at: float
+        self, vm: str, requests: list[ShareRequest], sent_at: float
     ) -> None:
-        body = encode_asks(asks)
+        body = encode_asks(requests)
         if vm == self._own.vm:
-            answered = self.answer(self._own, body)
+            grants = self.answer(self._own, body)
         else:
-            answered = await self._ask_other(vm, body)
-        if answered:
-            self._holder.apply(decode_answers(answered), sent_at=sent_at)
+            grants = await self._request_from_peer(vm, body)
+        if grants:
+            self._holder.apply(decode_answers(grants), sent_at=sent_at)
 
-    async def _ask_other(self, vm: str, body: bytes) -> bytes:
+    async def _request_from_peer(self, vm: str, body: bytes) -> bytes:
         with trio.move_on_after(_ANSWER_TIMEOUT_S):
             try:
-                return await self._ask(vm, DEMAND_TOPIC, body)
+                return await self._send_request(vm, DEMAND_TOPIC, body)
             except HyssopvaneError:
                 # The giver is dead or can't be reached. What is held ends by its
                 # lease, and the safe share stays.
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -129,7 +129,7 @@
             self.scheduler.admission,
             own_vm=settings.vm,
             incarnation=self.incarnation,
-            ask=self.links.ask_briefly,
+            send_request=self.links.ask_briefly,
             get_customers=self._get_customers,
         )
         self.topics.add_question(DEMAND_TOPIC, self._answer_demand)
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -28,15 +28,15 @@
 @settings(derandomize=True, deadline=None)
 @given(st.text(max_size=20), st.integers(0, 2**63), st.floats(0, 1), st.floats(0, 480))
 def test_messages_survive_the_codec(customer, sequence, fraction, seconds):
-    ask = ShareRequest(customer, sequence, fraction, fraction, seconds)
-    (found,) = decode_asks(encode_asks([ask]))
+    request = ShareRequest(customer, sequence, fraction, fraction, seconds)
+    (found,) = decode_asks(encode_asks([request]))
     assert (found.customer, found.sequence) == (customer, sequence)
     assert found.need == found.held == fraction
     assert seconds <= found.held_s <= seconds + 0.002
-    answer = ShareGrant(customer, sequence, fraction, seconds, seconds)
-    (answered,) = decode_answers(encode_answers([answer]))
-    assert answered.amount == fraction
-    assert seconds - 0.002 <= answered.lease_s <= seconds
+    grant = ShareGrant(customer, sequence, fraction, seconds, seconds)
+    (decoded,) = decode_answers(encode_answers([grant]))
+    assert decoded.amount == fraction
+    assert seconds - 0.002 <= decoded.lease_s <= seconds
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff" * 24])
@@ -61,13 +61,13 @@
                 admission,
                 own_vm=vm,
                 incarnation=1,
-                ask=partial(self.ask, vm),
+                send_request=partial(self.send_request, vm),
                 get_customers=lambda: ROWS,
             )
             exchange.update_entries(set(vms) - {vm})
             exchange.start(nursery)
 
-    async def ask(self, sender, vm, topic, body):
+    async def send_request(self, sender, vm, topic, body):
         if {sender, vm} & self.cut_off:
             raise PeerLost("the entry can't be reached", context=vm)
         return self.exchanges[vm].answer(EntryId(sender, 1), body)
