--- a/src/hyssopvane/_internal/coordination/map_switch.py
+++ b/src/hyssopvane/_internal/coordination/map_switch.py
@@ -37,7 +37,7 @@
     propose,
 )
 
-MAX_TRIES = 20
+MAX_ATTEMPTS = 20
 """Attempts at one change.
 
 Each lost attempt means that another process has changed the record, which happens a few
@@ -66,7 +66,7 @@
     async def read(self) -> VersionedRecord:
         """Read the record; an older state than the known one is ignored."""
         item = await self._store.get(self._key)
-        self._learn(parse_record(item, era=self._store.era))
+        self._accept_newer(parse_record(item, era=self._store.era))
         if self._is_lost:
             await self._restore()
         return self.known
@@ -79,7 +79,7 @@
         """
         result = await self._swap(self.known.record)
         if not isinstance(result, Swapped):
-            await self._learn_current(result)
+            await self._accept_current(result)
 
     async def _swap(
         self, record: GroupRecord, others: Sequence[Swap] = ()
@@ -108,8 +108,10 @@
         maps = (await self._store.get_prefix(self._map_prefix)).items
 
         def change(record: GroupRecord) -> GroupRecord | None:
-            least = get_first_number(self._store.era)
-            return propose(record, name, weights_bytes=weights_bytes, least_fence=least)
+            min_fence = get_first_number(self._store.era)
+            return propose(
+                record, name, weights_bytes=weights_bytes, least_fence=min_fence
+            )
 
         def list_swaps(record: GroupRecord) -> list[Swap]:
             assert record.proposal is not None
@@ -149,7 +151,7 @@
             if written is not None:
                 return written
 
-    async def take_duty(self, holder: str, lease: int) -> bool:
+    async def acquire_duty(self, holder: str, lease: int) -> bool:
         """Put the holder's name under its lease; return false when it is taken.
 
         The lease only keeps two coordinators from doing the same work. A holder that
@@ -180,7 +182,7 @@
                 if event.value is None:
                     continue
                 item = KeyValue(event.key, event.value, event.revision, event.era)
-                if self._learn(parse_record(item)):
+                if self._accept_newer(parse_record(item)):
                     await changed.send(self.known)
 
     async def _change(
@@ -197,7 +199,7 @@
         Trying again can't harm: a late write meets a newer revision, and each change
         is tied to a fence and a phase.
         """
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             before = self.known.position
             changed = change(self.known.record)
             if changed is None:
@@ -207,31 +209,33 @@
             try:
                 result = await self._swap(changed, list_swaps(changed))
             except KeyValueUnknown:
-                if await self._find_written(changed) and reads_back:
+                if await self._was_written(changed) and reads_back:
                     return self.known
                 continue
             if isinstance(result, Swapped):
                 return self.known
-            await self._learn_current(result)
+            await self._accept_current(result)
         return None
 
-    async def _find_written(self, changed: GroupRecord) -> bool:
+    async def _was_written(self, changed: GroupRecord) -> bool:
         before = self.known.position
         read = await self.read()
         return read.position > before and read.record == changed
 
-    async def _learn_current(self, lost: SwapLost) -> None:
+    async def _accept_current(self, lost: SwapLost) -> None:
         for item in lost.current:
             if item.key == self._key:
-                self._learn(parse_record(item))
+                self._accept_newer(parse_record(item))
                 return
         await self.read()
 
-    def _learn(self, read: VersionedRecord) -> bool:
+    def _accept_newer(self, read: VersionedRecord) -> bool:
         if read.position <= self.known.position:
             return False
-        came_back = 0 < self.known.era < read.era
-        if (came_back or self._is_lost) and self.known.record.is_ahead_of(read.record):
+        store_returned = 0 < self.known.era < read.era
+        if (store_returned or self._is_lost) and self.known.record.is_ahead_of(
+            read.record
+        ):
             self._is_lost = True
             self.known = replace(read, record=self.known.record)
             return False
--- a/src/hyssopvane/_internal/roles/map_duty.py
+++ b/src/hyssopvane/_internal/roles/map_duty.py
@@ -256,7 +256,7 @@
         lease = NO_LEASE
         try:
             lease = await self._store.grant_lease(self._times.lease_s)
-            if not await self._switch_store.take_duty(self._holder, lease):
+            if not await self._switch_store.acquire_duty(self._holder, lease):
                 return None
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._keep_lease, lease)
--- a/tests/functional/test_map_switch.py
+++ b/tests/functional/test_map_switch.py
@@ -52,7 +52,7 @@
         for process in self._started:
             process.kill()
 
-    def look(self):
+    def read_engines(self):
         """Return what each engine says, and check the map of its step."""
         views = {}
         for name, address in self.engines.items():
@@ -63,7 +63,7 @@
         return views
 
     def all_use(self, expert_map):
-        views = self.look().values()
+        views = self.read_engines().values()
         return all(one["map"] == expert_map and not one["armed"] for one in views)
 
 
@@ -88,7 +88,7 @@
     first = ranks.start_coordinator("a", "--pause")
     first.wait_for("armed")
     first.kill()
-    armed = ranks.look().values()
+    armed = ranks.read_engines().values()
     assert all(one["armed"]["map"] == "a.1" for one in armed)
     wait_until(lambda: ranks.all_use("initial"))
 
@@ -97,6 +97,6 @@
     wait_until(lambda: ranks.all_use("b.2"))
 
     ranks.restart_engine("rank-1")
-    wait_until(lambda: ranks.look()["rank-1"]["map"] == "initial")
-    assert ranks.look()["rank-1"]["armed"]["decided"]
+    wait_until(lambda: ranks.read_engines()["rank-1"]["map"] == "initial")
+    assert ranks.read_engines()["rank-1"]["armed"]["decided"]
     wait_until(lambda: ranks.all_use("b.2"))
--- a/tests/unit/test_map_switch_store.py
+++ b/tests/unit/test_map_switch_store.py
@@ -84,7 +84,7 @@
         """Take the duty and return its lease."""
         store = self.open_store(holder)
         lease = await self.fakes[holder].grant_lease(30)
-        assert await store.take_duty(holder, lease)
+        assert await store.acquire_duty(holder, lease)
         return lease
 
     def make_duty(self, holder):
