--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -20,14 +20,14 @@
 from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from hyssopvane._internal.utils.logs import log_event
 
-REGAIN_S = 2.2
+MISSING_GRACE_S = 2.2
 """Time after the store's return in which a missing replica is still believed.
 
 Registrations lapse while the store is away, and living replicas are back within two
 seconds. Dropping them at once would leave nobody to serve.
 """
 
-LAPSE_S = 10.0
+UNCONFIRMED_S = 10.0
 """Time after the store's return from a copy in which a replica whose registration had
 ended before is not believed to be ready by a registration of the copy.
 
@@ -35,8 +35,8 @@
 of a living replica, which registered again before it was looked for.
 """
 
-_FIRST_RETRY_S = 0.1
-_LAST_RETRY_S = 1.0
+_MIN_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 1.0
 """Pause between tries while the store is away.
 
 Rules allow two seconds from an accepted change to its use; a longer pause would use
@@ -89,14 +89,14 @@
         self._items: dict[str, KeyValue] = {}
         self._unreadable: dict[str, int] = {}
         """Revision of the registrations that can't be read, by their key."""
-        self.unreadable = 0
+        self.unreadable_count = 0
         """Registrations that could not be read, since the start."""
         self.replicas_position = StorePosition(0, 0)
         """Point of the store's history up to which the registrations are known."""
         self._departures = Departures()
         self._missing: dict[str, float] = {}
         """Times at which replicas that lapsed during an outage are dropped."""
-        self.connected_at = -REGAIN_S
+        self.connected_at = -MISSING_GRACE_S
         """Time of the first answer of the store since its last silence."""
         self._connected: dict[str, bool] = {}
         self._was_lost = False
@@ -117,7 +117,7 @@
         """Wait until a configuration and replicas were known for the first time."""
         await self._was_ready.wait()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         if self.is_ready():
             self._was_ready.set()
         self._observe()
@@ -138,21 +138,21 @@
             self.replicas_position.era,
         )
 
-    def merge(self, beliefs: StoreSnapshot) -> None:
+    def merge(self, snapshot: StoreSnapshot) -> None:
         """Take over what another process knows more newly."""
-        if beliefs.configuration:
+        if snapshot.configuration:
             key = self._format.configuration_key
             self._apply_configuration(
-                KeyValue(key, beliefs.configuration, beliefs.configuration_revision),
+                KeyValue(key, snapshot.configuration, snapshot.configuration_revision),
                 source="peer",
             )
-        if beliefs.replicas_position > self.replicas_position:
+        if snapshot.replicas_position > self.replicas_position:
             items = tuple(
                 KeyValue(item.key, item.value, item.revision)
-                for item in beliefs.replicas
+                for item in snapshot.replicas
             )
-            self._replace_replicas(items, beliefs.replicas_position, source="peer")
-        self._tell()
+            self._replace_replicas(items, snapshot.replicas_position, source="peer")
+        self._notify()
 
     def note_return(self, at: float) -> None:
         """Learn from a peer when the store came back from a silence.
@@ -185,19 +185,19 @@
         return self.replicas_position.revision
 
     async def _follow(self, prefix: str) -> None:
-        retry_s = _FIRST_RETRY_S
+        retry_s = _MIN_RETRY_DELAY_S
         while True:
             try:
                 snapshot = await self._store.get_prefix(prefix)
-                self._note_connection(prefix, True, snapshot=snapshot)
+                self._record_connection(prefix, True, snapshot=snapshot)
                 self._load(prefix, snapshot)
-                retry_s = _FIRST_RETRY_S
+                retry_s = _MIN_RETRY_DELAY_S
                 await self._watch(prefix, snapshot)
             except KeyValueError as error:
-                self._note_connection(prefix, False, why=str(error))
+                self._record_connection(prefix, False, why=str(error))
                 # Spread over time: after an outage all processes come back at once.
                 await trio.sleep(retry_s * self._random.uniform(0.5, 1.0))
-                retry_s = min(_LAST_RETRY_S, retry_s * 2)
+                retry_s = min(_MAX_RETRY_DELAY_S, retry_s * 2)
 
     async def _watch(self, prefix: str, snapshot: Snapshot) -> None:
         start_revision, era = snapshot.revision + 1, snapshot.era
@@ -205,7 +205,7 @@
             async for event in events:
                 self._apply_event(prefix, event, era=era)
 
-    def _note_connection(
+    def _record_connection(
         self,
         prefix: str,
         connected: bool,
@@ -241,7 +241,7 @@
                     self._apply_configuration(item, source="store")
         elif position >= self.replicas_position:
             self._replace_replicas(snapshot.items, position, source="store")
-        self._tell()
+        self._notify()
 
     def _apply_event(self, prefix: str, event: WatchEvent, *, era: int = 0) -> None:
         if prefix == self._format.configuration_key:
@@ -254,7 +254,7 @@
             self._apply_registration(event)
             position = StorePosition(era, event.revision)
             self.replicas_position = max(self.replicas_position, position)
-        self._tell()
+        self._notify()
 
     def _apply_configuration(self, item: KeyValue, *, source: str) -> None:
         if item.value == self._configuration.value:
@@ -269,7 +269,7 @@
         # come back from a copy must not bring back routes and keys that were removed.
         # Revisions do not tell: after such a return they are given out again.
         if self.table is not None and table.version <= self.table.version:
-            self._note_left_out(item, table.version, source=source)
+            self._record_ignored(item, table.version, source=source)
             return
         self._configuration = item
         self.table = table
@@ -283,7 +283,7 @@
             source=source,
         )
 
-    def _note_left_out(self, item: KeyValue, version: int, *, source: str) -> None:
+    def _record_ignored(self, item: KeyValue, version: int, *, source: str) -> None:
         self._count("configuration-left-out")
         log_event(
             "info",
@@ -342,7 +342,7 @@
         try:
             replica = self._format.decode_replica(item.key, item.value)
         except ConfigurationError as error:
-            self._leave_out(item, error)
+            self._reject_registration(item, error)
             return
         known = self.replicas.get(item.key)
         if self._is_replaced(item.key, replica, item.revision):
@@ -370,14 +370,14 @@
                 revision=item.revision,
             )
 
-    def _leave_out(self, item: KeyValue, error: ConfigurationError) -> None:
+    def _reject_registration(self, item: KeyValue, error: ConfigurationError) -> None:
         """Use no replica of a key whose registration can't be read.
 
         Anything may write there. What the key named before may have ended, and its
         address may belong to another service; whoever lives registers again within
         seconds.
         """
-        self.unreadable += 1
+        self.unreadable_count += 1
         self._count("registration-unreadable")
         if item.key not in self._unreadable:
             # Once while it stays so: its writer may repeat it many times a second.
@@ -394,7 +394,7 @@
                 continue
             if self._get_revision(other) > revision:
                 return True
-            self._note_departure(other)
+            self._record_departure(other)
             self._drop(other, why=f"its address belongs to {replica.id}")
         return False
 
@@ -403,13 +403,13 @@
             return
         now = trio.current_time()
         returned_s = now - self.connected_at
-        if self.replicas and returned_s < REGAIN_S:
-            self._missing[key] = self.connected_at + REGAIN_S
+        if self.replicas and returned_s < MISSING_GRACE_S:
+            self._missing[key] = self.connected_at + MISSING_GRACE_S
             return
-        self._note_departure(key)
+        self._record_departure(key)
         self._drop(key, why=why)
 
-    def _note_departure(self, key: str) -> None:
+    def _record_departure(self, key: str) -> None:
         self._departures.note(
             key,
             self.replicas[key],
@@ -427,20 +427,20 @@
 
     async def _drop_missing(self) -> None:
         while True:
-            await trio.sleep(_FIRST_RETRY_S)
+            await trio.sleep(_MIN_RETRY_DELAY_S)
             now = trio.current_time()
             for key in [one for one, at in self._missing.items() if at <= now]:
                 self._drop(key, why="not back after an outage of the store")
-                self._tell()
+                self._notify()
             self._departures.expire(now=now)
             if self._is_settled(now):
-                self._believe_doubted()
+                self._accept_unconfirmed()
 
     def _is_settled(self, now: float) -> bool:
         connected = self._connected.get(self._format.replicas_prefix, False)
-        return connected and now - self.connected_at >= LAPSE_S
+        return connected and now - self.connected_at >= UNCONFIRMED_S
 
-    def _believe_doubted(self) -> None:
+    def _accept_unconfirmed(self) -> None:
         for key in self._departures.take_unconfirmed():
             self._put(self._items[key])
-            self._tell()
+            self._notify()
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from hyssopvane._internal.coordination.routing_feed import LAPSE_S, RoutingFeed
+from hyssopvane._internal.coordination.routing_feed import UNCONFIRMED_S, RoutingFeed
 from hyssopvane._internal.platform.store import PlatformStore
 from hyssopvane._internal.platform.wire import PlatformFormat
 from hyssopvane._internal.protocol.group_messages import (
@@ -147,7 +147,7 @@
                 self._do_something()
             for process in self._processes:
                 process.client.is_cut = False
-            await trio.sleep(2 * LAPSE_S)
+            await trio.sleep(2 * UNCONFIRMED_S)
             self._check_settled()
             nursery.cancel_scope.cancel()
 
--- a/tests/unit/test_routing_feed.py
+++ b/tests/unit/test_routing_feed.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from hyssopvane._internal.coordination.key_value import KeyValue, WatchEvent
-from hyssopvane._internal.coordination.routing_feed import REGAIN_S, RoutingFeed
+from hyssopvane._internal.coordination.routing_feed import MISSING_GRACE_S, RoutingFeed
 from hyssopvane._internal.platform.wire import PlatformFormat
 from hyssopvane._internal.state.store_snapshot import (
     StoreItem,
@@ -44,7 +44,7 @@
     )
 
 
-def make_beliefs(version, *, revision, replicas=(), replicas_revision=0):
+def make_store_snapshot(version, *, revision, replicas=(), replicas_revision=0):
     return StoreSnapshot(
         configuration_revision=revision,
         configuration=encode(make_configuration(version)),
@@ -76,8 +76,8 @@
 
     async def test():
         feed = make_feed()
-        feed.merge(make_beliefs(2, revision=20))
-        feed.merge(make_beliefs(version, revision=revision))
+        feed.merge(make_store_snapshot(2, revision=20))
+        feed.merge(make_store_snapshot(version, revision=revision))
         assert feed.table.version == expected
 
     run(test)
@@ -86,7 +86,7 @@
 def test_unreadable_configuration_changes_nothing():
     async def test():
         feed = make_feed()
-        feed.merge(make_beliefs(2, revision=20))
+        feed.merge(make_store_snapshot(2, revision=20))
         feed.merge(StoreSnapshot(30, b"{", 0, ()))
         assert feed.table.version == 2
 
@@ -102,7 +102,9 @@
 
     async def test():
         feed = make_feed()
-        feed.merge(make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9))
+        feed.merge(
+            make_store_snapshot(1, revision=5, replicas=(1, 2), replicas_revision=9)
+        )
         feed.connected_at = trio.current_time()
         feed._replace_replicas((), StorePosition(0, 20), source="store")
         assert len(feed.replicas) == 2
@@ -111,7 +113,7 @@
             nursery.start_soon(feed._drop_missing)
             await trio.sleep(1.0)
             feed._put(back)
-            await trio.sleep(REGAIN_S)
+            await trio.sleep(MISSING_GRACE_S)
             nursery.cancel_scope.cancel()
         assert list(feed.replicas) == ["servers/1"]
 
@@ -122,7 +124,9 @@
     async def test():
         feed = make_feed()
         await trio.sleep(10)
-        feed.merge(make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9))
+        feed.merge(
+            make_store_snapshot(1, revision=5, replicas=(1, 2), replicas_revision=9)
+        )
         items = (KeyValue("servers/2", make_registration(2), 5),)
         feed._replace_replicas(items, StorePosition(0, 20), source="store")
         assert list(feed.replicas) == ["servers/2"]
@@ -154,8 +158,10 @@
     async def test():
         feed, peer = make_feed(), make_feed()
         for one in (feed, peer):
-            beliefs = make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9)
-            one.merge(beliefs)
+            snapshot = make_store_snapshot(
+                1, revision=5, replicas=(1, 2), replicas_revision=9
+            )
+            one.merge(snapshot)
         await trio.sleep(10)
         gone = WatchEvent("servers/1", None, 10)
         peer._apply_event("servers/", gone)
--- a/tests/unit/test_store_watch.py
+++ b/tests/unit/test_store_watch.py
@@ -4,7 +4,7 @@
 import trio
 
 from hyssopvane._internal.coordination.key_value import KeyValue, WatchEvent
-from hyssopvane._internal.coordination.routing_feed import REGAIN_S
+from hyssopvane._internal.coordination.routing_feed import MISSING_GRACE_S
 from hyssopvane._internal.policy.store_watch import (
     SHARED_WATCH_S,
     WATCH_S,
@@ -53,7 +53,7 @@
         feed._note_connection("servers/", True)
         assert feed.returned_at is None
         feed._note_connection("servers/", False)
-        await trio.sleep(REGAIN_S)
+        await trio.sleep(MISSING_GRACE_S)
         feed._note_connection("servers/", True)
         assert feed.returned_at == trio.current_time()
 
--- a/tests/unit/test_strangers.py
+++ b/tests/unit/test_strangers.py
@@ -111,7 +111,7 @@
             feed._put(KeyValue(f"servers/{number}", make_registration(number), number))
         feed._apply_event("servers/", WatchEvent("servers/1", value, 9))
         assert set(feed.replicas) == {"servers/2"}
-        assert feed.unreadable == 1
+        assert feed.unreadable_count == 1
 
     run(test)
 
@@ -156,7 +156,7 @@
         feed = make_feed()
         for revision in range(1, 50):
             feed._put(KeyValue("servers/1", b"[" * 100_000, revision))
-        assert feed.unreadable == 49
+        assert feed.unreadable_count == 49
         assert len(feed.list_unreadable()) == 1
 
     run(test)
