--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -134,7 +134,7 @@
             assert (first.key, first.value) == ("servers/2", b"2")
             assert (second.key, second.value) == ("servers/1", None)
             stand_in.put("other/1", 1)
-            stand_in.forget_history()
+            stand_in.compact_history()
             with pytest.raises(trio.EndOfChannel):
                 await events.receive()
 
@@ -151,7 +151,7 @@
         first = await store.get_prefix("servers/")
         async with store.watch("servers/", first.revision + 1, era=0) as events:
             await trio.testing.wait_all_tasks_blocked()
-            stand_in.come_back(copy)
+            stand_in.restore_from(copy)
             for number in range(written_since):
                 stand_in.put("other/1", number)
             again = await store.get_prefix("servers/")
@@ -184,7 +184,7 @@
         for number in range(MAX_PAGE + 1):
             stand_in.put(f"servers/{number}", number)
         copy = stand_in.copy()
-        stand_in.on_call = lambda path: stand_in.come_back(copy)
+        stand_in.on_call = lambda path: stand_in.restore_from(copy)
         with pytest.raises(KeyValueUnavailable):
             await store.get_prefix("servers/")
 
@@ -213,7 +213,7 @@
         first = await store.get_prefix("servers/")
         async with store.watch("servers/", first.revision + 1, era=0) as events:
             await trio.testing.wait_all_tasks_blocked()
-            stand_in.come_back(copy)
+            stand_in.restore_from(copy)
             for number in range(3):
                 stand_in.put(f"servers/{number}", number)
             with pytest.raises(trio.EndOfChannel):
--- a/tests/functional/test_store_return.py
+++ b/tests/functional/test_store_return.py
@@ -47,7 +47,7 @@
         for version in range(2, 2 + lost):
             site.store.put("op/config", make_configuration(version))
         await site.wait_until(lambda: site.entry.feed.table.version == 1 + lost)
-        site.store.come_back(copy)
+        site.store.restore_from(copy)
         site.store.put("op/config", make_configuration(10, tenants=TENANTS))
         await wait_for_reaction(site, 10)
         assert (await site.call("/status/7", key=KEY)).status == 401
@@ -67,7 +67,7 @@
             site.register(leaving)
         written = site.store.revision
         await site.wait_until(lambda: site.entry.feed.replicas_revision == written)
-        site.store.come_back(copy)
+        site.store.restore_from(copy)
         site.register(leaving, state="draining")
         staying = await site.add_replica("i-2", answer_whole)
         assert site.entry.feed.replicas[key].draining
--- a/tests/lib/direct_store.py
+++ b/tests/lib/direct_store.py
@@ -40,7 +40,7 @@
     """Takes the path of each call before it is answered."""
     items: dict[str, tuple[bytes, int]] = field(default_factory=dict)
     history: list[dict[str, Any]] = field(default_factory=list)
-    first_known: int = 0
+    compacted_revision: int = 0
     """Revision up to which the history is forgotten."""
     answer_status: int = 0
     """Status with which every call is turned away, 0 for none."""
@@ -54,7 +54,7 @@
         value = json.dumps(document).encode()
         self.revision += 1
         self.items[key] = (value, self.revision)
-        self._note(self._describe(key))
+        self._append_event(self._describe(key))
 
     def remove(self, key: str) -> None:
         """Delete a key; do nothing where it is not there."""
@@ -62,18 +62,18 @@
             return
         self.revision += 1
         del self.items[key]
-        self._note({"key": key, "revision": self.revision, "deleted": True})
+        self._append_event({"key": key, "revision": self.revision, "deleted": True})
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop the history, and cut the watches."""
-        self.first_known = self.revision
-        self._wake()
+        self.compacted_revision = self.revision
+        self._notify_watches()
 
     def copy(self) -> StoreCopy:
         """Return a copy to come back from."""
         return StoreCopy(self.revision, dict(self.items), frozenset(self.leases))
 
-    def come_back(self, copy: StoreCopy) -> None:
+    def restore_from(self, copy: StoreCopy) -> None:
         """Lose what was written since a copy, and give its revisions out again."""
         self.era += 1
         self.revision = copy.revision
@@ -82,7 +82,7 @@
         self.history = [
             event for event in self.history if event["revision"] <= copy.revision
         ]
-        self._wake()
+        self._notify_watches()
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Answer one call."""
@@ -139,7 +139,7 @@
         after = int(query["after"])
         with trio.move_on_after(int(query["wait-ms"]) / 1_000):
             while True:
-                if not self.first_known <= after <= self.revision:
+                if not self.compacted_revision <= after <= self.revision:
                     return 410, {}
                 events = [
                     event
@@ -166,7 +166,7 @@
         self.revision += 1
         for put in document["puts"]:
             self.items[put["key"]] = (base64.b64decode(put["value"]), self.revision)
-            self._note(self._describe(put["key"]))
+            self._append_event(self._describe(put["key"]))
         for key in document["remove"]:
             self.items.pop(key, None)
         return 200, {"revision": self.revision}
@@ -181,10 +181,10 @@
             "lease": 0,
         }
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _append_event(self, event: dict[str, Any]) -> None:
         self.history.append(event)
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -29,14 +29,14 @@
 from tests.lib.direct_store import DirectStore, StoreCopy
 
 CONFIG_APPLY_S = 2.0
-CONTACT_S = 3.0
+RECOVERY_S = 3.0
 """Time after a disturbance of the store, or of a process's way to it, in which no bound
 holds for the process."""
 
-WRITTEN_AGAIN_S = 2.0
+REWRITE_S = 2.0
 """Time after a return within which what the store lost is written again."""
 
-TELL_S = 0.5
+EXCHANGE_INTERVAL_S = 0.5
 """Pause between two words of a process on how new its beliefs are."""
 
 _CONFIGURATION = "op/config"
@@ -104,10 +104,10 @@
     client: DirectStoreClient
     exchange: BeliefExchange
     scope: trio.CancelScope
-    in_touch_from: float
+    in_contact_from: float
     version: int = 0
     """Highest version that was in force."""
-    left: set[str] = field(default_factory=set)
+    known_leaving: set[str] = field(default_factory=set)
     """Replicas that it has known to leave."""
 
 
@@ -137,21 +137,21 @@
                 self._add_replica()
             for _ in range(self._count):
                 self._processes.append(self._start_process())
-            await trio.sleep(CONTACT_S)
+            await trio.sleep(RECOVERY_S)
             nursery.start_soon(self._check_always)
             nursery.start_soon(self._take_copies)
-            nursery.start_soon(self._exchange_beliefs)
+            nursery.start_soon(self._exchange_snapshots)
             end = trio.current_time() + seconds
             while trio.current_time() < end:
                 await trio.sleep(self._random.expovariate(1 / 0.6))
-                self._do_something()
+                self._apply_random_change()
             for process in self._processes:
                 process.client.is_cut = False
             await trio.sleep(2 * UNCONFIRMED_S)
             self._check_settled()
             nursery.cancel_scope.cancel()
 
-    def _do_something(self) -> None:
+    def _apply_random_change(self) -> None:
         random = self._random
         random.choices(
             [
@@ -159,7 +159,7 @@
                 self._add_replica,
                 self._drain,
                 self._remove,
-                self._come_back,
+                self._restore_copy,
                 self._cut,
                 self._restart,
             ],
@@ -202,7 +202,7 @@
             },
         )
 
-    def _come_back(self) -> None:
+    def _restore_copy(self) -> None:
         now = trio.current_time()
         # One disturbance after the other: what was lost is written again before the
         # store loses anything else.
@@ -212,22 +212,22 @@
         if not old:
             return
         self.returns += 1
-        self._stable_from = now + CONTACT_S
-        self._store.come_back(self._random.choice(old))
+        self._stable_from = now + RECOVERY_S
+        self._store.restore_from(self._random.choice(old))
         self._copies.clear()
         assert self._nursery is not None
-        self._nursery.start_soon(self._write_again)
+        self._nursery.start_soon(self._rewrite_lost)
 
-    async def _write_again(self) -> None:
+    async def _rewrite_lost(self) -> None:
         """Write what the operators and the replicas have written and the store lost."""
         keys = [_CONFIGURATION, *self._replicas]
         self._random.shuffle(keys)
-        pause_s = self._random.uniform(0, WRITTEN_AGAIN_S / len(keys))
+        pause_s = self._random.uniform(0, REWRITE_S / len(keys))
         for key in keys:
             await trio.sleep(pause_s)
-            self._write_key_again(key)
+            self._rewrite_key(key)
 
-    def _write_key_again(self, key: str) -> None:
+    def _rewrite_key(self, key: str) -> None:
         value = self._store.items.get(key, (b"", 0))[0]
         if key == _CONFIGURATION:
             document = make_configuration(self._version)
@@ -243,9 +243,9 @@
     def _cut(self) -> None:
         process = self._random.choice(self._processes)
         process.client.is_cut = not process.client.is_cut
-        process.in_touch_from = float("inf")
+        process.in_contact_from = float("inf")
         if not process.client.is_cut:
-            process.in_touch_from = trio.current_time() + CONTACT_S
+            process.in_contact_from = trio.current_time() + RECOVERY_S
 
     def _restart(self) -> None:
         index = self._random.randrange(len(self._processes))
@@ -261,8 +261,10 @@
         scope = trio.CancelScope()
         assert self._nursery is not None
         self._nursery.start_soon(self._run_feed, feed, scope)
-        touch = trio.current_time() + CONTACT_S
-        return Process(feed, client, BeliefExchange(feed, seeds=()), scope, touch)
+        in_contact_from = trio.current_time() + RECOVERY_S
+        return Process(
+            feed, client, BeliefExchange(feed, seeds=()), scope, in_contact_from
+        )
 
     async def _run_feed(self, feed: RoutingFeed, scope: trio.CancelScope) -> None:
         with scope:
@@ -274,15 +276,15 @@
             self._copies.append((trio.current_time(), self._store.copy()))
             await trio.sleep(0.3)
 
-    async def _exchange_beliefs(self) -> None:
+    async def _exchange_snapshots(self) -> None:
         while True:
-            await trio.sleep(TELL_S)
+            await trio.sleep(EXCHANGE_INTERVAL_S)
             for process in self._processes:
                 for peer in self._processes:
                     if peer is not process:
-                        await self._ask_if_newer(process, peer)
+                        await self._fetch_if_newer(process, peer)
 
-    async def _ask_if_newer(self, process: Process, peer: Process) -> None:
+    async def _fetch_if_newer(self, process: Process, peer: Process) -> None:
         state = EntryState(
             address="10.1.0.1:7000",
             beliefs="10.1.0.1:7001",
@@ -290,16 +292,16 @@
             replicas_revision=peer.feed.replicas_revision,
             replicas_era=peer.feed.replicas_position.era,
         )
-        told = decode_message(encode_message(state))
-        assert isinstance(told, EntryState)
-        if process.exchange._is_newer(told):
+        received = decode_message(encode_message(state))
+        assert isinstance(received, EntryState)
+        if process.exchange._is_newer(received):
             beliefs = encode_beliefs(peer.feed.export())
             assert self._nursery is not None
             self._nursery.start_soon(self._merge_late, process, beliefs)
 
-    async def _merge_late(self, process: Process, beliefs: bytes) -> None:
+    async def _merge_late(self, process: Process, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
-        process.feed.merge(decode_beliefs(beliefs))
+        process.feed.merge(decode_beliefs(body))
 
     async def _check_always(self) -> None:
         while True:
@@ -314,10 +316,10 @@
         process.version = version
         for key, replica in process.feed.replicas.items():
             if replica.draining and self._replicas[key] != "ready":
-                process.left.add(key)
+                process.known_leaving.add(key)
             else:
-                assert key not in process.left, f"{key} is ready after it left"
-        if now < max(process.in_touch_from, self._stable_from):
+                assert key not in process.known_leaving, f"{key} is ready after it left"
+        if now < max(process.in_contact_from, self._stable_from):
             return
         due = [one for at, one in self._accepted if now - at > CONFIG_APPLY_S]
         assert version >= max(due), f"{version} in force, {max(due)} accepted"
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -225,7 +225,7 @@
         store = self._run.store
         how = self._random.choice(["down", "lost", "forget"])
         if how == "forget":
-            store.forget_history()
+            store.compact_history()
             return "store forgets"
         if how == "down":
             store.answer_status = 503
@@ -241,7 +241,7 @@
         await trio.sleep(self._random.uniform(0.3, 4.0))
         store.answer_status = 503
         await trio.sleep(self._random.uniform(0.0, 2.0))
-        store.come_back(copy)
+        store.restore_from(copy)
         store.answer_status = 0
         await trio.sleep(self._random.uniform(0.0, 1.5))
         self._run.write_again()
--- a/tests/unit/test_claims_after_return.py
+++ b/tests/unit/test_claims_after_return.py
@@ -44,10 +44,10 @@
             self.stores.append(store)
             self.writers.append(writer)
 
-    def keep_copy(self):
+    def save_copy(self):
         self.copy = self.state.copy_items()
 
-    def come_back(self):
+    def restore_copy(self):
         self.state = self.copy.copy_items()
         self.state.begin_cluster()
         for store in self.stores:
@@ -74,10 +74,10 @@
             first, second = site.writers
             later = NOW + SETTLED_S
             await first.change(make_change(make_key(8, created_at=later), 1))
-            site.service.keep_copy()
+            site.service.save_copy()
             await first.change(make_change(make_key(16, created_at=later), 2))
             await first.change(make_change(make_key(24, created_at=later), 3))
-            site.service.come_back()
+            site.service.restore_copy()
             await trio.sleep(SETTLED_S)
             made = make_change(make_key(8 + 8 * 8, created_at=later), 4)
             result = await second.change(made)
@@ -98,12 +98,12 @@
         async with open_service() as site:
             first, second = site.writers
             await second.change(make_change(make_key(1), 1))
-            site.service.keep_copy()
+            site.service.save_copy()
             lost = make_change(make_key(2), 2)
             assert is_confirmed(await first.change(lost), lost)
             if not keeps_running:
                 site.service.stores[0].end()
-            site.service.come_back()
+            site.service.restore_copy()
             again = make_change(make_key(2), 3)
             assert not is_confirmed(await second.change(again), again)
             if keeps_running:
@@ -123,10 +123,10 @@
         async with open_service() as site:
             first, second = site.writers
             await first.change(make_change(make_key(1), 1))
-            site.service.keep_copy()
+            site.service.save_copy()
             replaced = make_change(make_key(1), 2, expected=1)
             assert is_confirmed(await first.change(replaced), replaced)
-            site.service.come_back()
+            site.service.restore_copy()
             again = make_change(make_key(1), 3, expected=1)
             assert not is_confirmed(await second.change(again), again)
 
@@ -140,8 +140,8 @@
         async with open_service() as site:
             first, second = site.writers
             await first.change(make_change(make_key(1), 1))
-            site.service.keep_copy()
-            site.service.come_back()
+            site.service.save_copy()
+            site.service.restore_copy()
             await second.find(make_key(1))
             await trio.sleep(SETTLED_S)
             for writer in (first, second):
@@ -164,8 +164,8 @@
                 await second.sweep()
             store = site.service.stores[1]
             assert (await store.get_prefix("claims/page/")).items == ()
-            site.service.keep_copy()
-            site.service.come_back()
+            site.service.save_copy()
+            site.service.restore_copy()
             await first.find(make_key(2))
             await trio.sleep(5)
             assert (await store.get_prefix("claims/page/")).items == ()
@@ -180,11 +180,11 @@
         async with trio.open_nursery() as nursery:
             service = Service(nursery, 1)
             await service.writers[0].change(make_change(make_key(1), 1))
-            service.keep_copy()
+            service.save_copy()
             lost = make_change(make_key(2), 2)
             assert is_confirmed(await service.writers[0].change(lost), lost)
             service.stores[0].end()
-            service.come_back()
+            service.restore_copy()
             store = FakeKeyValueStore(service.state, nursery)
             fresh = ClaimWriter(
                 store,
@@ -206,7 +206,7 @@
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
     random = Random(seed)
-    confirmed, buried = {}, set()
+    confirmed, unsent = {}, set()
     kinds = [*Fault, *[Fault.NONE] * 12]
 
     async def claim(writer, number, attempt):
@@ -222,11 +222,11 @@
             if found.attempt in confirmed.get(number, ()):
                 return
             # Its agent has proved that this attempt was never sent and never runs.
-            buried.add(found.attempt)
+            unsent.add(found.attempt)
             expected = found.attempt
         change = make_change(key, attempt, expected=expected)
         result = await writer.change(change)
-        if is_confirmed(result, change) and attempt not in buried:
+        if is_confirmed(result, change) and attempt not in unsent:
             confirmed.setdefault(number, set()).add(attempt)
 
     async def run():
@@ -236,15 +236,15 @@
             while not is_confirmed(await service.writers[0].change(first), first):
                 await trio.sleep(1)
             confirmed[0] = {1_000}
-            service.keep_copy()
+            service.save_copy()
             async with trio.open_nursery() as callers:
                 for attempt in range(1, 80):
                     await trio.sleep(random.expovariate(4))
                     draw = random.random()
                     if draw < 0.08:
-                        service.keep_copy()
+                        service.save_copy()
                     elif draw < 0.16:
-                        service.come_back()
+                        service.restore_copy()
                     number = random.randrange(1 + int(trio.current_time()))
                     writer = random.choice(service.writers)
                     callers.start_soon(claim, writer, number, attempt)
--- a/tests/unit/test_store_return.py
+++ b/tests/unit/test_store_return.py
@@ -114,7 +114,7 @@
         async with trio.open_nursery() as nursery:
             feed.start(nursery)
             await trio.sleep(1.0)
-            stand_in.come_back(copy)
+            stand_in.restore_from(copy)
             stand_in.put("servers/9", json.loads(make_registration(9)))
             for number in range(4):
                 stand_in.put("other/1", number)
