--- a/src/hyssopvane/_internal/coordination/claim_fence.py
+++ b/src/hyssopvane/_internal/coordination/claim_fence.py
@@ -1,4 +1,4 @@
-"""Name the keys whose claims a service that came back from a copy may have lost."""
+"""Fence the keys whose claims may be lost when the service is restored from a copy."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 FENCE_KEY = "claims/fence"
 
 NO_FENCE = -1
-"""Slice that is older than all keys."""
+"""Slice number that is older than the slice of any key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,10 +28,11 @@
 
 
 class ClaimFence:
-    """Hold the newest slice of keys that may have been claimed before a return.
+    """Hold the newest slice of keys that may have been claimed before a restore.
 
-    A key of such a slice that has no claim may have run. Its first entry may have died,
-    so nobody can tell, and it is never claimed again.
+    A key in a fenced slice that has no claim may still have run: the restore may have
+    lost its claim, and the entry that wrote it may have died. Such a key is never
+    claimed again.
     """
 
     def __init__(self, store: KeyValueStore, *, clock: Callable[[], float]) -> None:
@@ -43,8 +44,8 @@
     async def get_fenced_slice(self, era: int) -> int:
         """Return the newest slice that is fenced in an era; raise `KeyValueError`.
 
-        Whoever is first in an era writes it. Keys of callers whose clocks run ahead
-        were claimed in slices that are still to come.
+        The first entry that asks in an era writes the fence. The fence includes future
+        slices, because keys of callers whose clocks run ahead are claimed there.
         """
         if era <= FIRST_ERA:
             return NO_FENCE
--- a/src/hyssopvane/_internal/coordination/claim_pages.py
+++ b/src/hyssopvane/_internal/coordination/claim_pages.py
@@ -1,4 +1,4 @@
-"""Encode claims for the key-value service and for questions between entries."""
+"""Encode claims for the key-value service and for messages between entries."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -23,19 +23,21 @@
 
 
 class ChangeStatus(IntEnum):
-    """Tell how a change ended."""
+    """Report how a change ended."""
 
     KNOWN = 0
-    """The claim that is in the page now is known."""
+    """The current claim of the key is known; it may be another attempt's."""
     UNAVAILABLE = 1
-    """It was certainly not carried out."""
+    """The change was not written."""
     UNKNOWN = 2
+    """The change may have been written, or the key may have run before a restore."""
     EXPIRED = 3
+    """The page of the key was already deleted."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """Tell how a change ended and which claim is in the page now."""
+    """Report how a change ended and the current claim of the key."""
 
     status: ChangeStatus
     claim: Claim | None = None
@@ -47,12 +49,12 @@
 
 
 def get_page_slice(key: str) -> int:
-    """Return the slice of a page."""
+    """Return the slice number from the key of a page."""
     return int(key.split("/")[-2])
 
 
 def encode_page(page: ClaimPage, *, write_id: int = 0) -> bytes:
-    """Encode a page; a target is written once for all its claims."""
+    """Encode a page; claims of one target share one copy of its name."""
     message = load_schema(_SCHEMA_FILE).Page.new_message(writeId=write_id)
     numbers: dict[_Target, int] = {}
     builders = message.init("claims", len(page.claims))
@@ -68,9 +70,10 @@
 
 
 def read_page_prefix(data: bytes) -> bytes:
-    """Return the first bytes of a page that no other write of it has; none if unnamed.
+    """Return the prefix of a page up to its write ID, which is unique to one write.
 
-    Raise `ProtocolError` when it is no page.
+    Return no bytes if the page has no write ID. Raise `ProtocolError` when the data is
+    not a page.
     """
     import capnp
 
@@ -85,7 +88,7 @@
 
 
 def decode_page(data: bytes) -> ClaimPage:
-    """Decode a page; raise `ProtocolError` when it is not one."""
+    """Decode a page; raise `ProtocolError` when the data is not a page."""
     import capnp
 
     try:
@@ -102,7 +105,7 @@
 
 
 def encode_change(change: ClaimChange) -> bytes:
-    """Encode a change for another entry."""
+    """Encode a change to send it to another entry."""
     message = load_schema(_SCHEMA_FILE).Change.new_message()
     message.slice = change.key.slice
     message.expectedAttempt = change.expected_attempt
@@ -130,7 +133,7 @@
 
 
 def encode_result(key_hash: int, result: ChangeResult) -> bytes:
-    """Encode how a change ended."""
+    """Encode the result of a change and the current claim of its key."""
     message = load_schema(_SCHEMA_FILE).Result.new_message()
     message.status = int(result.status)
     if result.claim is not None:
@@ -142,7 +145,7 @@
 
 
 def decode_result(data: bytes) -> ChangeResult:
-    """Decode how a change ended; raise `ProtocolError`."""
+    """Decode the result of a change; raise `ProtocolError`."""
     import capnp
 
     try:
@@ -153,7 +156,7 @@
                 claim = _read_claim(message.claim, target)
             return ChangeResult(ChangeStatus(message.status), claim)
     except (capnp.KjException, ValueError) as error:
-        raise _make_error("the end of a change", error) from error
+        raise _make_error("the result of a change", error) from error
 
 
 def _write_claim(builder: Any, key_hash: int, claim: Claim, target: int) -> None:
--- a/src/hyssopvane/_internal/coordination/claims.py
+++ b/src/hyssopvane/_internal/coordination/claims.py
@@ -1,4 +1,4 @@
-"""Keep the claims of idempotency keys in the key-value service."""
+"""Store the claims of idempotency keys in the key-value service."""
 
 import time
 from collections import OrderedDict, deque
@@ -44,44 +44,50 @@
 from hyssopvane._internal.utils.logs import log_event
 
 BATCH_INTERVAL_S = 0.04
-"""Least time between two writes of one bucket.
+"""Minimum seconds between two writes of one bucket.
 
-Eight buckets then cost at most 200 writes a second, of the several hundred that the
-service takes for everything, at any number of requests. A claim that finds its bucket
-idle is written at once, so only a busy bucket waits.
+It limits the eight buckets to 200 writes a second at any request rate; the service
+handles several hundred a second in total. A claim in an idle bucket is written at once,
+so only claims in a busy bucket wait.
 """
 
 GIVE_UP_S = 4.0
-"""Time for which a write whose answer was lost is read back."""
+"""Seconds after which a batch that is not confirmed is given up.
+
+Until then a write whose answer was lost is read back.
+"""
 
 MAX_PAGES_PER_WRITE = 48
-"""Pages in one transaction, in which etcd takes 128 changes.
+"""Maximum pages in one transaction; etcd accepts 128 changes.
 
-Callers' clocks that are off by a minute spread the keys of one moment over some 16
-slices; they still go as one write.
+When callers' clocks are off by a minute, the keys of one moment fall into about 16
+slices. They still fit in one write.
 """
 
 FLOOR_KEY = "claims/floor"
-"""Holds the oldest slice whose pages have not been deleted."""
+"""Key that holds the oldest slice whose pages have not been deleted."""
 
 MAX_CONFLICT_DELAY_S = 0.01
-"""Longest wait after a write that was lost to another entry's."""
+"""Maximum delay in seconds after another entry wrote the page first."""
 
 FAILURE_BACKOFF_S = 0.5
-"""Time after a failed write in which the service is not tried again."""
+"""Seconds after a failed write during which the service is not tried again."""
 
 SWEEP_SLICES = 6
 """Slices deleted at a time; more would not fit in one transaction."""
 
-# They stay below the service's largest value, at 24 bytes each.
+# At 24 bytes a claim, a page stays below the maximum value size of the service.
 _MAX_CLAIMS_PER_PAGE = 40_000
 _MAX_CACHED_PAGES = 64
 
 _MAX_KNOWN_PAGES = 100
-"""Pages kept to be written again where the service loses them: those of a window."""
+"""Pages kept to write them again if the service loses them; covers one key window."""
 
 MAX_RESTORE_DELAY_S = 0.1
-"""Longest wait before a page is restored; all entries may notice a return at once."""
+"""Maximum delay in seconds before a page is written again.
+
+It spreads the writes of entries that detect a restore of the service at the same time.
+"""
 
 _WRITE_ID_BITS = 64
 
@@ -94,7 +100,7 @@
     page: ClaimPage
     prefix: bytes = b""
     restored: bool = False
-    """Whether the page has claims that the service has lost."""
+    """Whether the page includes claims that the service has lost."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,13 +118,13 @@
     )
 
     def finish(self, result: ChangeResult) -> None:
-        """Tell whoever waits how the change ended."""
+        """Set the result and wake the waiting task."""
         self.result = result
         self.done.set()
 
 
 class ClaimWriter:
-    """Write claims in batches, a bucket at a time, and read them."""
+    """Read claims and write them in batches, one batch per bucket at a time."""
 
     def __init__(
         self,
@@ -147,14 +153,17 @@
         ]
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Run the writes in a nursery that outlives the requests."""
+        """Start the writing tasks in a nursery that outlives the requests."""
         for bucket in self._buckets:
             bucket.start(nursery)
 
     async def find(self, key: ClaimKey) -> Claim | None:
-        """Return the claim of a key as the service has it; raise `KeyValueError`."""
+        """Return the stored claim of a key; raise `KeyValueError`.
+
+        Return a claim that the service has lost if this entry still knows it.
+        """
         if self._buckets[key.bucket].is_failing:
-            raise KeyValueUnavailable("the key-value service is out")
+            raise KeyValueUnavailable("the key-value service is unavailable")
         page_key = get_page_key(key.slice, key.bucket)
         item = await self._store.get(page_key)
         claim = _decode_item(item).page.claims.get(key.key_hash)
@@ -163,15 +172,15 @@
         )
 
     async def change(self, change: ClaimChange) -> ChangeResult:
-        """Make a change with the next batch of its bucket."""
+        """Write a change with the next batch of its bucket and return the result."""
         return await self._buckets[change.key.bucket].change(change)
 
     async def sweep(self) -> None:
         """Delete pages of keys that are older than the window.
 
-        The floor rises in the same transaction. A page is created only together with
-        the floor as it was read; so an entry that was paused, or that knows a wider
-        window, can't start a deleted page anew and run its keys once more.
+        The same transaction raises the floor. A page is created only if the floor is
+        unchanged since it was read. So an entry that was paused, or that has a wider
+        window configured, can't create a deleted page again and run its keys twice.
         """
         floor = await _read_floor(self._store)
         oldest = min(self._get_oldest_slice(), floor.slice + SWEEP_SLICES)
@@ -213,9 +222,9 @@
         self._has_pending = trio.Event()
         self._era = 0
         self._known_pages: OrderedDict[str, ClaimPage] = OrderedDict()
-        """Pages as they were last written or read, also while the service is out."""
+        """Pages as last written or read; kept during an outage of the service."""
         self._lost_pages: dict[str, ClaimPage] = {}
-        """Pages known from before a return, until the service has their claims."""
+        """Pages from before a restore, until the service has their claims again."""
 
     def start(self, nursery: trio.Nursery) -> None:
         nursery.start_soon(self._write_batches)
@@ -223,11 +232,11 @@
 
     @property
     def is_failing(self) -> bool:
-        """Tell whether the service was out a moment ago and is not tried now.
+        """Return whether the last write failed and the next try is not due yet.
 
-        Made for a service that takes every call and answers none. Without this each
-        keyed request would wait for its timeout, and callers would wait behind them;
-        one write at a time tries the service, all others are refused at once.
+        It guards against a service that accepts every call and answers none. Otherwise
+        each keyed request would wait for its timeout and callers would queue up. One
+        write at a time tries the service; all other changes are refused at once.
         """
         return self._retry_at is not None and (
             self._writing or trio.current_time() < self._retry_at
@@ -243,7 +252,7 @@
         return pending.result
 
     def find_lost_claim(self, page_key: str, key_hash: int) -> Claim | None:
-        """Return a claim that this entry knows and the service has lost."""
+        """Return a claim that the service has lost if this entry knows it."""
         self._follow_era()
         page = self._lost_pages.get(page_key)
         return None if page is None else page.claims.get(key_hash)
@@ -263,8 +272,8 @@
     async def _restore(self) -> bool:
         """Write lost claims of one page again; return whether none are left.
 
-        The fence comes first, also where nothing is lost here: keys that are made later
-        than it can be claimed.
+        The fence is written first, even if this entry has no lost claims, so that keys
+        created after the fence can be claimed.
         """
         era = self._store.era
         fenced_slice = await self._fence.get_fenced_slice(era)
@@ -277,7 +286,7 @@
         stored = await self._load(key, fenced_slice)
         floor = await self._load_floor()
         if stored.revision == ABSENT and get_page_slice(key) < floor.slice:
-            # Nobody would delete it again.
+            # No sweep deletes pages below the floor, so the page would stay forever.
             self._lost_pages.pop(key, None)
         elif stored.restored and self._store.era == era:
             swap = self._make_swap(key, stored, stored.page)
@@ -291,7 +300,7 @@
         return not self._lost_pages
 
     def _follow_era(self) -> None:
-        """Take what is known for lost when the service has come back from a copy."""
+        """Mark all known pages as lost when the service was restored from a copy."""
         if self._store.era == self._era:
             return
         if self._era:
@@ -323,7 +332,7 @@
         return batch
 
     async def _commit(self, batch: list[_PendingChange]) -> None:
-        """Try until it is certain which claims are in the pages."""
+        """Retry a batch until its result is certain or the time is up."""
         give_up_at = trio.current_time() + self._give_up_s
         backoff = Backoff(self._random, first_s=0.005, longest_s=0.5)
         uncertain = False
@@ -331,9 +340,9 @@
             try:
                 done = await self._try_write(batch)
             except KeyValueUnknown:
-                # The write may have been carried out, or may still be. The next try
-                # reads the pages back, finds the attempts there, or takes the revision
-                # away from under the late write.
+                # The write may have been applied, or may still be. The next try reads
+                # the pages back: it finds the attempts there, or its own write changes
+                # the revision so that the late write fails.
                 uncertain = True
                 self._clear_cache()
             except (KeyValueError, ProtocolError):
@@ -345,8 +354,8 @@
                 if done:
                     return
                 if trio.current_time() < give_up_at:
-                    # Another entry wrote first, and its page came with the answer. To
-                    # wait longer would lose the next race as well.
+                    # Another entry wrote first, and the answer contains its page. A
+                    # longer delay would let another entry write first again.
                     await trio.sleep(self._random.uniform(0, MAX_CONFLICT_DELAY_S))
                     continue
             if trio.current_time() >= give_up_at:
@@ -385,7 +394,8 @@
         swaps = self._make_swaps(stored, changed)
         if swaps:
             if self._store.era != era:
-                # The floor told of a return; the fence is of the era before.
+                # Reading the floor revealed a restore of the service. The fence is of
+                # the earlier era.
                 return False
             result = await self._store.compare_and_swap(swaps)
             if not isinstance(result, Swapped):
@@ -437,7 +447,7 @@
                 self._cache_page(swap.key, _decode_item(found.get(swap.key)))
 
     async def _load(self, key: str, fenced_slice: int) -> _Stored:
-        """Return a page, with the claims that this entry knows to be lost of it."""
+        """Return a page, merged with its lost claims that this entry knows."""
         self._follow_era()
         if key not in self._cache:
             item = await self._store.get(key)
@@ -494,10 +504,10 @@
 
 
 def _finish_fenced(batch: list[_PendingChange], page: ClaimPage) -> None:
-    """Settle changes of keys that are not claimed any more since a return.
+    """Finish changes of keys that can no longer be claimed since a restore.
 
-    Only an attempt of somebody else can be joined; one of its own may have been written
-    by this entry before it knew of the return.
+    A change can only join another entry's attempt. This entry may have written a claim
+    with the change's own or expected attempt before it detected the restore.
     """
     for one in batch:
         change = one.change
