--- a/src/hyssopvane/_internal/coordination/demand.py
+++ b/src/hyssopvane/_internal/coordination/demand.py
@@ -20,8 +20,8 @@
 from hyssopvane._internal.state.table import CustomerRow
 
 _EXCHANGE_INTERVAL_S = 1.0
-# An answer that comes later than this is of little use: a good part of the shortest
-# lease is over, and the next ask makes it void.
+# A later answer is of little use: much of the shortest lease has passed, and the next
+# request makes the answer void.
 _ANSWER_TIMEOUT_S = 2.0
 
 SendRequest = Callable[[str, str, bytes], Awaitable[bytes]]
@@ -29,7 +29,7 @@
 
 
 class DemandExchange:
-    """Ask for shares as a holder and answer as a giver."""
+    """Request shares of limits from other entries and grant shares to them."""
 
     def __init__(
         self,
@@ -48,15 +48,15 @@
         self._holder = ShareHolder(self._view, admission)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Exchange demand in a nursery, until it is cancelled."""
+        """Start the exchange in a nursery; it runs until cancelled."""
         nursery.start_soon(self._run, nursery)
 
     def update_entries(self, others: Iterable[str]) -> None:
-        """Apply the list of the other live entries."""
+        """Update the list of the other live entries."""
         self._view.update(others, now=trio.current_time())
 
     def answer(self, entry: EntryId, body: bytes) -> bytes:
-        """Answer another entry's asks."""
+        """Decode an entry's requests for shares and return the encoded grants."""
         now = trio.current_time()
         grants = [
             self._granter.answer(entry, request, now=now)
@@ -95,7 +95,7 @@
             try:
                 return await self._send_request(vm, DEMAND_TOPIC, body)
             except HyssopvaneError:
-                # The giver is dead or can't be reached. What is held ends by its
-                # lease, and the safe share stays.
+                # The granting entry has failed or is unreachable. Held shares expire
+                # with their lease, and the safe share remains.
                 return b""
         return b""
--- a/src/hyssopvane/_internal/coordination/map_records.py
+++ b/src/hyssopvane/_internal/coordination/map_records.py
@@ -1,4 +1,4 @@
-"""Write a group's record and map as the key-value service holds them."""
+"""Encode and decode the records, maps and messages of expert map switches."""
 
 import json
 from typing import Any
@@ -27,24 +27,24 @@
 
 
 def get_map_key(service: str, group: str, name: str) -> str:
-    """Return the key of a map, by the name that engines know."""
+    """Return the key of a map from the name that engines use for it."""
     return f"{PREFIX}{service}/{group}/map/{name}"
 
 
 def get_duty_key(service: str, group: str) -> str:
-    """Return the key that the holder of a group's duty puts under its lease."""
+    """Return the key that the coordinator of a group attaches to its lease."""
     return f"{PREFIX}{service}/{group}/duty"
 
 
 def format_record(record: GroupRecord) -> bytes:
-    """Return a record's JSON."""
+    """Encode a record as JSON."""
     return _RECORD.dump_json(record)
 
 
 def parse_record(item: KeyValue | None, *, era: int = 0) -> VersionedRecord:
-    """Read a record; a group that has none has never switched.
+    """Decode a record; return the initial one if the group has never switched.
 
-    `era` is the era of the service in which none was found.
+    `era` is the era of the service in which no record was found.
     """
     if item is None:
         return VersionedRecord(era=era)
@@ -53,23 +53,23 @@
 
 
 def format_map(expert_map: ExpertMap) -> bytes:
-    """Return a map's JSON."""
+    """Encode a map as JSON."""
     return _MAP.dump_json(expert_map)
 
 
 def parse_map(item: KeyValue) -> ExpertMap:
-    """Read a map."""
+    """Decode a map; raise `MapSwitchError` when it is malformed."""
     found: ExpertMap = _parse(_MAP, item.value, item.key)
     return found
 
 
 def format_order(group: str, fence: int) -> bytes:
-    """Return the question by which a coordinator asks an agent to look."""
+    """Encode the message by which a coordinator makes an agent read the record."""
     return json.dumps({"group": group, "fence": fence}).encode()
 
 
 def parse_order(body: bytes) -> tuple[str, int]:
-    """Return the group and the fence of a question."""
+    """Return the group and the fence from a coordinator's message."""
     try:
         document = json.loads(body)
         return str(document["group"]), int(document["fence"])
@@ -81,12 +81,12 @@
 
 
 def format_answer(answer: RankAnswer) -> bytes:
-    """Return an answer's JSON."""
+    """Encode an agent's answer as JSON."""
     return _ANSWER.dump_json(answer)
 
 
 def parse_answer(body: bytes, *, rank: str) -> RankAnswer:
-    """Read an agent's answer."""
+    """Decode an agent's answer; raise `MapSwitchError` when it is malformed."""
     answer: RankAnswer = _parse(_ANSWER, body, rank)
     return answer
 
--- a/src/hyssopvane/_internal/coordination/map_switch.py
+++ b/src/hyssopvane/_internal/coordination/map_switch.py
@@ -38,17 +38,17 @@
 )
 
 MAX_ATTEMPTS = 20
-"""Attempts at one change.
+"""Maximum attempts at one change.
 
-Each lost attempt means that another process has changed the record, which happens a few
-times in a switch; more means that the service answers wrongly.
+A failed attempt means that another process has changed the record, which happens a few
+times in a switch. More failures mean that the service gives wrong answers.
 """
 
 Change = Callable[[GroupRecord], GroupRecord | None]
 
 
 class MapSwitchStore:
-    """Change one group's record by compare-and-swap."""
+    """Read and change the record of one group by compare-and-swap."""
 
     def __init__(self, store: KeyValueStore, *, service: str, group: str) -> None:
         self._store = store
@@ -59,12 +59,13 @@
         self.known = VersionedRecord()
         """Newest record that was read or written.
 
-        Its mark is of what the service has, which may have lost the record.
+        Its position is that of the record in the service, which is an older one if the
+        service has lost the newest.
         """
         self._is_lost = False
 
     async def read(self) -> VersionedRecord:
-        """Read the record; an older state than the known one is ignored."""
+        """Read the record; ignore a state that is older than the known one."""
         item = await self._store.get(self._key)
         self._accept_newer(parse_record(item, era=self._store.era))
         if self._is_lost:
@@ -72,10 +73,10 @@
         return self.known
 
     async def _restore(self) -> None:
-        """Write a record that the service has lost, over the older one that it has.
+        """Overwrite the older record in the service with the lost one.
 
-        Ranks follow it already; to go on with the older one would decide again what has
-        been decided, and two ranks of one step could use two maps.
+        Ranks already follow the lost record. Continuing with the older one would repeat
+        a decision, and two ranks could use different maps in the same step.
         """
         result = await self._swap(self.known.record)
         if not isinstance(result, Swapped):
@@ -96,7 +97,7 @@
         return result
 
     async def read_map(self, name: str) -> ExpertMap | None:
-        """Return a map by its engine name."""
+        """Return a map by the name that engines use, or None if it is not stored."""
         key = get_map_key(self._service, self._group, name)
         item = await self._store.get(key)
         return parse_map(item) if item else None
@@ -116,8 +117,8 @@
         def list_swaps(record: GroupRecord) -> list[Swap]:
             assert record.proposal is not None
             key = f"{self._map_prefix}{record.proposal.name}"
-            # Maps that no rank can use any more are deleted here, else the service
-            # would fill up with one for each proposal.
+            # Delete maps that no rank can still use. Otherwise each proposal would
+            # leave a map in the service.
             used = {f"{self._map_prefix}{one.name}" for one in record.switches[-2:]}
             return [Swap(key, format_map(expert_map), ABSENT)] + [
                 Swap(item.key, None, item.revision)
@@ -128,23 +129,23 @@
         return await self._change(change, list_swaps)
 
     async def fix_step(self, fence: int, step: int) -> VersionedRecord | None:
-        """Fix the step of a staged proposal, or return None when it can't be."""
+        """Fix the step of a staged proposal; return None when that is not allowed."""
         return await self._change(lambda record: fix_step(record, fence, step))
 
     async def decide(self, fence: int) -> VersionedRecord | None:
-        """Decide an armed proposal, or return None when it has ended."""
+        """Decide an armed proposal; return None when it has already ended."""
         return await self._change(lambda record: decide(record, fence))
 
     async def abort(self, fence: int, why: str) -> VersionedRecord | None:
-        """Abort an open proposal, or return None when it has ended."""
+        """Abort an open proposal; return None when it has already ended."""
         return await self._change(lambda record: abort(record, fence, why))
 
     async def confirm_for_restart(self) -> VersionedRecord:
-        """Write the record for a rank that has restarted, before it takes a step.
+        """Write the record for a restarted rank before it executes a step.
 
-        An answer that is lost leaves open whether the record was written. A record
-        that is written unchanged can't be told from another process's by reading it
-        back, so it is written again.
+        When the answer is lost, it is unknown whether the record was written. A read
+        can't show it either: a record written unchanged looks the same as that of
+        another process. So it is written again.
         """
         while True:
             written = await self._change(confirm_for_restart, reads_back=False)
@@ -152,11 +153,11 @@
                 return written
 
     async def acquire_duty(self, holder: str, lease: int) -> bool:
-        """Put the holder's name under its lease; return false when it is taken.
+        """Make a process the coordinator under its lease; return whether it succeeded.
 
-        The lease only keeps two coordinators from doing the same work. A holder that
-        was paused past its lease may still act; the record's compare-and-swap makes
-        that harmless.
+        The lease only prevents two coordinators from doing the same work. A coordinator
+        that was paused beyond its lease may still act. The compare-and-swap of the
+        record makes that harmless.
         """
         key = get_duty_key(self._service, self._group)
         swap = Swap(key, holder.encode(), ABSENT, lease)
@@ -168,12 +169,12 @@
         return isinstance(result, Swapped)
 
     async def release_duty(self, lease: int) -> None:
-        """Give the duty back."""
+        """Release the duty by revoking its lease."""
         if lease != NO_LEASE:
             await self._store.revoke_lease(lease)
 
     async def watch(self, changed: trio.MemorySendChannel[VersionedRecord]) -> None:
-        """Send each new record until the watch ends."""
+        """Send the known record and then each newer one until the watch ends."""
         await self.read()
         await changed.send(self.known)
         start, era = self.known.revision + 1, self.known.era
@@ -192,12 +193,12 @@
         *,
         reads_back: bool = True,
     ) -> VersionedRecord | None:
-        """Try a change until it is written, or until it is no longer allowed.
+        """Retry a change until it is written or no longer allowed.
 
-        When an answer is lost the record is read back: a change that was written is
-        found there, and one that was not is tried again on the record as it is.
-        Trying again can't harm: a late write meets a newer revision, and each change
-        is tied to a fence and a phase.
+        When an answer is lost, the record is read back. It shows whether the change was
+        written; if not, the change is retried on the current record. A retry is safe:
+        a late write fails because the revision is newer, and each change applies to one
+        fence and phase only.
         """
         for _ in range(MAX_ATTEMPTS):
             before = self.known.position
--- a/src/hyssopvane/_internal/coordination/quarantine.py
+++ b/src/hyssopvane/_internal/coordination/quarantine.py
@@ -1,4 +1,4 @@
-"""Share crash suspects and quarantined bodies by one page of the key-value service."""
+"""Share crash suspects and quarantined bodies on a page of the key-value service."""
 
 import json
 import time
@@ -29,11 +29,11 @@
 
 PAGE_PREFIX = "quarantine/"
 PAGE_KEY = "quarantine/page"
-# Word of a crash must be out before the caller's next try, which comes after a backoff
-# of tens of milliseconds at the earliest. Nothing is written while nothing crashes.
+# A crash must be published before the caller's next try, which follows a backoff of at
+# least tens of milliseconds. Nothing is written while nothing crashes.
 _FLUSH_INTERVAL_S = 0.02
-# A watch may go silent. 960 entries that ask once in this time add 32 reads a second
-# to the two thousand that the service gives.
+# The page is also read at this interval because a watch may silently stop. 960 entries
+# then cause 32 reads a second, of the 2000 that the service handles.
 REFRESH_S = 30.0
 _FORMAT = 1
 
@@ -41,11 +41,11 @@
 
 
 class QuarantineSync:
-    """Keep one entry's suspect book and the shared page alike.
+    """Synchronize the suspect tracker of one entry with the shared page.
 
-    Without it each entry would have to see two crashes for itself, and a caller that
-    sends a body through every entry would crash two targets for each of them. While
-    the service is out, each entry goes on with what it knows.
+    Otherwise each entry would have to observe two crashes itself, and a caller that
+    sends a body through all entries would crash two targets for each entry. During an
+    outage of the service, each entry continues with the records that it has.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._refresh_s = refresh_s
         self._position = StorePosition(0, ABSENT)
         self._prefix = b""
-        """First bytes of the page at the mark."""
+        """First bytes of the page at this position."""
         self._shared: SuspectRecords = {}
 
     async def run(self) -> None:
@@ -112,8 +112,8 @@
                 await self._write(changes)
                 backoff.reset()
             except KeyValueError as error:
-                # A write whose reply was lost is sent again: to add the same crash or
-                # to drop the same case twice changes nothing.
+                # A write whose reply was lost is repeated. Adding the same crash or
+                # removing the same record twice changes nothing.
                 self._tracker.return_changes(changes)
                 self._report(error)
                 await trio.sleep(backoff.get_next_delay())
@@ -133,16 +133,17 @@
                 self._record_page(StorePosition(result.era, result.revision), content)
                 self._shared = records
                 return
-            # The answer shows the page as it is, also after a return to an older one.
+            # The answer contains the current page, also after the service was restored
+            # from a copy.
             self._follow_era(result.era)
             self._record_page(StorePosition(result.era, ABSENT))
             for item in result.current:
                 self._accept(item)
-            # What this entry shares again after a return goes with the next try.
+            # Records that must be shared again after a restore join the next try.
             bodies |= self._tracker.take_changes()
 
     def _follow_era(self, era: int) -> None:
-        """Share again what the service may have lost by coming back from a copy."""
+        """Share records again that the service may have lost in a restore."""
         if era <= self._position.era:
             return
         if self._position.era:
@@ -155,7 +156,7 @@
         self._prefix = take_prefix(value)
 
     def _accept(self, item: KeyValue) -> None:
-        """Take over a newer page."""
+        """Merge a newer page into the tracker."""
         if item.key != PAGE_KEY or item.position <= self._position:
             return
         self._follow_era(item.era)
@@ -163,12 +164,12 @@
         try:
             records = parse_page(item.value, offset=offset)
         except ValueError as error:
-            # What this entry knows stays in force; the next write replaces the page.
+            # The records of this entry remain valid; the next write replaces the page.
             self._report(
                 HyssopvaneError(
-                    "the page of quarantined bodies can't be read",
+                    "the page of quarantined bodies can't be decoded",
                     context=f"{item.key} at revision {item.revision}: {error}",
-                    hint="nothing to do unless it comes again",
+                    hint="no action is needed unless this error repeats",
                 )
             )
             self._record_page(item.position, item.value)
@@ -182,7 +183,7 @@
         self._record_page(item.position, item.value)
 
     def _get_offset(self) -> float:
-        """Return what turns clock values of this process into shared times."""
+        """Return the offset from this process's clock to the wall clock, in seconds."""
         return self._wall_clock() - trio.current_time()
 
 
@@ -200,7 +201,8 @@
                 del records[body]
         else:
             records[body] = combine(known, record) if known else record
-    # The page must stay within the service's value. Those that end soonest go first.
+    # The page must fit the maximum value size of the service. Suspects are dropped
+    # before quarantined bodies, and records that expire soonest are dropped first.
     kept = sorted(
         records, key=lambda body: (records[body].quarantined, records[body].until)
     )
@@ -208,7 +210,7 @@
 
 
 def format_page(records: SuspectRecords, *, offset: float) -> bytes:
-    """Write cases as JSON, with times of the wall clock."""
+    """Encode records as JSON with times of the wall clock."""
     document = {
         "format": _FORMAT,
         "cases": [
@@ -229,7 +231,7 @@
 
 
 def parse_page(content: bytes, *, offset: float) -> dict[BodyId, SuspectRecord]:
-    """Read cases; raise `ValueError` when the page is not one."""
+    """Decode records; raise `ValueError` when the page is malformed."""
     try:
         document = json.loads(content)
         if document["format"] != _FORMAT:
@@ -245,7 +247,7 @@
     crashes = document["crashes"]
     until = document["until"]
     if not isinstance(crashes, list) or not isinstance(until, int | float):
-        raise TypeError("crashes or until")
+        raise TypeError("crashes must be a list and until a number")
     body = BodyId(str(document["service"]), bytes.fromhex(str(document["digest"])))
     return body, SuspectRecord(
         crashes=tuple(
--- a/src/hyssopvane/_internal/coordination/rank_control.py
+++ b/src/hyssopvane/_internal/coordination/rank_control.py
@@ -1,4 +1,4 @@
-"""Describe what an agent may ask of a rank."""
+"""Define the interface through which an agent queries and controls a rank."""
 
 from abc import ABC, abstractmethod
 from enum import StrEnum
@@ -8,22 +8,22 @@
 
 
 class OrderOutcome(StrEnum):
-    """Tell what became of an order."""
+    """Report the outcome of an order."""
 
     DONE = "done"
-    """The rank has begun it, or is already as it asks."""
+    """The rank has started the order or is already in the requested state."""
     REFUSED = "refused"
-    """It does not fit the rank's state and won't be carried out."""
+    """The order does not fit the rank's state and will not be carried out."""
     UNKNOWN = "unknown"
-    """There was no answer: it may have been carried out, or may be later."""
+    """There was no answer: the order may have been carried out or may still be."""
 
 
 class RankError(Exception):
-    """Tell that a rank did not answer a question."""
+    """Report that a rank did not answer a query."""
 
 
 class RankControl(ABC):
-    """Ask one rank, or order it."""
+    """Query ranks and send orders to them."""
 
     @abstractmethod
     async def read_report(self, address: str) -> RankReport:
@@ -31,7 +31,7 @@
 
     @abstractmethod
     async def read_counts(self, address: str) -> Counts:
-        """Return how often each expert was chosen; raise `RankError`."""
+        """Return how often each expert was selected; raise `RankError`."""
 
     @abstractmethod
     async def read_experts(self, address: str) -> ExpertsBySet:
@@ -39,7 +39,7 @@
 
     @abstractmethod
     async def send_order(self, address: str, order: RankOrder) -> OrderOutcome:
-        """Give an order and tell what became of it."""
+        """Send an order and return its outcome."""
 
     @abstractmethod
     async def close(self) -> None:
