--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -1,4 +1,4 @@
-"""Follow the configuration and the replicas in the platform's store."""
+"""Track the configuration and the replicas in the platform's store."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -21,31 +21,32 @@
 from hyssopvane._internal.utils.logs import log_event
 
 MISSING_GRACE_S = 2.2
-"""Time after the store's return in which a missing replica is still believed.
+"""Seconds after a reconnection to the store during which missing replicas are kept.
 
-Registrations lapse while the store is away, and living replicas are back within two
-seconds. Dropping them at once would leave nobody to serve.
+Registrations expire during an outage of the store, and live replicas register again
+within two seconds. Dropping them at once would leave no replica for any request.
 """
 
 UNCONFIRMED_S = 10.0
-"""Time after the store's return from a copy in which a replica whose registration had
-ended before is not believed to be ready by a registration of the copy.
+"""Seconds after a restore of the store during which some registrations are unconfirmed.
 
-Registrations of replicas that are gone lapse after three heartbeats. One that stays is
-of a living replica, which registered again before it was looked for.
+A replica whose registration had ended before the restore is not considered ready
+because of a registration in the copy. Registrations of replicas that are gone expire
+after three heartbeats. One that remains belongs to a live replica that registered again
+before the entry checked.
 """
 
 _MIN_RETRY_DELAY_S = 0.1
 _MAX_RETRY_DELAY_S = 1.0
-"""Pause between tries while the store is away.
+"""Seconds between tries while the store is unavailable.
 
-Rules allow two seconds from an accepted change to its use; a longer pause would use
-them up after the store's return, a shorter one of every process would press it.
+An accepted change must be in use within two seconds. A longer pause would use up that
+time after the store has recovered; a shorter one in all processes would overload it.
 """
 
 
 class RoutingFormat(ABC):
-    """Name the keys of the store and decode their values."""
+    """Define the keys of the store and decode their values."""
 
     configuration_key: str
     replicas_prefix: str
@@ -60,11 +61,12 @@
 
 
 class RoutingFeed:
-    """Keep the newest configuration and the living replicas.
+    """Hold the newest configuration and the live replicas.
 
-    The configuration never goes back: operators number their versions. Registrations
-    are ordered by the store's revisions, which hold within one era of the store only.
-    When the store comes back from an older copy, what it lists then is followed.
+    The configuration never reverts to an older version; operators number the versions.
+    Registrations are ordered by the store's revisions, which are valid only within one
+    era of the store. After the store is restored from an older copy, the replicas that
+    it then lists are used.
     """
 
     def __init__(
@@ -81,36 +83,36 @@
         self._random = random
         self._observe = observe
         self._count = count
-        """Takes the name of an event that operators may want to watch."""
+        """Called with the name of each event that operators may want to monitor."""
         self._was_ready = trio.Event()
         self.table: RoutingTable | None = None
         self.replicas: dict[str, Replica] = {}
         self._configuration = KeyValue("", b"", 0)
         self._items: dict[str, KeyValue] = {}
         self._unreadable: dict[str, int] = {}
-        """Revision of the registrations that can't be read, by their key."""
+        """Revisions of the registrations that can't be decoded, by key."""
         self.unreadable_count = 0
-        """Registrations that could not be read, since the start."""
+        """Number of registrations since the start that could not be decoded."""
         self.replicas_position = StorePosition(0, 0)
-        """Point of the store's history up to which the registrations are known."""
+        """Position in the store's history up to which the registrations are known."""
         self._departures = Departures()
         self._missing: dict[str, float] = {}
-        """Times at which replicas that lapsed during an outage are dropped."""
+        """Times at which replicas that expired during an outage are dropped, by key."""
         self.connected_at = -MISSING_GRACE_S
-        """Time of the first answer of the store since its last silence."""
+        """Time of the first answer of the store since its last outage."""
         self._connected: dict[str, bool] = {}
         self._was_lost = False
         self.returned_at: float | None = None
-        """Time of the store's last return from a silence, None where none was seen."""
+        """Time at which the last outage of the store ended; None if there was none."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Follow the store in a nursery."""
+        """Start the tasks that watch the store in a nursery."""
         nursery.start_soon(self._follow, self._format.configuration_key)
         nursery.start_soon(self._follow, self._format.replicas_prefix)
         nursery.start_soon(self._drop_missing)
 
     def is_ready(self) -> bool:
-        """Tell whether a configuration and replicas are known."""
+        """Return whether a configuration and replicas are known."""
         return self.table is not None and bool(self.replicas)
 
     async def wait_until_ready(self) -> None:
@@ -123,7 +125,7 @@
         self._observe()
 
     def export(self) -> StoreSnapshot:
-        """Return what is known, to pass it on to another process."""
+        """Return a snapshot of the known state to send it to another process."""
         return StoreSnapshot(
             self._configuration.revision,
             self._configuration.value,
@@ -131,15 +133,16 @@
             tuple(
                 StoreItem(item.key, item.value, item.revision)
                 for item in self._items.values()
-                # A replica that lapsed is believed for a while longer. A peer that has
-                # its end behind it would learn it anew, and nobody would tell it again.
+                # An expired replica is kept here for a grace time. A peer that has
+                # already removed it would add it again, and no later event would
+                # remove it.
                 if item.key not in self._missing
             ),
             self.replicas_position.era,
         )
 
     def merge(self, snapshot: StoreSnapshot) -> None:
-        """Take over what another process knows more newly."""
+        """Apply the parts of another process's snapshot that are newer."""
         if snapshot.configuration:
             key = self._format.configuration_key
             self._apply_configuration(
@@ -155,28 +158,29 @@
         self._notify()
 
     def note_return(self, at: float) -> None:
-        """Learn from a peer when the store came back from a silence.
+        """Record the end of an outage of the store that a peer detected.
 
-        Registrations lapse while the store is away. A process whose watch waited all
-        the while would take the news of that for the end of all replicas.
+        Registrations expire while the store is unavailable. A process whose watch
+        stayed open throughout would otherwise treat their removal as the end of all
+        replicas.
         """
         self.connected_at = max(self.connected_at, at)
 
     def measure_levels(self) -> dict[str, int]:
-        """Return what is in force, for the metrics."""
+        """Return the configuration version and the number of replicas, for metrics."""
         return {
             "configuration-version": self.configuration_version,
             "replicas": len(self.replicas),
         }
 
     def note_era(self, era: int) -> None:
-        """Learn from a peer that the store has come back from a copy."""
+        """End watches when a peer reports that the store was restored from a copy."""
         if era > self.replicas_position.era:
             self._store.end_watches(era)
 
     @property
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force, 0 where none is."""
+        """Return the version of the configuration in force, or 0 if there is none."""
         return 0 if self.table is None else self.table.version
 
     @property
@@ -195,7 +199,7 @@
                 await self._watch(prefix, snapshot)
             except KeyValueError as error:
                 self._record_connection(prefix, False, why=str(error))
-                # Spread over time: after an outage all processes come back at once.
+                # Add jitter, because after an outage all processes reconnect at once.
                 await trio.sleep(retry_s * self._random.uniform(0.5, 1.0))
                 retry_s = min(_MAX_RETRY_DELAY_S, retry_s * 2)
 
@@ -265,9 +269,9 @@
             self._count("configuration-unreadable")
             log_event("error", "configuration-unreadable", why=error)
             return
-        # An answer that was on its way for long, a peer that lags, or a store that has
-        # come back from a copy must not bring back routes and keys that were removed.
-        # Revisions do not tell: after such a return they are given out again.
+        # A delayed answer, a lagging peer or a store that was restored from a copy must
+        # not bring back routes and keys that were removed. Revisions can't be used for
+        # this check, because the store reuses them after a restore.
         if self.table is not None and table.version <= self.table.version:
             self._record_ignored(item, table.version, source=source)
             return
@@ -296,7 +300,7 @@
         )
 
     def list_unreadable(self) -> tuple[str, ...]:
-        """Return the keys whose registrations can't be read at present."""
+        """Return the keys whose current registrations can't be decoded."""
         return tuple(self._unreadable)
 
     def _get_revision(self, key: str) -> int:
@@ -324,11 +328,11 @@
         for key in self._unreadable.keys() - present:
             del self._unreadable[key]
         for key in self._items.keys() - present:
-            self._remove(key, why=f"missing in the list of the {source}")
+            self._remove(key, why=f"not listed by the {source}")
         self.replicas_position = position
 
     def _begin_era(self, era: int) -> None:
-        """Forget the revisions of an earlier era: they are given out again."""
+        """Reset the known revisions, because the store reuses them in a new era."""
         if self.replicas_position.revision:
             self.connected_at = self.returned_at = trio.current_time()
         self.replicas_position = StorePosition(era, 0)
@@ -371,31 +375,33 @@
             )
 
     def _reject_registration(self, item: KeyValue, error: ConfigurationError) -> None:
-        """Use no replica of a key whose registration can't be read.
+        """Drop the replica of a key whose registration can't be decoded.
 
-        Anything may write there. What the key named before may have ended, and its
-        address may belong to another service; whoever lives registers again within
-        seconds.
+        Any process may write to the store. The earlier replica of the key may be gone,
+        and its address may belong to another service. A live replica registers again
+        within seconds.
         """
         self.unreadable_count += 1
         self._count("registration-unreadable")
         if item.key not in self._unreadable:
-            # Once while it stays so: its writer may repeat it many times a second.
+            # Log it only once until the key is readable again, because its writer may
+            # repeat it many times a second.
             log_event("error", "replica-unreadable", revision=item.revision, why=error)
-        self._drop(item.key, why="its registration can't be read")
+        self._drop(item.key, why="its registration can't be decoded")
         self._unreadable[item.key] = item.revision
 
     def _is_replaced(self, key: str, replica: Replica, revision: int) -> bool:
-        # A replica that crashed says nothing, and its registration stays for seconds
-        # beside that of the one which now has its address. Its load would be counted
-        # twice, and half of all requests would be sent for the one that is gone.
+        # A crashed replica does not deregister. For some seconds its registration
+        # remains next to that of the replica that now has its address. The load would
+        # be counted twice, and half of the requests would be addressed to the replica
+        # that is gone.
         for other, found in list(self.replicas.items()):
             if other == key or found.address != replica.address:
                 continue
             if self._get_revision(other) > revision:
                 return True
             self._record_departure(other)
-            self._drop(other, why=f"its address belongs to {replica.id}")
+            self._drop(other, why=f"its address now belongs to {replica.id}")
         return False
 
     def _remove(self, key: str, *, why: str) -> None:
@@ -430,7 +436,7 @@
             await trio.sleep(_MIN_RETRY_DELAY_S)
             now = trio.current_time()
             for key in [one for one, at in self._missing.items() if at <= now]:
-                self._drop(key, why="not back after an outage of the store")
+                self._drop(key, why="not registered again after an outage of the store")
                 self._notify()
             self._departures.expire(now=now)
             if self._is_settled(now):
--- a/tests/unit/test_store_watch.py
+++ b/tests/unit/test_store_watch.py
@@ -37,7 +37,7 @@
     async def test():
         feed = make_feed()
         feed._put(KeyValue("servers/1", make_registration(1), 1))
-        feed._note_connection("servers/", True)
+        feed._record_connection("servers/", True)
         await trio.sleep(100.0)
         if told:
             feed.note_return(trio.current_time() - 0.3)
@@ -50,11 +50,11 @@
 def test_only_a_reconnection_is_reported():
     async def test():
         feed = make_feed()
-        feed._note_connection("servers/", True)
+        feed._record_connection("servers/", True)
         assert feed.returned_at is None
-        feed._note_connection("servers/", False)
+        feed._record_connection("servers/", False)
         await trio.sleep(MISSING_GRACE_S)
-        feed._note_connection("servers/", True)
+        feed._record_connection("servers/", True)
         assert feed.returned_at == trio.current_time()
 
     run(test)
