--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -1,4 +1,4 @@
-"""Test the claims in the key-value service, with its faults."""
+"""Test claims in the key-value service with injected faults."""
 
 from random import Random
 
@@ -98,10 +98,10 @@
 
 
 def test_claims_of_one_moment_go_in_few_writes():
-    """A burst of bids at the end of an auction finds the service busy already.
+    """Guard against one write for each claim of a burst.
 
-    Written one by one they would use up its several hundred writes a second and hold
-    up the table's edits.
+    At the end of an auction, single writes would use up the several hundred writes a
+    second that the service handles and delay edits of the table.
     """
 
     async def run():
@@ -143,10 +143,11 @@
     ),
 )
 def test_one_attempt_is_confirmed_for_a_key(faults, arrivals):
-    """Three entries write the same pages while the service loses and delays answers.
+    """Guard against two confirmed attempts of one key.
 
-    Were two attempts of one key confirmed, both would be sent to targets, and rival
-    buyers would each believe they won the car.
+    Three entries write the same pages while the service loses and delays answers. If
+    two attempts of a key were confirmed, both would be sent to targets, and two buyers
+    would each be told that they won the auction.
     """
 
     async def run():
@@ -191,10 +192,11 @@
     run_mocked(run)
 
 
-def test_paused_entry_does_not_start_a_deleted_page_anew():
-    """An entry is paused with a claim in hand until the key's page has been deleted.
+def test_paused_entry_does_not_create_a_deleted_page_again():
+    """Guard against a second run of a key whose page was deleted.
 
-    It wakes and claims the key as if it had never run. The bid would run twice.
+    An entry is paused before it writes a claim. When it resumes, the key's page has
+    been deleted, so the key looks as if it had never run.
     """
 
     async def run():
@@ -239,10 +241,10 @@
     run_mocked(run)
 
 
-def test_service_that_answers_nothing_is_tried_by_one_write_at_a_time():
-    """The service accepts every call and answers none.
+def test_unresponsive_service_is_tried_by_one_write_at_a_time():
+    """Guard against keyed requests that each wait for their own timeout.
 
-    Each keyed request would wait for its own timeout, and callers would pile up.
+    The service accepts every call and answers none, so callers would queue up.
     """
 
     async def run():
--- a/tests/unit/test_claims_after_return.py
+++ b/tests/unit/test_claims_after_return.py
@@ -1,4 +1,4 @@
-"""Test claims in a key-value service that comes back from a copy."""
+"""Test claims in a key-value service that is restored from a copy."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -17,11 +17,11 @@
 from tests.unit.test_claims import NOW, make_change, make_key, run_mocked
 
 SETTLED_S = CLOCK_ALLOWANCE_S + 3 * SLICE_S
-"""Time after which keys are made that can't have been claimed before a return."""
+"""Seconds after a restore from which on new keys can't have been claimed before it."""
 
 
 class Service:
-    """Hold a service and entries that write claims in it."""
+    """Run a key-value service and the claim writers of several entries."""
 
     def __init__(self, nursery, count, *, choose_fault=lambda: Fault.NONE):
         self.state = KeyValueState(trio.current_time)
@@ -66,8 +66,8 @@
     return result.status is ChangeStatus.KNOWN and result.claim == change.claim
 
 
-def test_claim_made_after_a_return_is_not_overwritten():
-    """Guards against a lost page that is taken for another one of its revision."""
+def test_claim_made_after_a_restore_is_not_overwritten():
+    """Guard against confusing a lost page with another page of the same revision."""
 
     async def run():
         async with open_service() as site:
@@ -91,8 +91,8 @@
 
 
 @pytest.mark.parametrize("keeps_running", [True, False])
-def test_key_whose_claim_was_lost_is_not_claimed_anew(keeps_running):
-    """Guards against a second run of a request whose claim the service has lost."""
+def test_key_whose_claim_was_lost_is_not_claimed_again(keeps_running):
+    """Guard against a second run of a request whose claim the service has lost."""
 
     async def run():
         async with open_service() as site:
@@ -116,8 +116,8 @@
     run_mocked(run)
 
 
-def test_key_that_is_replaced_after_a_return_is_not_claimed_anew():
-    """Guards against an attempt in the copy that is replaced a second time."""
+def test_key_whose_replacement_was_lost_is_not_claimed_again():
+    """Guard against replacing an attempt in the copy a second time."""
 
     async def run():
         async with open_service() as site:
@@ -133,8 +133,8 @@
     run_mocked(run)
 
 
-def test_keys_made_after_a_return_are_claimed():
-    """Guards against an old return that holds up new requests."""
+def test_keys_made_after_a_restore_are_claimed():
+    """Guard against a past restore that blocks new requests."""
 
     async def run():
         async with open_service() as site:
@@ -153,7 +153,7 @@
 
 
 def test_page_that_was_deleted_is_not_restored():
-    """Guards against pages of expired keys that nobody deletes after a return."""
+    """Guard against pages of expired keys that are never deleted after a restore."""
 
     async def run():
         async with open_service() as site:
@@ -173,8 +173,8 @@
     run_mocked(run)
 
 
-def test_entry_started_after_a_return_claims_no_older_key():
-    """Guards against a process that knows only the restored cluster."""
+def test_entry_started_after_a_restore_claims_no_older_key():
+    """Guard against lost claims at an entry that knows only the restored cluster."""
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -201,8 +201,8 @@
 
 
 @pytest.mark.parametrize("seed", [*range(60), 226])
-def test_one_attempt_is_confirmed_for_a_key_over_returns(seed, monkeypatch):
-    """Guards against two attempts of a key that are both confirmed over a return."""
+def test_one_attempt_is_confirmed_for_a_key_across_restores(seed, monkeypatch):
+    """Guard against two attempts of one key that are confirmed before and after."""
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
     random = Random(seed)
@@ -221,7 +221,7 @@
         if found is not None:
             if found.attempt in confirmed.get(number, ()):
                 return
-            # Its agent has proved that this attempt was never sent and never runs.
+            # The agent has proved that this attempt was not sent and will never run.
             unsent.add(found.attempt)
             expected = found.attempt
         change = make_change(key, attempt, expected=expected)
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -20,7 +20,7 @@
 from hyssopvane._internal.state.shares import EntryId, ShareGrant, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
 
-# Of three entries, another than the first gives out its shares.
+# Of three entries, one other than the first grants the shares of this customer.
 CUSTOMER = "portal"
 ROWS = {CUSTOMER: CustomerRow(CUSTOMER, concurrency_limit=60)}
 
@@ -40,13 +40,13 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff" * 24])
-def test_codec_refuses_what_it_can_not_read(data):
+def test_codec_refuses_malformed_data(data):
     with pytest.raises(ProtocolError):
         decode_asks(data)
 
 
 class Site:
-    """Run exchanges that call each other directly."""
+    """Run the exchanges of several entries, which call each other directly."""
 
     def __init__(self, *, cut_off=()):
         self.exchanges = {}
@@ -73,7 +73,7 @@
         return self.exchanges[vm].answer(EntryId(sender, 1), body)
 
     def fill(self, vm):
-        """Let requests come until one is refused; return how many are open."""
+        """Admit requests until one is refused; return the number of open requests."""
         admission = self.admissions[vm]
         now = trio.current_time()
         while admission.check(CUSTOMER, 1, hold_s=1.0, now=now) is None:
@@ -100,11 +100,11 @@
     ],
 )
 def test_entry_gets_what_it_needs(cut_off, least, most):
-    """All of a customer's callers come to one entry of three.
+    """Guard against fixed shares when all callers of a customer use one entry of three.
 
-    With a fixed third of the limits, most of them would be refused while the rest of
-    the customer's limit is used by nobody. When that entry is cut off from the
-    others, it must not take what they may be using.
+    With a fixed third of the limit, most requests would be refused while the rest of
+    the limit is unused. When that entry is cut off from the others, it must not use
+    their shares.
     """
     site = Site(cut_off=cut_off)
     filled = trio.run(
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -41,7 +41,7 @@
 
 @asynccontextmanager
 async def run_trackers(count, *, state=None, choose_fault=choose_no_fault, stores=None):
-    """Run some entries' shares; their clocks differ from the wall clock."""
+    """Run the trackers of several entries; their clocks differ from the wall clock."""
     state = state or KeyValueState(trio.current_time)
     trackers = [SuspectTracker() for _ in range(count)]
     stores = [] if stores is None else stores
@@ -79,11 +79,10 @@
     return sum(tracker.is_suspect(body, now=now) for tracker in trackers)
 
 
-def test_crashes_at_two_entries_quarantine_at_all():
-    """A caller sends a body that crashes targets, each time by another entry.
+def test_crashes_at_two_entries_quarantine_the_body_at_all():
+    """Guard against a body that crashes targets through one entry after another.
 
-    Each entry sees one crash only and would go on; callers of all entries would lose
-    one target after another.
+    Each entry sees only one crash and would continue to send the body.
     """
 
     async def run():
@@ -113,7 +112,7 @@
     run_mocked(run)
 
 
-def test_body_cleared_at_one_entry_is_clear_at_all():
+def test_body_cleared_at_one_entry_is_cleared_at_all():
     async def run():
         async with run_trackers(3) as trackers:
             record_crash(trackers[0], "t0")
@@ -152,7 +151,7 @@
 
 
 @pytest.mark.parametrize("quarantined", [False, True])
-def test_page_keeps_cases(quarantined):
+def test_page_preserves_records(quarantined):
     record = SuspectRecord(
         (Crash("t0", 7, 10.0), Crash("t1", 8, 11.5)), quarantined, 600.0
     )
@@ -181,10 +180,11 @@
     st.integers(0, 1000),
 )
 def test_entries_agree_after_faults(steps, seed):
-    """The service goes down, loses replies and is slow while targets crash.
+    """Guard against entries that disagree after faults of the service.
 
-    Once it is back, entries that still differed would refuse a caller here and crash
-    a target with the same body there.
+    The service goes down and loses replies and writes while targets crash. If entries
+    still differed after that, one would refuse a body and another would crash a target
+    with it.
     """
 
     async def run():
@@ -216,8 +216,8 @@
 
 
 @pytest.mark.parametrize("lost_first", [True, False])
-def test_entries_agree_over_a_return_of_the_service(lost_first):
-    """Guards against cases that the service lost, or that nobody hears after it."""
+def test_entries_agree_after_a_restore_of_the_service(lost_first):
+    """Guard against records that a restore loses or that are not shared after it."""
     early = BodyId("draft", b"early")
 
     async def run():
--- a/tests/unit/test_routing_feed.py
+++ b/tests/unit/test_routing_feed.py
@@ -1,4 +1,4 @@
-"""Test that a process never goes back to an older configuration."""
+"""Test how a process tracks the configuration and the replicas."""
 
 import json
 from random import Random
@@ -68,10 +68,10 @@
     [(30, 3, 3), (10, 1, 2), (20, 1, 2), (30, 1, 2)],
     ids=["newer", "older", "same", "newer-revision-older-version"],
 )
-def test_peer_never_takes_a_process_back(revision, version, expected):
-    """A peer that lags, or a late answer, brings an older configuration.
+def test_peer_never_reverts_a_configuration(revision, version, expected):
+    """Guard against an older configuration from a lagging peer or a late answer.
 
-    A key that was taken away would work again, at one machine and for a while.
+    A revoked key would be accepted again by one VM for some time.
     """
 
     async def test():
@@ -93,11 +93,11 @@
     run(test)
 
 
-def test_replicas_that_lapsed_in_an_outage_are_believed_for_a_while():
-    """The store comes back, and the registrations have run out meanwhile.
+def test_replicas_that_expired_in_an_outage_are_kept_for_a_grace_time():
+    """Guard against dropping all replicas after an outage of the store.
 
-    Living replicas are back within two seconds; until then an entry that believed the
-    list would have nobody to send to, and refuse everybody.
+    Registrations expire during the outage, and live replicas register again within two
+    seconds. Until then an entry without replicas would refuse all requests.
     """
 
     async def test():
@@ -120,7 +120,7 @@
     run(test)
 
 
-def test_replica_that_is_removed_in_calm_times_is_dropped_at_once():
+def test_replica_removed_without_an_outage_is_dropped_at_once():
     async def test():
         feed = make_feed()
         await trio.sleep(10)
@@ -134,11 +134,12 @@
     run(test)
 
 
-def test_replica_at_a_new_ones_address_is_gone():
-    """All machines lose power, and the replicas start anew at the same addresses.
+def test_replica_whose_address_was_reused_is_dropped():
+    """Guard against old registrations next to new ones of the same address.
 
-    The old registrations stay for seconds. Each load would be counted twice, and half
-    of the requests would ask for a replica that is no more.
+    After a power loss of all machines, replicas restart at the same addresses, and the
+    old registrations remain for seconds. Each load would be counted twice, and half of
+    the requests would be addressed to a replica that no longer exists.
     """
 
     async def test():
@@ -152,8 +153,8 @@
     run(test)
 
 
-def test_replica_that_lapsed_is_not_passed_on_to_peers():
-    """Guards against a peer that learns a replica anew after its registration ended."""
+def test_expired_replica_is_not_sent_to_peers():
+    """Guard against a peer that adds a replica again after its registration ended."""
 
     async def test():
         feed, peer = make_feed(), make_feed()
