--- a/tests/functional/test_map_switch.py
+++ b/tests/functional/test_map_switch.py
@@ -1,4 +1,4 @@
-"""Switch the expert map of a group of processes, with a coordinator killed."""
+"""Test the switch of a group's expert map when its coordinator is killed."""
 
 import json
 import re
@@ -13,7 +13,7 @@
 
 
 class Ranks:
-    """Start engines with agents, and look at the engines."""
+    """Start engines with their agents and read the state of the engines."""
 
     def __init__(self, cluster):
         self._cluster = cluster
@@ -33,7 +33,7 @@
             self.agents[name] = re.search(r"entries=(\S+)", agent.lines[-1])[1]
 
     def restart_engine(self, name):
-        """Kill an engine and start one without a map on its address."""
+        """Kill an engine and start one without a map at its address."""
         self.processes[name].kill()
         self._cluster.start_standin(
             "engine_server", "--bind", self.engines[name], "--expert-map="
@@ -53,7 +53,7 @@
             process.kill()
 
     def read_engines(self):
-        """Return what each engine says, and check the map of its step."""
+        """Return the state of each engine; check that all use one map in one step."""
         views = {}
         for name, address in self.engines.items():
             views[name] = view = json.loads(request("GET", address, "/rank").body)
@@ -79,11 +79,12 @@
 
 
 def test_killed_coordinator_leaves_the_group_on_one_map(ranks):
-    """Kill a coordinator after all ranks are armed and before it writes the decision.
+    """Guard against a group that is stuck after its coordinator was killed.
 
-    The ranks come to the step and wait, and answers stand still. After seconds an
-    agent writes the abort, the group goes on with the old map, and a later coordinator
-    switches it. A rank that is restarted after that comes up on the decided map.
+    The coordinator is killed after all ranks are armed and before it writes the
+    decision. The ranks wait at the armed step and send no answers. After some seconds
+    an agent writes the abort and the group continues with the old map. A later
+    coordinator switches it, and a rank that is then restarted uses the decided map.
     """
     first = ranks.start_coordinator("a", "--pause")
     first.wait_for("armed")
--- a/tests/functional/test_store_return.py
+++ b/tests/functional/test_store_return.py
@@ -1,4 +1,4 @@
-"""Test what holds after the platform's store has come back from an older copy."""
+"""Test a direct entry after the platform's store was restored from an older copy."""
 
 import pytest
 import trio
@@ -26,7 +26,7 @@
 
 
 async def wait_for_reaction(site, version):
-    """Wait until a version is in force, or one was read and left out."""
+    """Wait until a version is in force, or until a version was read and ignored."""
     events = site.entry.metrics._events
     left_out = events["configuration-left-out"]
     await site.wait_until(
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("lost", [1, 3])
 def test_key_revoked_after_the_store_lost_changes_is_refused(lost):
-    """Guards against leaving a change out because its revision was given out before."""
+    """Guard against ignoring a change because its revision was used before."""
 
     async def test(site):
         await site.add_replica("i-1", answer_whole)
@@ -56,8 +56,8 @@
     run(test)
 
 
-def test_replica_that_leaves_after_the_store_lost_changes_gets_nothing_new():
-    """Guards against leaving out a registration whose revision is given out again."""
+def test_replica_that_leaves_after_the_store_lost_changes_gets_no_requests():
+    """Guard against ignoring a registration because its revision was used before."""
 
     async def test(site):
         leaving = await site.add_replica("i-1", answer_whole)
--- a/tests/lib/direct_store.py
+++ b/tests/lib/direct_store.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """Hold what a store had at one revision."""
+    """Hold the content of a store at one revision."""
 
     revision: int
     items: dict[str, tuple[bytes, int]]
@@ -29,21 +29,21 @@
 
 @dataclass
 class DirectStore:
-    """Serve items by revision; a test changes them and switches faults on."""
+    """Serve items by revision; a test changes them and injects faults."""
 
     revision: int = 10
     era: int = 0
-    """How often the store has come back from a copy."""
+    """Number of times that the store was restored from a copy."""
     era_header: bytes | None = None
-    """What the header of the era says, None where it says the era."""
+    """Value of the era header; None sends the actual era."""
     on_call: Callable[[str], None] = lambda path: None
-    """Takes the path of each call before it is answered."""
+    """Called with the path of each call before it is answered."""
     items: dict[str, tuple[bytes, int]] = field(default_factory=dict)
     history: list[dict[str, Any]] = field(default_factory=list)
     compacted_revision: int = 0
-    """Revision up to which the history is forgotten."""
+    """Revision up to which the history was dropped."""
     answer_status: int = 0
-    """Status with which every call is turned away, 0 for none."""
+    """Status with which every call is rejected; 0 rejects none."""
     lose_answers: bool = False
     calls: list[str] = field(default_factory=list)
     changed: trio.Event = field(default_factory=trio.Event)
@@ -57,7 +57,7 @@
         self._append_event(self._describe(key))
 
     def remove(self, key: str) -> None:
-        """Delete a key; do nothing where it is not there."""
+        """Delete a key; do nothing if it does not exist."""
         if key not in self.items:
             return
         self.revision += 1
@@ -65,16 +65,16 @@
         self._append_event({"key": key, "revision": self.revision, "deleted": True})
 
     def compact_history(self) -> None:
-        """Drop the history, and cut the watches."""
+        """Drop the history and end the watches."""
         self.compacted_revision = self.revision
         self._notify_watches()
 
     def copy(self) -> StoreCopy:
-        """Return a copy to come back from."""
+        """Return a copy from which the store can be restored."""
         return StoreCopy(self.revision, dict(self.items), frozenset(self.leases))
 
     def restore_from(self, copy: StoreCopy) -> None:
-        """Lose what was written since a copy, and give its revisions out again."""
+        """Restore a copy; later changes are lost and their revisions are reused."""
         self.era += 1
         self.revision = copy.revision
         self.items = dict(copy.items)
@@ -85,7 +85,7 @@
         self._notify_watches()
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one call."""
+        """Answer one call of the store's HTTP API."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -1,4 +1,4 @@
-"""Model processes that follow a store which comes back from older copies."""
+"""Simulate processes that track a store which is restored from older copies."""
 
 import json
 from collections.abc import AsyncIterator
@@ -30,14 +30,16 @@
 
 CONFIG_APPLY_S = 2.0
 RECOVERY_S = 3.0
-"""Time after a disturbance of the store, or of a process's way to it, in which no bound
-holds for the process."""
+"""Seconds during which no bound applies to a process.
+
+They begin after a fault of the store or of the process's connection to it.
+"""
 
 REWRITE_S = 2.0
-"""Time after a return within which what the store lost is written again."""
+"""Seconds after a restore within which lost changes are written again."""
 
 EXCHANGE_INTERVAL_S = 0.5
-"""Pause between two words of a process on how new its beliefs are."""
+"""Seconds between two messages of a process with the position of its snapshot."""
 
 _CONFIGURATION = "op/config"
 _LONGEST_ANSWER_S = 0.25
@@ -54,7 +56,7 @@
 
 
 class DirectStoreClient:
-    """Call a stand-in of the store without sockets."""
+    """Call a stand-in for the store without sockets."""
 
     def __init__(self, store: DirectStore, random: Random) -> None:
         self._store = store
@@ -73,7 +75,7 @@
     ) -> AsyncIterator[_Response]:
         if self.is_cut:
             await trio.sleep(0.1)
-            raise ReplicaUnreachable("the way to the store is cut")
+            raise ReplicaUnreachable("the connection to the store is cut")
         sent: list[Any] = []
 
         async def receive() -> Any:
@@ -87,7 +89,7 @@
         await self._store(scope, receive, send)
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
         if self.is_cut:
-            raise ReplicaFailed("the way to the store is cut")
+            raise ReplicaFailed("the connection to the store is cut")
         fields = join_headers(sent[0]["headers"])
         answer = b"".join(one.get("body", b"") for one in sent[1:])
         yield _Response(sent[0]["status"], fields, answer)
@@ -98,7 +100,7 @@
 
 @dataclass
 class Process:
-    """Hold one process that follows the store, until it is restarted."""
+    """Hold the state of one process that tracks the store, until its restart."""
 
     feed: RoutingFeed
     client: DirectStoreClient
@@ -106,13 +108,13 @@
     scope: trio.CancelScope
     in_contact_from: float
     version: int = 0
-    """Highest version that was in force."""
+    """Highest configuration version that was in force."""
     known_leaving: set[str] = field(default_factory=set)
-    """Replicas that it has known to leave."""
+    """Keys of the replicas that the process has seen leaving."""
 
 
 class StoreReturnModel:
-    """Change, copy and take back a store, and check what processes believe."""
+    """Change, copy and restore a store and check the state of its processes."""
 
     def __init__(self, seed: int, *, processes: int = 3) -> None:
         self._random = Random(seed)
@@ -124,12 +126,12 @@
         self._stable_from = 0.0
         self._version = 0
         self._replicas: dict[str, str] = {}
-        """State that each replica has written last; empty where it is gone."""
+        """State that each replica wrote last; empty if the replica is gone."""
         self._nursery: trio.Nursery | None = None
         self.returns = 0
 
     async def run(self, *, seconds: float) -> None:
-        """Play random changes, then settle and compare with the store."""
+        """Apply random changes, wait until all is stable and compare with the store."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self._configure()
@@ -204,8 +206,8 @@
 
     def _restore_copy(self) -> None:
         now = trio.current_time()
-        # One disturbance after the other: what was lost is written again before the
-        # store loses anything else.
+        # Restores don't overlap: lost changes are written again before the store loses
+        # anything else.
         if now < self._stable_from:
             return
         old = [copy for at, copy in self._copies if now - at < 5.0]
@@ -219,7 +221,7 @@
         self._nursery.start_soon(self._rewrite_lost)
 
     async def _rewrite_lost(self) -> None:
-        """Write what the operators and the replicas have written and the store lost."""
+        """Write the changes of operators and replicas that the store has lost."""
         keys = [_CONFIGURATION, *self._replicas]
         self._random.shuffle(keys)
         pause_s = self._random.uniform(0, REWRITE_S / len(keys))
--- a/tests/unit/test_map_switch_store.py
+++ b/tests/unit/test_map_switch_store.py
@@ -1,4 +1,4 @@
-"""Test a group's record in the key-value service, with the service's faults."""
+"""Test the record of a group in the key-value service with injected faults."""
 
 from random import Random
 
@@ -38,7 +38,7 @@
 
 
 class World:
-    """Hold a service, three engines with their agents, and coordinators."""
+    """Run a key-value service, engines with their agents, and coordinators."""
 
     def __init__(self, nursery, names=RANKS):
         self.nursery = nursery
@@ -62,7 +62,7 @@
         }
 
     def open_store(self, user):
-        """Return a store whose next faults are listed under the user's name."""
+        """Return a store that takes its next faults from the user's list."""
         faults = self.faults.setdefault(user, [])
         fake = self.fakes[user] = FakeKeyValueStore(
             self.state,
@@ -81,7 +81,7 @@
         )
 
     async def make_lease(self, holder):
-        """Take the duty and return its lease."""
+        """Acquire the duty and return its lease."""
         store = self.open_store(holder)
         lease = await self.fakes[holder].grant_lease(30)
         assert await store.acquire_duty(holder, lease)
@@ -112,7 +112,7 @@
 
 
 class ModelRank(EngineRank):
-    """Carry orders to an engine in the same process."""
+    """Pass orders to an engine in the same process."""
 
     def __init__(self):
         self.port = EnginePort(ExpertRank("initial", checks_fence=False))
@@ -135,7 +135,7 @@
 
 
 class AgentCaller(RankCaller):
-    """Ask agents in the same process."""
+    """Call agents in the same process and count messages and bytes."""
 
     def __init__(self, world):
         self._world = world
@@ -150,7 +150,7 @@
 
 
 def run_world(run):
-    """Run a scenario on a clock that skips the waiting."""
+    """Run a scenario on a mock clock that skips waiting times."""
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -165,10 +165,10 @@
 )
 @pytest.mark.parametrize("write", range(3))
 def test_lost_answer_is_read_back(fault, write):
-    """Lose the answer to each write of a switch, carried out or not.
+    """Guard against treating a lost answer as a failed write.
 
-    A coordinator that took the loss for a failure would leave the group armed, and all
-    its ranks would wait.
+    The answer to one write of a switch is lost, whether or not the write was applied. A
+    coordinator that gave up would leave the group armed with all its ranks waiting.
     """
 
     async def run(world):
@@ -193,9 +193,10 @@
 
 @pytest.mark.parametrize("first", ["decide", "abort"])
 def test_first_of_two_writers_wins(first):
-    """Let a coordinator that was paused decide what another has aborted, and reverse.
+    """Guard against a proposal that is both decided and aborted.
 
-    If both counted, some ranks would switch and others would not.
+    A paused coordinator decides a proposal that another has aborted, or the reverse. If
+    both writes succeeded, only some ranks would switch.
     """
 
     async def run(world):
@@ -216,10 +217,10 @@
     run_world(run)
 
 
-def test_restarted_rank_sees_through_an_old_read():
-    """Show a restarted rank an old record that hides the open proposal.
+def test_restarted_rank_detects_an_outdated_record():
+    """Guard against a restarted rank that has read a record without the open proposal.
 
-    It would start on the old map and run past the armed step, while the others switch.
+    It would start on the old map and run past the armed step while the others switch.
     """
 
     async def run(world):
@@ -234,7 +235,7 @@
     run_world(run)
 
 
-def test_maps_that_nobody_uses_are_deleted():
+def test_unused_maps_are_deleted():
     async def run(world):
         store = world.open_store("one")
         for fence in range(1, 6):
@@ -251,14 +252,14 @@
 @pytest.mark.parametrize(
     ("loads", "used"), [(HOT, "map-1.1"), (EVEN, "initial")], ids=["hot", "even"]
 )
-def test_duty_moves_experts_when_that_is_worth_it(loads, used):
+def test_duty_moves_experts_when_the_benefit_exceeds_the_cost(loads, used):
     async def run(world):
         world.start_engines()
         duty = world.make_duty("entry-1")
         ended = await duty.consider(loads, RULES, now=0.0, hour=0)
         assert ended is (None if used == "initial" else Phase.DECIDED)
         await world.wait_for_map(used)
-        # The lease and its key are given back with the end of the move.
+        # The lease and its key are released when the move ends.
         assert world.state.get_range(DUTY_KEY) == []
 
     run_world(run)
@@ -277,10 +278,11 @@
     run_world(run)
 
 
-def test_duty_finishes_what_a_dead_coordinator_left():
-    """Let a coordinator die after its proposal, and its lease lapse.
+def test_duty_finishes_the_proposal_of_a_failed_coordinator():
+    """Guard against a proposal that stays open after its coordinator has died.
 
-    The proposal would stay open, hold the ranks' memory and keep every later move out.
+    After the coordinator's lease expires, the proposal would keep memory of the ranks
+    in use and block every later move.
     """
 
     async def run(world):
@@ -296,10 +298,10 @@
 
 
 def test_switch_of_a_large_group_needs_few_messages():
-    """Switch 64 ranks without a fault and count what it takes.
+    """Guard against a number of calls that grows with the square of the ranks.
 
-    Calls that grew with the square of the ranks would use up the service's rate when
-    several groups switch at one time.
+    It would use up the service's rate when several groups switch at the same time. The
+    test switches 64 ranks without faults.
     """
 
     async def main():
@@ -312,8 +314,8 @@
             calls = sum(fake.calls for fake in world.fakes.values())
             record = world.state.get_range(b"maps/draft/group-1/switch")[0]
             print(calls, world.caller.messages, world.caller.bytes, len(record.value))
-            # Staging, arming and the decision: one question to each rank for each, and
-            # one read of the service by each agent that is asked.
+            # Staging, arming and the decision each need one query to each rank, and
+            # each queried agent reads the service once.
             assert world.caller.messages <= 3 * 2 * 64
             assert calls <= 3 * 64 + 10
             assert world.caller.bytes <= 64 * 1024
@@ -336,9 +338,10 @@
 
 
 def test_waiting_ranks_abort_without_a_coordinator():
-    """Lose the coordinator for good after it has armed all ranks.
+    """Guard against ranks that wait forever for a coordinator that has died.
 
-    The group stands still at the armed step until one agent writes the abort.
+    It dies after it has armed all ranks. The group is stalled at the armed step until
+    one agent writes the abort.
     """
 
     async def run(world):
@@ -364,10 +367,11 @@
     run_world(run)
 
 
-def test_nothing_is_armed_while_the_service_is_out():
-    """Take the service away from the agents after the step was fixed.
+def test_no_rank_is_armed_during_an_outage_of_the_service():
+    """Guard against armed ranks that wait for a decision during an outage.
 
-    A rank armed now would wait for a decision that nobody can write or read.
+    Agents lose the service after the step was fixed, so no decision can be written or
+    read.
     """
 
     async def run(world):
@@ -386,7 +390,7 @@
     run_world(run)
 
 
-def test_outage_of_the_service_is_told_to_the_coordinator():
+def test_outage_of_the_service_raises_an_error_at_the_coordinator():
     async def run(world):
         store = world.open_store("coordinator")
         world.faults["coordinator"] += [Fault.DOWN] * 10
@@ -397,7 +401,7 @@
 
 
 async def lose_decision(world):
-    """Decide a map, and let the service come back from a copy of before."""
+    """Decide a map, then restore the service from a copy made before the decision."""
     store = world.open_store("knows")
     await store.propose("first", MAP)
     copy = world.state.copy_items()
@@ -411,7 +415,7 @@
 
 
 def test_decision_that_the_service_lost_is_written_again():
-    """Guards against an older record that ranks or coordinators go back to."""
+    """Guard against ranks or coordinators that revert to an older record."""
 
     async def run(world):
         knows = await lose_decision(world)
@@ -423,7 +427,7 @@
 
 
 def test_coordinator_that_knows_a_lost_record_proposes_with_a_new_fence():
-    """Guards against a group that is never moved again, and a fence given out twice."""
+    """Guard against a group that can't be moved again and against a reused fence."""
 
     async def run(world):
         knows = await lose_decision(world)
@@ -442,8 +446,8 @@
     run_world(run)
 
 
-def test_coordinator_started_after_a_return_gives_out_no_lost_fence():
-    """Guards against a fence that names two proposals of a group."""
+def test_coordinator_started_after_a_restore_reuses_no_lost_fence():
+    """Guard against one fence for two proposals of a group."""
 
     async def run(world):
         first = world.open_store("first")
--- a/tests/unit/test_store_return.py
+++ b/tests/unit/test_store_return.py
@@ -1,4 +1,4 @@
-"""Test what processes believe of a store that comes back from older copies."""
+"""Test how processes track a store that is restored from older copies."""
 
 import json
 from dataclasses import replace
@@ -21,8 +21,8 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_processes_follow_a_store_that_loses_changes(seed, monkeypatch):
-    """Guards against old beliefs outliving the store's return, and copies reviving."""
-    # The order of tasks is drawn: a seed has to name it, too.
+    """Guard against outdated state after a restore and removed state from a copy."""
+    # The order of tasks is random, so the seed has to determine it too.
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
 
@@ -65,8 +65,8 @@
     ],
     ids=["left", "known", "new-start", "ready", "gone", "gone-in-copy"],
 )
-def test_replica_that_left_gets_nothing_new_by_a_copy(before, copy, expected):
-    """Guards against work for a leaving replica that only a copy still calls ready."""
+def test_leaving_replica_gets_no_requests_after_a_restore(before, copy, expected):
+    """Guard against requests to a leaving replica that is ready only in the copy."""
 
     async def main():
         _, feed = make_feed_with_store()
@@ -89,8 +89,8 @@
     [(1, 30, False), (2, 7, False), (2, 8, True), (3, 1, True)],
     ids=["earlier-era", "same", "newer", "later-era"],
 )
-def test_peer_of_an_earlier_era_brings_nothing(era, revision, taken):
-    """Guards against a peer that has not seen the store's return yet."""
+def test_snapshot_of_an_earlier_era_is_ignored(era, revision, taken):
+    """Guard against a peer that has not yet detected the restore of the store."""
 
     async def main():
         _, feed = make_feed_with_store()
@@ -103,8 +103,8 @@
 
 
 @pytest.mark.parametrize("told_by", ["beliefs", "state"])
-def test_return_that_a_peer_tells_ends_the_watch(told_by):
-    """Guards against a watch that waits at a mark which the new era has passed."""
+def test_restore_reported_by_a_peer_ends_the_watch(told_by):
+    """Guard against a watch at a revision that the new era has already passed."""
 
     async def main():
         stand_in, feed = make_feed_with_store()
@@ -132,8 +132,8 @@
 
 
 @pytest.mark.parametrize(("era", "taken"), [(1, False), (2, True)])
-def test_change_of_an_earlier_era_is_left_out(era, taken):
-    """Guards against a watch of before the return that is read after it."""
+def test_event_of_an_earlier_era_is_ignored(era, taken):
+    """Guard against events of a watch that was opened before the restore."""
 
     async def main():
         _, feed = make_feed_with_store()
--- a/tests/unit/test_strangers.py
+++ b/tests/unit/test_strangers.py
@@ -1,4 +1,4 @@
-"""Test that what another writer leaves in the store harms no replica and no process."""
+"""Test that invalid registrations in the store harm no other replica or process."""
 
 import json
 
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("value", ALL_BAD)
-def test_registration_of_a_stranger_is_an_error_with_a_remedy(value):
+def test_invalid_registration_is_an_error_with_a_hint(value):
     with pytest.raises(ConfigurationError) as raised:
         decode_replica("servers/i-1", value)
     assert raised.value.hint
@@ -92,17 +92,17 @@
 
 
 @pytest.mark.parametrize("key", ["servers/", "servers/a b", "servers/a\r\nx: y"])
-def test_id_that_would_break_a_header_names_no_replica(key):
+def test_id_that_is_invalid_in_a_header_is_rejected(key):
     with pytest.raises(ConfigurationError):
         decode_replica(key, make_registration(1))
 
 
 @pytest.mark.parametrize("value", ALL_BAD)
-def test_bad_entry_takes_its_replica_out_of_use_and_no_other(value):
-    """Something writes nonsense over the registration of a replica that served.
+def test_invalid_registration_removes_only_its_own_replica(value):
+    """Guard against requests to an address that may belong to another service.
 
-    The address that stood there may be anybody's by now, so callers would be sent to a
-    stranger. All other replicas go on serving, and the entry's process goes on.
+    An invalid value overwrites the registration of a replica in service. The entry
+    drops this replica, keeps all others and continues to run.
     """
 
     async def test():
@@ -116,8 +116,8 @@
     run(test)
 
 
-def test_replica_that_registers_again_after_a_bad_entry_is_used():
-    """The owner of the key writes a good registration over the nonsense."""
+def test_replica_that_registers_again_after_an_invalid_value_is_used():
+    """Check that a valid registration replaces an invalid one of the same key."""
 
     async def test():
         feed = make_feed()
@@ -131,8 +131,8 @@
     run(test)
 
 
-def test_peer_does_not_bring_back_what_a_bad_entry_took_out():
-    """A peer that lags still believes in the replica whose key holds nonsense now."""
+def test_peer_does_not_restore_a_replica_with_an_invalid_registration():
+    """Guard against a lagging peer that still has the replica of an invalid key."""
 
     async def test():
         feed = make_feed()
@@ -146,10 +146,10 @@
     run(test)
 
 
-def test_each_bad_entry_is_counted_and_logged_once_while_it_stays(capsys):
-    """A writer repeats its nonsense many times a second.
+def test_invalid_registration_is_always_counted_and_logged_once(capsys):
+    """Guard against a log line for each of many invalid writes a second.
 
-    A line for each of them would drown what operators look for.
+    They would hide the lines that operators need.
     """
 
     async def test():
