--- a/src/hyssopvane/_internal/coordination/claims.py
+++ b/src/hyssopvane/_internal/coordination/claims.py
@@ -253,14 +253,14 @@
 
     def find_lost_claim(self, page_key: str, key_hash: int) -> Claim | None:
         """Return a claim that the service has lost if this entry knows it."""
-        self._follow_era()
+        self._handle_era_change()
         page = self._lost_pages.get(page_key)
         return None if page is None else page.claims.get(key_hash)
 
     async def _watch_era(self) -> None:
         while True:
             await self._store.wait_past_era(self._era)
-            self._follow_era()
+            self._handle_era_change()
             is_done = False
             while not is_done:
                 try:
@@ -299,7 +299,7 @@
             self._cache.pop(key, None)
         return not self._lost_pages
 
-    def _follow_era(self) -> None:
+    def _handle_era_change(self) -> None:
         """Mark all known pages as lost when the service was restored from a copy."""
         if self._store.era == self._era:
             return
@@ -448,10 +448,10 @@
 
     async def _load(self, key: str, fenced_slice: int) -> _Stored:
         """Return a page, merged with its lost claims that this entry knows."""
-        self._follow_era()
+        self._handle_era_change()
         if key not in self._cache:
             item = await self._store.get(key)
-            self._follow_era()
+            self._handle_era_change()
             self._cache_page(key, _decode_item(item))
         stored = self._cache[key]
         lost = self._lost_pages.get(key)
@@ -483,7 +483,7 @@
             self._known_pages.popitem(last=False)
 
     def _clear_cache(self) -> None:
-        self._follow_era()
+        self._handle_era_change()
         self._cache.clear()
         self._floor = None
 
@@ -506,8 +506,9 @@
 def _finish_fenced(batch: list[_PendingChange], page: ClaimPage) -> None:
     """Finish changes of keys that can no longer be claimed since a restore.
 
-    A change can only join another entry's attempt. This entry may have written a claim
-    with the change's own or expected attempt before it detected the restore.
+    A change can only join the attempt of another request. A claim with the change's own
+    or expected attempt proves nothing: this entry may have written it before it
+    detected the restore.
     """
     for one in batch:
         change = one.change
--- a/src/hyssopvane/_internal/coordination/quarantine.py
+++ b/src/hyssopvane/_internal/coordination/quarantine.py
@@ -89,7 +89,7 @@
 
     async def _load_and_watch(self) -> None:
         snapshot = await self._store.get_prefix(PAGE_PREFIX)
-        self._follow_era(snapshot.era)
+        self._handle_era_change(snapshot.era)
         for item in snapshot.items:
             self._accept(item)
         start, era = snapshot.revision + 1, snapshot.era
@@ -135,14 +135,14 @@
                 return
             # The answer contains the current page, also after the service was restored
             # from a copy.
-            self._follow_era(result.era)
+            self._handle_era_change(result.era)
             self._record_page(StorePosition(result.era, ABSENT))
             for item in result.current:
                 self._accept(item)
             # Records that must be shared again after a restore join the next try.
             bodies |= self._tracker.take_changes()
 
-    def _follow_era(self, era: int) -> None:
+    def _handle_era_change(self, era: int) -> None:
         """Share records again that the service may have lost in a restore."""
         if era <= self._position.era:
             return
@@ -159,7 +159,7 @@
         """Merge a newer page into the tracker."""
         if item.key != PAGE_KEY or item.position <= self._position:
             return
-        self._follow_era(item.era)
+        self._handle_era_change(item.era)
         now, offset = trio.current_time(), self._get_offset()
         try:
             records = parse_page(item.value, offset=offset)
--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -107,8 +107,8 @@
 
     def start(self, nursery: trio.Nursery) -> None:
         """Start the tasks that watch the store in a nursery."""
-        nursery.start_soon(self._follow, self._format.configuration_key)
-        nursery.start_soon(self._follow, self._format.replicas_prefix)
+        nursery.start_soon(self._track, self._format.configuration_key)
+        nursery.start_soon(self._track, self._format.replicas_prefix)
         nursery.start_soon(self._drop_missing)
 
     def is_ready(self) -> bool:
@@ -188,7 +188,7 @@
         """Return the revision up to which the registrations are known."""
         return self.replicas_position.revision
 
-    async def _follow(self, prefix: str) -> None:
+    async def _track(self, prefix: str) -> None:
         retry_s = _MIN_RETRY_DELAY_S
         while True:
             try:
