--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -33,7 +33,7 @@
 A replica whose registration had ended before the restore is not considered ready
 because of a registration in the copy. Registrations of replicas that are gone expire
 after three heartbeats. One that remains belongs to a live replica that registered again
-before the entry checked.
+before the process checked.
 """
 
 _MIN_RETRY_DELAY_S = 0.1
