--- a/src/hyssopvane/_internal/coordination/claims.py
+++ b/src/hyssopvane/_internal/coordination/claims.py
@@ -232,7 +232,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Return whether the last write failed and the next try is not due yet.
+        """Return whether the last write failed and other changes must not try now.
 
         It guards against a service that accepts every call and answers none. Otherwise
         each keyed request would wait for its timeout and callers would queue up. One
