--- a/src/hyssopvane/_internal/coordination/map_switch.py
+++ b/src/hyssopvane/_internal/coordination/map_switch.py
@@ -37,18 +37,18 @@
     propose,
 )
 
-MAX_TRIES = 20
-"""Attempts at one change.
+MAX_ATTEMPTS = 20
+"""Maximum attempts at one change.
 
-Each lost attempt means that another process has changed the record, which happens a few
-times in a switch; more means that the service answers wrongly.
+A failed attempt means that another process has changed the record, which happens a few
+times in a switch. More failures mean that the service gives wrong answers.
 """
 
 Change = Callable[[GroupRecord], GroupRecord | None]
 
 
 class MapSwitchStore:
-    """Change one group's record by compare-and-swap."""
+    """Read and change the record of one group by compare-and-swap."""
 
     def __init__(self, store: KeyValueStore, *, service: str, group: str) -> None:
         self._store = store
@@ -59,27 +59,28 @@
         self.known = VersionedRecord()
         """Newest record that was read or written.
 
-        Its mark is of what the service has, which may have lost the record.
+        Its position is that of the record in the service, which is an older one if the
+        service has lost the newest.
         """
         self._is_lost = False
 
     async def read(self) -> VersionedRecord:
-        """Read the record; an older state than the known one is ignored."""
+        """Read the record; ignore a state that is older than the known one."""
         item = await self._store.get(self._key)
-        self._learn(parse_record(item, era=self._store.era))
+        self._accept_newer(parse_record(item, era=self._store.era))
         if self._is_lost:
             await self._restore()
         return self.known
 
     async def _restore(self) -> None:
-        """Write a record that the service has lost, over the older one that it has.
+        """Overwrite the older record in the service with the lost one.
 
-        Ranks follow it already; to go on with the older one would decide again what has
-        been decided, and two ranks of one step could use two maps.
+        Ranks already follow the lost record. Continuing with the older one would repeat
+        a decision, and two ranks could use different maps in the same step.
         """
         result = await self._swap(self.known.record)
         if not isinstance(result, Swapped):
-            await self._learn_current(result)
+            await self._accept_current(result)
 
     async def _swap(
         self, record: GroupRecord, others: Sequence[Swap] = ()
@@ -96,7 +97,7 @@
         return result
 
     async def read_map(self, name: str) -> ExpertMap | None:
-        """Return a map by its engine name."""
+        """Return a map by the name that engines use, or None if it is not stored."""
         key = get_map_key(self._service, self._group, name)
         item = await self._store.get(key)
         return parse_map(item) if item else None
@@ -108,14 +109,16 @@
         maps = (await self._store.get_prefix(self._map_prefix)).items
 
         def change(record: GroupRecord) -> GroupRecord | None:
-            least = get_first_number(self._store.era)
-            return propose(record, name, weights_bytes=weights_bytes, least_fence=least)
+            min_fence = get_first_number(self._store.era)
+            return propose(
+                record, name, weights_bytes=weights_bytes, least_fence=min_fence
+            )
 
         def list_swaps(record: GroupRecord) -> list[Swap]:
             assert record.proposal is not None
             key = f"{self._map_prefix}{record.proposal.name}"
-            # Maps that no rank can use any more are deleted here, else the service
-            # would fill up with one for each proposal.
+            # Delete maps that no rank can still use. Otherwise each proposal would
+            # leave a map in the service.
             used = {f"{self._map_prefix}{one.name}" for one in record.switches[-2:]}
             return [Swap(key, format_map(expert_map), ABSENT)] + [
                 Swap(item.key, None, item.revision)
@@ -126,35 +129,35 @@
         return await self._change(change, list_swaps)
 
     async def fix_step(self, fence: int, step: int) -> VersionedRecord | None:
-        """Fix the step of a staged proposal, or return None when it can't be."""
+        """Fix the step of a staged proposal; return None when that is not allowed."""
         return await self._change(lambda record: fix_step(record, fence, step))
 
     async def decide(self, fence: int) -> VersionedRecord | None:
-        """Decide an armed proposal, or return None when it has ended."""
+        """Decide an armed proposal; return None when it has already ended."""
         return await self._change(lambda record: decide(record, fence))
 
     async def abort(self, fence: int, why: str) -> VersionedRecord | None:
-        """Abort an open proposal, or return None when it has ended."""
+        """Abort an open proposal; return None when it has already ended."""
         return await self._change(lambda record: abort(record, fence, why))
 
     async def confirm_for_restart(self) -> VersionedRecord:
-        """Write the record for a rank that has restarted, before it takes a step.
+        """Write the record for a restarted rank before it executes a step.
 
-        An answer that is lost leaves open whether the record was written. A record
-        that is written unchanged can't be told from another process's by reading it
-        back, so it is written again.
+        When the answer is lost, it is unknown whether the record was written. A read
+        can't show it either: a record written unchanged looks the same as that of
+        another process. So it is written again.
         """
         while True:
             written = await self._change(confirm_for_restart, reads_back=False)
             if written is not None:
                 return written
 
-    async def take_duty(self, holder: str, lease: int) -> bool:
-        """Put the holder's name under its lease; return false when it is taken.
+    async def acquire_duty(self, holder: str, lease: int) -> bool:
+        """Make a process the coordinator under its lease; return whether it succeeded.
 
-        The lease only keeps two coordinators from doing the same work. A holder that
-        was paused past its lease may still act; the record's compare-and-swap makes
-        that harmless.
+        The lease only prevents two coordinators from doing the same work. A coordinator
+        that was paused beyond its lease may still act. The compare-and-swap of the
+        record makes that harmless.
         """
         key = get_duty_key(self._service, self._group)
         swap = Swap(key, holder.encode(), ABSENT, lease)
@@ -166,12 +169,12 @@
         return isinstance(result, Swapped)
 
     async def release_duty(self, lease: int) -> None:
-        """Give the duty back."""
+        """Release the duty by revoking its lease."""
         if lease != NO_LEASE:
             await self._store.revoke_lease(lease)
 
     async def watch(self, changed: trio.MemorySendChannel[VersionedRecord]) -> None:
-        """Send each new record until the watch ends."""
+        """Send the known record and then each newer one until the watch ends."""
         await self.read()
         await changed.send(self.known)
         start, era = self.known.revision + 1, self.known.era
@@ -180,7 +183,7 @@
                 if event.value is None:
                     continue
                 item = KeyValue(event.key, event.value, event.revision, event.era)
-                if self._learn(parse_record(item)):
+                if self._accept_newer(parse_record(item)):
                     await changed.send(self.known)
 
     async def _change(
@@ -190,14 +193,14 @@
         *,
         reads_back: bool = True,
     ) -> VersionedRecord | None:
-        """Try a change until it is written, or until it is no longer allowed.
+        """Retry a change until it is written or no longer allowed.
 
-        When an answer is lost the record is read back: a change that was written is
-        found there, and one that was not is tried again on the record as it is.
-        Trying again can't harm: a late write meets a newer revision, and each change
-        is tied to a fence and a phase.
+        When an answer is lost, the record is read back. It shows whether the change was
+        written; if not, the change is retried on the current record. A retry is safe:
+        a late write fails because the revision is newer, and each change applies to one
+        fence and phase only.
         """
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             before = self.known.position
             changed = change(self.known.record)
             if changed is None:
@@ -207,31 +210,33 @@
             try:
                 result = await self._swap(changed, list_swaps(changed))
             except KeyValueUnknown:
-                if await self._find_written(changed) and reads_back:
+                if await self._was_written(changed) and reads_back:
                     return self.known
                 continue
             if isinstance(result, Swapped):
                 return self.known
-            await self._learn_current(result)
+            await self._accept_current(result)
         return None
 
-    async def _find_written(self, changed: GroupRecord) -> bool:
+    async def _was_written(self, changed: GroupRecord) -> bool:
         before = self.known.position
         read = await self.read()
         return read.position > before and read.record == changed
 
-    async def _learn_current(self, lost: SwapLost) -> None:
+    async def _accept_current(self, lost: SwapLost) -> None:
         for item in lost.current:
             if item.key == self._key:
-                self._learn(parse_record(item))
+                self._accept_newer(parse_record(item))
                 return
         await self.read()
 
-    def _learn(self, read: VersionedRecord) -> bool:
+    def _accept_newer(self, read: VersionedRecord) -> bool:
         if read.position <= self.known.position:
             return False
-        came_back = 0 < self.known.era < read.era
-        if (came_back or self._is_lost) and self.known.record.is_ahead_of(read.record):
+        store_returned = 0 < self.known.era < read.era
+        if (store_returned or self._is_lost) and self.known.record.is_ahead_of(
+            read.record
+        ):
             self._is_lost = True
             self.known = replace(read, record=self.known.record)
             return False
--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -1,4 +1,4 @@
-"""Follow the configuration and the replicas in the platform's store."""
+"""Track the configuration and the replicas in the platform's store."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -20,32 +20,33 @@
 from hyssopvane._internal.state.store_snapshot import StoreItem, StoreSnapshot
 from hyssopvane._internal.utils.logs import log_event
 
-REGAIN_S = 2.2
-"""Time after the store's return in which a missing replica is still believed.
+MISSING_GRACE_S = 2.2
+"""Seconds after a reconnection to the store during which missing replicas are kept.
 
-Registrations lapse while the store is away, and living replicas are back within two
-seconds. Dropping them at once would leave nobody to serve.
+Registrations expire during an outage of the store, and live replicas register again
+within two seconds. Dropping them at once would leave no replica for any request.
 """
 
-LAPSE_S = 10.0
-"""Time after the store's return from a copy in which a replica whose registration had
-ended before is not believed to be ready by a registration of the copy.
+UNCONFIRMED_S = 10.0
+"""Seconds after a restore of the store during which some registrations are unconfirmed.
 
-Registrations of replicas that are gone lapse after three heartbeats. One that stays is
-of a living replica, which registered again before it was looked for.
+A replica whose registration had ended before the restore is not considered ready
+because of a registration in the copy. Registrations of replicas that are gone expire
+after three heartbeats. One that remains belongs to a live replica that registered again
+before the process checked.
 """
 
-_FIRST_RETRY_S = 0.1
-_LAST_RETRY_S = 1.0
-"""Pause between tries while the store is away.
+_MIN_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 1.0
+"""Seconds between tries while the store is unavailable.
 
-Rules allow two seconds from an accepted change to its use; a longer pause would use
-them up after the store's return, a shorter one of every process would press it.
+An accepted change must be in use within two seconds. A longer pause would use up that
+time after the store has recovered; a shorter one in all processes would overload it.
 """
 
 
 class RoutingFormat(ABC):
-    """Name the keys of the store and decode their values."""
+    """Define the keys of the store and decode their values."""
 
     configuration_key: str
     replicas_prefix: str
@@ -60,11 +61,12 @@
 
 
 class RoutingFeed:
-    """Keep the newest configuration and the living replicas.
+    """Hold the newest configuration and the live replicas.
 
-    The configuration never goes back: operators number their versions. Registrations
-    are ordered by the store's revisions, which hold within one era of the store only.
-    When the store comes back from an older copy, what it lists then is followed.
+    The configuration never reverts to an older version; operators number the versions.
+    Registrations are ordered by the store's revisions, which are valid only within one
+    era of the store. After the store is restored from an older copy, the replicas that
+    it then lists are used.
     """
 
     def __init__(
@@ -81,49 +83,49 @@
         self._random = random
         self._observe = observe
         self._count = count
-        """Takes the name of an event that operators may want to watch."""
+        """Called with the name of each event that operators may want to monitor."""
         self._was_ready = trio.Event()
         self.table: RoutingTable | None = None
         self.replicas: dict[str, Replica] = {}
         self._configuration = KeyValue("", b"", 0)
         self._items: dict[str, KeyValue] = {}
         self._unreadable: dict[str, int] = {}
-        """Revision of the registrations that can't be read, by their key."""
-        self.unreadable = 0
-        """Registrations that could not be read, since the start."""
+        """Revisions of the registrations that can't be decoded, by key."""
+        self.unreadable_count = 0
+        """Number of registrations since the start that could not be decoded."""
         self.replicas_position = StorePosition(0, 0)
-        """Point of the store's history up to which the registrations are known."""
+        """Position in the store's history up to which the registrations are known."""
         self._departures = Departures()
         self._missing: dict[str, float] = {}
-        """Times at which replicas that lapsed during an outage are dropped."""
-        self.connected_at = -REGAIN_S
-        """Time of the first answer of the store since its last silence."""
+        """Times at which replicas that expired during an outage are dropped, by key."""
+        self.connected_at = -MISSING_GRACE_S
+        """Time of the first answer of the store since its last outage."""
         self._connected: dict[str, bool] = {}
         self._was_lost = False
         self.returned_at: float | None = None
-        """Time of the store's last return from a silence, None where none was seen."""
+        """Time at which the last outage of the store ended; None if there was none."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Follow the store in a nursery."""
-        nursery.start_soon(self._follow, self._format.configuration_key)
-        nursery.start_soon(self._follow, self._format.replicas_prefix)
+        """Start the tasks that watch the store in a nursery."""
+        nursery.start_soon(self._track, self._format.configuration_key)
+        nursery.start_soon(self._track, self._format.replicas_prefix)
         nursery.start_soon(self._drop_missing)
 
     def is_ready(self) -> bool:
-        """Tell whether a configuration and replicas are known."""
+        """Return whether a configuration and replicas are known."""
         return self.table is not None and bool(self.replicas)
 
     async def wait_until_ready(self) -> None:
         """Wait until a configuration and replicas were known for the first time."""
         await self._was_ready.wait()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         if self.is_ready():
             self._was_ready.set()
         self._observe()
 
     def export(self) -> StoreSnapshot:
-        """Return what is known, to pass it on to another process."""
+        """Return a snapshot of the known state to send it to another process."""
         return StoreSnapshot(
             self._configuration.revision,
             self._configuration.value,
@@ -131,52 +133,54 @@
             tuple(
                 StoreItem(item.key, item.value, item.revision)
                 for item in self._items.values()
-                # A replica that lapsed is believed for a while longer. A peer that has
-                # its end behind it would learn it anew, and nobody would tell it again.
+                # An expired replica is kept here for a grace time. A peer that has
+                # already removed it would add it again, and no later event would
+                # remove it.
                 if item.key not in self._missing
             ),
             self.replicas_position.era,
         )
 
-    def merge(self, beliefs: StoreSnapshot) -> None:
-        """Take over what another process knows more newly."""
-        if beliefs.configuration:
+    def merge(self, snapshot: StoreSnapshot) -> None:
+        """Apply the parts of another process's snapshot that are newer."""
+        if snapshot.configuration:
             key = self._format.configuration_key
             self._apply_configuration(
-                KeyValue(key, beliefs.configuration, beliefs.configuration_revision),
+                KeyValue(key, snapshot.configuration, snapshot.configuration_revision),
                 source="peer",
             )
-        if beliefs.replicas_position > self.replicas_position:
+        if snapshot.replicas_position > self.replicas_position:
             items = tuple(
                 KeyValue(item.key, item.value, item.revision)
-                for item in beliefs.replicas
+                for item in snapshot.replicas
             )
-            self._replace_replicas(items, beliefs.replicas_position, source="peer")
-        self._tell()
+            self._replace_replicas(items, snapshot.replicas_position, source="peer")
+        self._notify()
 
     def note_return(self, at: float) -> None:
-        """Learn from a peer when the store came back from a silence.
+        """Record the end of an outage of the store that a peer detected.
 
-        Registrations lapse while the store is away. A process whose watch waited all
-        the while would take the news of that for the end of all replicas.
+        Registrations expire while the store is unavailable. A process whose watch
+        stayed open throughout would otherwise treat their removal as the end of all
+        replicas.
         """
         self.connected_at = max(self.connected_at, at)
 
     def measure_levels(self) -> dict[str, int]:
-        """Return what is in force, for the metrics."""
+        """Return the configuration version and the number of replicas, for metrics."""
         return {
             "configuration-version": self.configuration_version,
             "replicas": len(self.replicas),
         }
 
     def note_era(self, era: int) -> None:
-        """Learn from a peer that the store has come back from a copy."""
+        """End watches when a peer reports that the store was restored from a copy."""
         if era > self.replicas_position.era:
             self._store.end_watches(era)
 
     @property
     def configuration_version(self) -> int:
-        """Return the version of the configuration in force, 0 where none is."""
+        """Return the version of the configuration in force, or 0 if there is none."""
         return 0 if self.table is None else self.table.version
 
     @property
@@ -184,20 +188,20 @@
         """Return the revision up to which the registrations are known."""
         return self.replicas_position.revision
 
-    async def _follow(self, prefix: str) -> None:
-        retry_s = _FIRST_RETRY_S
+    async def _track(self, prefix: str) -> None:
+        retry_s = _MIN_RETRY_DELAY_S
         while True:
             try:
                 snapshot = await self._store.get_prefix(prefix)
-                self._note_connection(prefix, True, snapshot=snapshot)
+                self._record_connection(prefix, True, snapshot=snapshot)
                 self._load(prefix, snapshot)
-                retry_s = _FIRST_RETRY_S
+                retry_s = _MIN_RETRY_DELAY_S
                 await self._watch(prefix, snapshot)
             except KeyValueError as error:
-                self._note_connection(prefix, False, why=str(error))
-                # Spread over time: after an outage all processes come back at once.
+                self._record_connection(prefix, False, why=str(error))
+                # Add jitter, because after an outage all processes reconnect at once.
                 await trio.sleep(retry_s * self._random.uniform(0.5, 1.0))
-                retry_s = min(_LAST_RETRY_S, retry_s * 2)
+                retry_s = min(_MAX_RETRY_DELAY_S, retry_s * 2)
 
     async def _watch(self, prefix: str, snapshot: Snapshot) -> None:
         start_revision, era = snapshot.revision + 1, snapshot.era
@@ -205,7 +209,7 @@
             async for event in events:
                 self._apply_event(prefix, event, era=era)
 
-    def _note_connection(
+    def _record_connection(
         self,
         prefix: str,
         connected: bool,
@@ -241,7 +245,7 @@
                     self._apply_configuration(item, source="store")
         elif position >= self.replicas_position:
             self._replace_replicas(snapshot.items, position, source="store")
-        self._tell()
+        self._notify()
 
     def _apply_event(self, prefix: str, event: WatchEvent, *, era: int = 0) -> None:
         if prefix == self._format.configuration_key:
@@ -254,7 +258,7 @@
             self._apply_registration(event)
             position = StorePosition(era, event.revision)
             self.replicas_position = max(self.replicas_position, position)
-        self._tell()
+        self._notify()
 
     def _apply_configuration(self, item: KeyValue, *, source: str) -> None:
         if item.value == self._configuration.value:
@@ -265,11 +269,11 @@
             self._count("configuration-unreadable")
             log_event("error", "configuration-unreadable", why=error)
             return
-        # An answer that was on its way for long, a peer that lags, or a store that has
-        # come back from a copy must not bring back routes and keys that were removed.
-        # Revisions do not tell: after such a return they are given out again.
+        # A delayed answer, a lagging peer or a store that was restored from a copy must
+        # not bring back routes and keys that were removed. Revisions can't be used for
+        # this check, because the store reuses them after a restore.
         if self.table is not None and table.version <= self.table.version:
-            self._note_left_out(item, table.version, source=source)
+            self._record_ignored(item, table.version, source=source)
             return
         self._configuration = item
         self.table = table
@@ -283,7 +287,7 @@
             source=source,
         )
 
-    def _note_left_out(self, item: KeyValue, version: int, *, source: str) -> None:
+    def _record_ignored(self, item: KeyValue, version: int, *, source: str) -> None:
         self._count("configuration-left-out")
         log_event(
             "info",
@@ -296,7 +300,7 @@
         )
 
     def list_unreadable(self) -> tuple[str, ...]:
-        """Return the keys whose registrations can't be read at present."""
+        """Return the keys whose current registrations can't be decoded."""
         return tuple(self._unreadable)
 
     def _get_revision(self, key: str) -> int:
@@ -324,11 +328,11 @@
         for key in self._unreadable.keys() - present:
             del self._unreadable[key]
         for key in self._items.keys() - present:
-            self._remove(key, why=f"missing in the list of the {source}")
+            self._remove(key, why=f"not listed by the {source}")
         self.replicas_position = position
 
     def _begin_era(self, era: int) -> None:
-        """Forget the revisions of an earlier era: they are given out again."""
+        """Reset the known revisions, because the store reuses them in a new era."""
         if self.replicas_position.revision:
             self.connected_at = self.returned_at = trio.current_time()
         self.replicas_position = StorePosition(era, 0)
@@ -342,7 +346,7 @@
         try:
             replica = self._format.decode_replica(item.key, item.value)
         except ConfigurationError as error:
-            self._leave_out(item, error)
+            self._reject_registration(item, error)
             return
         known = self.replicas.get(item.key)
         if self._is_replaced(item.key, replica, item.revision):
@@ -370,32 +374,34 @@
                 revision=item.revision,
             )
 
-    def _leave_out(self, item: KeyValue, error: ConfigurationError) -> None:
-        """Use no replica of a key whose registration can't be read.
+    def _reject_registration(self, item: KeyValue, error: ConfigurationError) -> None:
+        """Drop the replica of a key whose registration can't be decoded.
 
-        Anything may write there. What the key named before may have ended, and its
-        address may belong to another service; whoever lives registers again within
-        seconds.
+        Any process may write to the store. The earlier replica of the key may be gone,
+        and its address may belong to another service. A live replica registers again
+        within seconds.
         """
-        self.unreadable += 1
+        self.unreadable_count += 1
         self._count("registration-unreadable")
         if item.key not in self._unreadable:
-            # Once while it stays so: its writer may repeat it many times a second.
+            # Log it only once until the key is readable again, because its writer may
+            # repeat it many times a second.
             log_event("error", "replica-unreadable", revision=item.revision, why=error)
-        self._drop(item.key, why="its registration can't be read")
+        self._drop(item.key, why="its registration can't be decoded")
         self._unreadable[item.key] = item.revision
 
     def _is_replaced(self, key: str, replica: Replica, revision: int) -> bool:
-        # A replica that crashed says nothing, and its registration stays for seconds
-        # beside that of the one which now has its address. Its load would be counted
-        # twice, and half of all requests would be sent for the one that is gone.
+        # A crashed replica does not deregister. For some seconds its registration
+        # remains next to that of the replica that now has its address. The load would
+        # be counted twice, and half of the requests would be addressed to the replica
+        # that is gone.
         for other, found in list(self.replicas.items()):
             if other == key or found.address != replica.address:
                 continue
             if self._get_revision(other) > revision:
                 return True
-            self._note_departure(other)
-            self._drop(other, why=f"its address belongs to {replica.id}")
+            self._record_departure(other)
+            self._drop(other, why=f"its address now belongs to {replica.id}")
         return False
 
     def _remove(self, key: str, *, why: str) -> None:
@@ -403,13 +409,13 @@
             return
         now = trio.current_time()
         returned_s = now - self.connected_at
-        if self.replicas and returned_s < REGAIN_S:
-            self._missing[key] = self.connected_at + REGAIN_S
+        if self.replicas and returned_s < MISSING_GRACE_S:
+            self._missing[key] = self.connected_at + MISSING_GRACE_S
             return
-        self._note_departure(key)
+        self._record_departure(key)
         self._drop(key, why=why)
 
-    def _note_departure(self, key: str) -> None:
+    def _record_departure(self, key: str) -> None:
         self._departures.note(
             key,
             self.replicas[key],
@@ -427,20 +433,20 @@
 
     async def _drop_missing(self) -> None:
         while True:
-            await trio.sleep(_FIRST_RETRY_S)
+            await trio.sleep(_MIN_RETRY_DELAY_S)
             now = trio.current_time()
             for key in [one for one, at in self._missing.items() if at <= now]:
-                self._drop(key, why="not back after an outage of the store")
-                self._tell()
+                self._drop(key, why="not registered again after an outage of the store")
+                self._notify()
             self._departures.expire(now=now)
             if self._is_settled(now):
-                self._believe_doubted()
+                self._accept_unconfirmed()
 
     def _is_settled(self, now: float) -> bool:
         connected = self._connected.get(self._format.replicas_prefix, False)
-        return connected and now - self.connected_at >= LAPSE_S
+        return connected and now - self.connected_at >= UNCONFIRMED_S
 
-    def _believe_doubted(self) -> None:
+    def _accept_unconfirmed(self) -> None:
         for key in self._departures.take_unconfirmed():
             self._put(self._items[key])
-            self._tell()
+            self._notify()
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -1,4 +1,4 @@
-"""Model processes that follow a store which comes back from older copies."""
+"""Simulate processes that track a store which is restored from older copies."""
 
 import json
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 
 import trio
 
-from hyssopvane._internal.coordination.routing_feed import LAPSE_S, RoutingFeed
+from hyssopvane._internal.coordination.routing_feed import UNCONFIRMED_S, RoutingFeed
 from hyssopvane._internal.platform.store import PlatformStore
 from hyssopvane._internal.platform.wire import PlatformFormat
 from hyssopvane._internal.protocol.group_messages import (
@@ -29,15 +29,17 @@
 from tests.lib.direct_store import DirectStore, StoreCopy
 
 CONFIG_APPLY_S = 2.0
-CONTACT_S = 3.0
-"""Time after a disturbance of the store, or of a process's way to it, in which no bound
-holds for the process."""
+RECOVERY_S = 3.0
+"""Seconds during which no bound applies to a process.
 
-WRITTEN_AGAIN_S = 2.0
-"""Time after a return within which what the store lost is written again."""
+They begin after a fault of the store or of the process's connection to it.
+"""
 
-TELL_S = 0.5
-"""Pause between two words of a process on how new its beliefs are."""
+REWRITE_S = 2.0
+"""Seconds after a restore within which lost changes are written again."""
+
+EXCHANGE_INTERVAL_S = 0.5
+"""Seconds between two messages of a process with the position of its snapshot."""
 
 _CONFIGURATION = "op/config"
 _LONGEST_ANSWER_S = 0.25
@@ -54,7 +56,7 @@
 
 
 class DirectStoreClient:
-    """Call a stand-in of the store without sockets."""
+    """Call a stand-in for the store without sockets."""
 
     def __init__(self, store: DirectStore, random: Random) -> None:
         self._store = store
@@ -73,7 +75,7 @@
     ) -> AsyncIterator[_Response]:
         if self.is_cut:
             await trio.sleep(0.1)
-            raise ReplicaUnreachable("the way to the store is cut")
+            raise ReplicaUnreachable("the connection to the store is cut")
         sent: list[Any] = []
 
         async def receive() -> Any:
@@ -87,7 +89,7 @@
         await self._store(scope, receive, send)
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
         if self.is_cut:
-            raise ReplicaFailed("the way to the store is cut")
+            raise ReplicaFailed("the connection to the store is cut")
         fields = join_headers(sent[0]["headers"])
         answer = b"".join(one.get("body", b"") for one in sent[1:])
         yield _Response(sent[0]["status"], fields, answer)
@@ -98,21 +100,21 @@
 
 @dataclass
 class Process:
-    """Hold one process that follows the store, until it is restarted."""
+    """Hold the state of one process that tracks the store, until its restart."""
 
     feed: RoutingFeed
     client: DirectStoreClient
     exchange: BeliefExchange
     scope: trio.CancelScope
-    in_touch_from: float
+    in_contact_from: float
     version: int = 0
-    """Highest version that was in force."""
-    left: set[str] = field(default_factory=set)
-    """Replicas that it has known to leave."""
+    """Highest configuration version that was in force."""
+    known_leaving: set[str] = field(default_factory=set)
+    """Keys of the replicas that the process has seen leaving."""
 
 
 class StoreReturnModel:
-    """Change, copy and take back a store, and check what processes believe."""
+    """Change, copy and restore a store and check the state of its processes."""
 
     def __init__(self, seed: int, *, processes: int = 3) -> None:
         self._random = Random(seed)
@@ -124,12 +126,12 @@
         self._stable_from = 0.0
         self._version = 0
         self._replicas: dict[str, str] = {}
-        """State that each replica has written last; empty where it is gone."""
+        """State that each replica wrote last; empty if the replica is gone."""
         self._nursery: trio.Nursery | None = None
         self.returns = 0
 
     async def run(self, *, seconds: float) -> None:
-        """Play random changes, then settle and compare with the store."""
+        """Apply random changes, wait until all is stable and compare with the store."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self._configure()
@@ -137,21 +139,21 @@
                 self._add_replica()
             for _ in range(self._count):
                 self._processes.append(self._start_process())
-            await trio.sleep(CONTACT_S)
+            await trio.sleep(RECOVERY_S)
             nursery.start_soon(self._check_always)
             nursery.start_soon(self._take_copies)
-            nursery.start_soon(self._exchange_beliefs)
+            nursery.start_soon(self._exchange_snapshots)
             end = trio.current_time() + seconds
             while trio.current_time() < end:
                 await trio.sleep(self._random.expovariate(1 / 0.6))
-                self._do_something()
+                self._apply_random_change()
             for process in self._processes:
                 process.client.is_cut = False
-            await trio.sleep(2 * LAPSE_S)
+            await trio.sleep(2 * UNCONFIRMED_S)
             self._check_settled()
             nursery.cancel_scope.cancel()
 
-    def _do_something(self) -> None:
+    def _apply_random_change(self) -> None:
         random = self._random
         random.choices(
             [
@@ -159,7 +161,7 @@
                 self._add_replica,
                 self._drain,
                 self._remove,
-                self._come_back,
+                self._restore_copy,
                 self._cut,
                 self._restart,
             ],
@@ -202,32 +204,32 @@
             },
         )
 
-    def _come_back(self) -> None:
+    def _restore_copy(self) -> None:
         now = trio.current_time()
-        # One disturbance after the other: what was lost is written again before the
-        # store loses anything else.
+        # Restores don't overlap: lost changes are written again before the store loses
+        # anything else.
         if now < self._stable_from:
             return
         old = [copy for at, copy in self._copies if now - at < 5.0]
         if not old:
             return
         self.returns += 1
-        self._stable_from = now + CONTACT_S
-        self._store.come_back(self._random.choice(old))
+        self._stable_from = now + RECOVERY_S
+        self._store.restore_from(self._random.choice(old))
         self._copies.clear()
         assert self._nursery is not None
-        self._nursery.start_soon(self._write_again)
+        self._nursery.start_soon(self._rewrite_lost)
 
-    async def _write_again(self) -> None:
-        """Write what the operators and the replicas have written and the store lost."""
+    async def _rewrite_lost(self) -> None:
+        """Write the changes of operators and replicas that the store has lost."""
         keys = [_CONFIGURATION, *self._replicas]
         self._random.shuffle(keys)
-        pause_s = self._random.uniform(0, WRITTEN_AGAIN_S / len(keys))
+        pause_s = self._random.uniform(0, REWRITE_S / len(keys))
         for key in keys:
             await trio.sleep(pause_s)
-            self._write_key_again(key)
+            self._rewrite_key(key)
 
-    def _write_key_again(self, key: str) -> None:
+    def _rewrite_key(self, key: str) -> None:
         value = self._store.items.get(key, (b"", 0))[0]
         if key == _CONFIGURATION:
             document = make_configuration(self._version)
@@ -243,9 +245,9 @@
     def _cut(self) -> None:
         process = self._random.choice(self._processes)
         process.client.is_cut = not process.client.is_cut
-        process.in_touch_from = float("inf")
+        process.in_contact_from = float("inf")
         if not process.client.is_cut:
-            process.in_touch_from = trio.current_time() + CONTACT_S
+            process.in_contact_from = trio.current_time() + RECOVERY_S
 
     def _restart(self) -> None:
         index = self._random.randrange(len(self._processes))
@@ -261,8 +263,10 @@
         scope = trio.CancelScope()
         assert self._nursery is not None
         self._nursery.start_soon(self._run_feed, feed, scope)
-        touch = trio.current_time() + CONTACT_S
-        return Process(feed, client, BeliefExchange(feed, seeds=()), scope, touch)
+        in_contact_from = trio.current_time() + RECOVERY_S
+        return Process(
+            feed, client, BeliefExchange(feed, seeds=()), scope, in_contact_from
+        )
 
     async def _run_feed(self, feed: RoutingFeed, scope: trio.CancelScope) -> None:
         with scope:
@@ -274,15 +278,15 @@
             self._copies.append((trio.current_time(), self._store.copy()))
             await trio.sleep(0.3)
 
-    async def _exchange_beliefs(self) -> None:
+    async def _exchange_snapshots(self) -> None:
         while True:
-            await trio.sleep(TELL_S)
+            await trio.sleep(EXCHANGE_INTERVAL_S)
             for process in self._processes:
                 for peer in self._processes:
                     if peer is not process:
-                        await self._ask_if_newer(process, peer)
+                        await self._fetch_if_newer(process, peer)
 
-    async def _ask_if_newer(self, process: Process, peer: Process) -> None:
+    async def _fetch_if_newer(self, process: Process, peer: Process) -> None:
         state = EntryState(
             address="10.1.0.1:7000",
             beliefs="10.1.0.1:7001",
@@ -290,16 +294,16 @@
             replicas_revision=peer.feed.replicas_revision,
             replicas_era=peer.feed.replicas_position.era,
         )
-        told = decode_message(encode_message(state))
-        assert isinstance(told, EntryState)
-        if process.exchange._is_newer(told):
+        received = decode_message(encode_message(state))
+        assert isinstance(received, EntryState)
+        if process.exchange._is_newer(received):
             beliefs = encode_beliefs(peer.feed.export())
             assert self._nursery is not None
             self._nursery.start_soon(self._merge_late, process, beliefs)
 
-    async def _merge_late(self, process: Process, beliefs: bytes) -> None:
+    async def _merge_late(self, process: Process, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
-        process.feed.merge(decode_beliefs(beliefs))
+        process.feed.merge(decode_beliefs(body))
 
     async def _check_always(self) -> None:
         while True:
@@ -314,10 +318,10 @@
         process.version = version
         for key, replica in process.feed.replicas.items():
             if replica.draining and self._replicas[key] != "ready":
-                process.left.add(key)
+                process.known_leaving.add(key)
             else:
-                assert key not in process.left, f"{key} is ready after it left"
-        if now < max(process.in_touch_from, self._stable_from):
+                assert key not in process.known_leaving, f"{key} is ready after it left"
+        if now < max(process.in_contact_from, self._stable_from):
             return
         due = [one for at, one in self._accepted if now - at > CONFIG_APPLY_S]
         assert version >= max(due), f"{version} in force, {max(due)} accepted"
