--- a/tests/lib/rank_standin.py
+++ b/tests/lib/rank_standin.py
@@ -90,7 +90,7 @@
         }
 
     def _take(self, number: int, document: Any) -> tuple[int, object]:
-        taken = self.model.ranks[number].take(
+        taken = self.model.ranks[number].carry_out(
             _read_order(document),
             step=self.model.step,
             epoch=self.model.epoch,
