--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -65,18 +65,18 @@
         self._running: dict[bytes, Attempt] = {}
         self._idle = trio.Event()
         self._register = AttemptRegister(self.incarnation)
-        self._rest = TargetBackoff()
+        self._backoff = TargetBackoff()
         self._keyed = KeyedRuns(
             register=self._register,
             target=self._target,
-            memory=self.decisions,
-            rest=self._rest,
+            decision_log=self.decisions,
+            backoff=self._backoff,
         )
         self._connections: set[PeerConnection] = set()
         self._stop_accepting = trio.Event()
         self.topics = TopicRouter()
         self.rows = HeldRows(vm=settings.vm, service=settings.service)
-        self._tellers: WeakSet[PeerConnection] = WeakSet()
+        self._row_senders: WeakSet[PeerConnection] = WeakSet()
         # What an entry said counts as long as its connection: one that died with an
         # old list must not keep the target out for ever.
         self._listed_leaving: set[PeerConnection] = set()
@@ -190,7 +190,7 @@
     def receive_heartbeat(self, peer: PeerConnection, heartbeat: Heartbeat) -> None:
         """Take note of the table that an entry has."""
         # A heartbeat may overtake the rows on a connection that was just opened.
-        if peer in self._tellers:
+        if peer in self._row_senders:
             self.rows.note_mark(heartbeat.table_mark)
 
     def _receive_rows(self, peer: PeerConnection, body: bytes) -> None:
@@ -200,7 +200,7 @@
             # The rows that are held stay in force.
             log_event("warning", "own-rows-refused", why=error)
         else:
-            self._tellers.add(peer)
+            self._row_senders.add(peer)
 
     async def answer_question(
         self, peer: PeerConnection, topic: str, body: bytes
@@ -217,15 +217,15 @@
         refusal = self._accept(opening)
         if refusal is not None:
             self.metrics.count_refusal(refusal.value)
-            stream.send(make_refused(refusal, self._rest))
+            stream.send(make_refused(refusal, self._backoff))
             return
         attempt = self._running[opening.attempt] = Attempt(
             stream,
             opening,
             target=self._target,
-            memory=self.decisions,
+            decision_log=self.decisions,
             register=self._register,
-            rest=self._rest,
+            backoff=self._backoff,
         )
         try:
             await attempt.run()
@@ -250,12 +250,14 @@
 
     def _accept(self, opening: Open) -> AgentRefusal | None:
         now = time.time()
-        why = find_refusal(self._rest, leaving=self.refuses_work)
+        why = find_refusal(self._backoff, leaving=self.refuses_work)
         if why is not None and opening.incarnation == self.incarnation:
             # The entry goes on to another target on the strength of this answer, so a
             # late copy must find a tombstone.
-            told = self._register.add_tombstone(opening.attempt, owner=None, now=now)
-            return why if told.proves_not_run else told
+            tombstone_refusal = self._register.add_tombstone(
+                opening.attempt, owner=None, now=now
+            )
+            return why if tombstone_refusal.proves_not_run else tombstone_refusal
         refusal = self._register.accept(
             opening.attempt, incarnation=opening.incarnation, owner=None, now=now
         )
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -37,16 +37,16 @@
         opening: Open,
         *,
         target: TargetClient,
-        memory: DecisionLog,
+        decision_log: DecisionLog,
         register: AttemptRegister,
-        rest: TargetBackoff,
+        backoff: TargetBackoff,
     ) -> None:
         self._stream = stream
         self._opening = opening
         self._target = target
-        self._memory = memory
+        self._decision_log = decision_log
         self._register = register
-        self._rest = rest
+        self._backoff = backoff
 
     async def run(self) -> None:
         """Run the attempt; the stream's last message tells how it ended."""
@@ -72,7 +72,7 @@
             self._record("answered", "the target's answer is whole")
 
     async def _relay(self, response: httpcore.Response) -> None:
-        observe_rest(self._rest, response)
+        observe_rest(self._backoff, response)
         self._stream.send(
             Head(response.status, headers.select_for_caller(tuple(response.headers)))
         )
@@ -90,6 +90,6 @@
             yield message.data
 
     def _record(self, decision: str, why: str) -> None:
-        self._memory.record(
+        self._decision_log.record(
             self._opening.request_id, DecisionRecord(time.time(), decision, why)
         )
--- a/src/hyssopvane/_internal/roles/dispatcher.py
+++ b/src/hyssopvane/_internal/roles/dispatcher.py
@@ -54,13 +54,13 @@
         scheduler: Scheduler,
         pool: PeerPool,
         metrics: Metrics,
-        memory: DecisionLog,
+        decision_log: DecisionLog,
         claims: ClaimRouter,
     ) -> None:
         self._scheduler = scheduler
         self._pool = pool
         self._metrics = metrics
-        self._memory = memory
+        self._decision_log = decision_log
         self._claims = claims
         self._waiting: dict[str, trio.MemorySendChannel[Decision]] = {}
 
@@ -117,7 +117,9 @@
         self.settle()
 
     def record(self, request_id: str, decision: str, why: str) -> None:
-        self._memory.record(request_id, DecisionRecord(time.time(), decision, why))
+        self._decision_log.record(
+            request_id, DecisionRecord(time.time(), decision, why)
+        )
 
     async def _run(self, request: CallerRequest, reply: ReplyWriter) -> Refusal | None:
         if request.key is None:
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -166,7 +166,7 @@
             scheduler=self.scheduler,
             pool=self._pool,
             metrics=self.metrics,
-            memory=self.decisions,
+            decision_log=self.decisions,
             claims=self.claims,
         )
 
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -52,13 +52,13 @@
         *,
         register: AttemptRegister,
         target: TargetClient,
-        memory: DecisionLog,
-        rest: TargetBackoff | None = None,
+        decision_log: DecisionLog,
+        backoff: TargetBackoff | None = None,
     ) -> None:
         self._register = register
         self._target = target
-        self._memory = memory
-        self._rest = TargetBackoff() if rest is None else rest
+        self._decision_log = decision_log
+        self._backoff = TargetBackoff() if backoff is None else backoff
         self._budget = AnswerBudget()
         self._runs: dict[bytes, _Run] = {}
         self._nursery: trio.Nursery | None = None
@@ -95,7 +95,7 @@
                     await self._receive_and_run(stream, opening, owner)
             if refusal is not None:
                 self._record(opening, "refused", refusal.value)
-                stream.send(make_refused(refusal, self._rest))
+                stream.send(make_refused(refusal, self._backoff))
         finally:
             self._end_work()
 
@@ -103,10 +103,12 @@
         self, opening: Open, owner: CustomerKey, *, leaving: bool
     ) -> AgentRefusal | None:
         now = time.time()
-        why = find_refusal(self._rest, leaving=leaving)
+        why = find_refusal(self._backoff, leaving=leaving)
         if why is not None and opening.incarnation == self._register.incarnation:
-            told = self._register.add_tombstone(opening.attempt, owner=owner, now=now)
-            return why if told.proves_not_run else told
+            tombstone_refusal = self._register.add_tombstone(
+                opening.attempt, owner=owner, now=now
+            )
+            return why if tombstone_refusal.proves_not_run else tombstone_refusal
         return self._register.accept(
             opening.attempt, incarnation=opening.incarnation, owner=owner, now=now
         )
@@ -181,7 +183,7 @@
             headers=opening.headers,
             body=body,
         ) as response:
-            observe_rest(self._rest, response)
+            observe_rest(self._backoff, response)
             fields = headers.select_for_caller(tuple(response.headers))
             answer.begin(Head(response.status, fields))
             async for data in response.aiter_stream():
@@ -203,7 +205,7 @@
             self._idle.set()
 
     def _record(self, opening: Open, decision: str, why: str) -> None:
-        self._memory.record(
+        self._decision_log.record(
             opening.request_id, DecisionRecord(time.time(), decision, why)
         )
 
--- a/tests/unit/test_keyed_runs.py
+++ b/tests/unit/test_keyed_runs.py
@@ -70,7 +70,9 @@
 async def run_agent():
     """Run the keyed part of an agent; give its target and a way to connect to it."""
     target = FakeTarget()
-    runs = KeyedRuns(register=AttemptRegister(1), target=target, memory=DecisionLog())
+    runs = KeyedRuns(
+        register=AttemptRegister(1), target=target, decision_log=DecisionLog()
+    )
 
     async def serve(stream, opening):
         await runs.serve(stream, opening, leaving=False)
