--- a/src/hyssopvane/_internal/roles/call.py
+++ b/src/hyssopvane/_internal/roles/call.py
@@ -79,7 +79,7 @@
             {
                 "type": "http.response.start",
                 "status": head.status,
-                "headers": [*head.headers, *self._mark(Outcome.RAN)],
+                "headers": [*head.headers, *self._make_outcome_headers(Outcome.RAN)],
             }
         )
 
@@ -98,14 +98,14 @@
     async def send_refusal(self, refusal: Refusal) -> None:
         """Tell the caller why there is no answer, and when to come back."""
         self.started = self.ended = True
-        marks: Headers = (
-            *self._mark(refusal.outcome),
+        reply_headers: Headers = (
+            *self._make_outcome_headers(refusal.outcome),
             (headers.REASON, refusal.reason.value.encode()),
         )
         if refusal.retry_after_s is not None:
             # Whole seconds, rounded up: nobody comes back before it helps.
             seconds = max(1, -int(-refusal.retry_after_s // 1))
-            marks += ((_RETRY_AFTER, str(seconds).encode()),)
+            reply_headers += ((_RETRY_AFTER, str(seconds).encode()),)
         await send_json(
             self._send,
             {
@@ -116,10 +116,10 @@
                 "request_id": self._request_id.decode(),
             },
             status=refusal.status,
-            headers=marks,
+            headers=reply_headers,
         )
 
-    def _mark(self, outcome: Outcome) -> Headers:
+    def _make_outcome_headers(self, outcome: Outcome) -> Headers:
         return (
             (headers.OUTCOME, outcome.value.encode()),
             (headers.REQUEST_ID, self._request_id),
--- a/src/hyssopvane/_internal/roles/caller_app.py
+++ b/src/hyssopvane/_internal/roles/caller_app.py
@@ -43,7 +43,7 @@
 _RETRY_AFTER_S = 1.0
 
 
-class Refuse(Exception):
+class RequestRefused(Exception):
     """Carry a refusal out of the checks of a request."""
 
     def __init__(self, refusal: Refusal) -> None:
@@ -89,8 +89,8 @@
         started_at = trio.current_time()
         try:
             request = await self._read_request(scope, receive, request_id)
-        except Refuse as refuse:
-            refusal = _qualify(refuse.refusal, _read_headers(scope))
+        except RequestRefused as refused:
+            refusal = _make_unknown_if_keyed(refused.refusal, _read_headers(scope))
             self._metrics.count_refusal(refusal.reason.value)
             await reply.send_refusal(refusal)
             return
@@ -139,17 +139,17 @@
     async def _read_request(
         self, scope: Any, receive: Any, request_id: str
     ) -> CallerRequest:
-        found = _read_headers(scope)
+        fields = _read_headers(scope)
         directory = self._source.get_directory()
-        customer = _find_customer(directory, found)
+        customer = _find_customer(directory, fields)
         service = _find_service(directory, scope["path"])
-        deadline_s = _read_deadline(found, service)
-        key = _read_key(found, service)
+        deadline_s = _read_deadline(fields, service)
+        key = _read_key(fields, service)
         try:
             body = await read_body(receive, max_bytes=self._limits.max_body_bytes)
         except BodyTooLarge:
             detail = f"the limit is {self._limits.max_body_bytes} bytes"
-            raise Refuse(
+            raise RequestRefused(
                 Refusal(RefusalReason.BODY_TOO_LARGE, Outcome.NOT_RUN, detail=detail)
             ) from None
         query: bytes = scope.get("query_string", b"")
@@ -168,7 +168,7 @@
             ),
             method=scope["method"],
             path=_strip_prefix(path, service) + (b"?" + query if query else b""),
-            headers=found,
+            headers=fields,
             body=body,
             key=key,
             key_window_s=service.idempotency_window_s,
@@ -184,7 +184,7 @@
     def get_directory(self) -> Directory:
         """Return the directory, or refuse while no table is known."""
         if self.directory is None:
-            raise Refuse(
+            raise RequestRefused(
                 Refusal(
                     RefusalReason.NOT_READY,
                     Outcome.NOT_RUN,
@@ -199,10 +199,10 @@
     return tuple((bytes(name), bytes(value)) for name, value in scope["headers"])
 
 
-def _read_key(found: Headers, service: ServiceRow) -> IdempotencyKey | None:
-    key = read_key(found)
+def _read_key(fields: Headers, service: ServiceRow) -> IdempotencyKey | None:
+    key = read_key(fields)
     if isinstance(key, Refusal):
-        raise Refuse(key)
+        raise RequestRefused(key)
     refusal = check_key(
         key,
         required=service.key_required,
@@ -210,40 +210,42 @@
         now=time.time(),
     )
     if refusal is not None:
-        raise Refuse(refusal)
+        raise RequestRefused(refusal)
     return key
 
 
-def _qualify(refusal: Refusal, found: Headers) -> Refusal:
+def _make_unknown_if_keyed(refusal: Refusal, fields: Headers) -> Refusal:
     """Say no more of a key than what holds for all its attempts."""
-    if isinstance(read_key(found), IdempotencyKey):
+    if isinstance(read_key(fields), IdempotencyKey):
         return make_outcome_unknown(refusal)
     return refusal
 
 
-def _find_customer(directory: Directory, found: Headers) -> CustomerRow:
-    value = headers.get_header(found, headers.AUTHORIZATION) or b""
+def _find_customer(directory: Directory, fields: Headers) -> CustomerRow:
+    value = headers.get_header(fields, headers.AUTHORIZATION) or b""
     key = value.removeprefix(_BEARER) if value.startswith(_BEARER) else b""
     customer = directory.find_customer(hashlib.sha256(key).hexdigest()) if key else None
     if customer is None:
-        raise Refuse(Refusal(RefusalReason.UNKNOWN_CALLER, Outcome.NOT_RUN))
+        raise RequestRefused(Refusal(RefusalReason.UNKNOWN_CALLER, Outcome.NOT_RUN))
     return customer
 
 
 def _find_service(directory: Directory, path: str) -> ServiceRow:
     service = directory.find_service(path)
     if service is None:
-        raise Refuse(Refusal(RefusalReason.UNKNOWN_SERVICE, Outcome.NOT_RUN))
+        raise RequestRefused(Refusal(RefusalReason.UNKNOWN_SERVICE, Outcome.NOT_RUN))
     return service
 
 
-def _read_deadline(found: Headers, service: ServiceRow) -> float:
-    value = headers.get_header(found, headers.DEADLINE_MS)
+def _read_deadline(fields: Headers, service: ServiceRow) -> float:
+    value = headers.get_header(fields, headers.DEADLINE_MS)
     if value is None:
         return float(service.deadline_s)
     if not value.isdigit() or not 0 < int(value) <= _MAX_DEADLINE_MS:
         detail = "Hyssopvane-Deadline-Ms is a whole number of milliseconds, up to a day"
-        raise Refuse(Refusal(RefusalReason.MALFORMED, Outcome.NOT_RUN, detail=detail))
+        raise RequestRefused(
+            Refusal(RefusalReason.MALFORMED, Outcome.NOT_RUN, detail=detail)
+        )
     return int(value) / 1_000
 
 
