--- a/src/hyssopvane/_internal/roles/claim_router.py
+++ b/src/hyssopvane/_internal/roles/claim_router.py
@@ -27,10 +27,10 @@
 
 CHANGE_TOPIC = "claims/change"
 
-_ASK_TIMEOUT_S = 1.0
+_CHANGE_TIMEOUT_S = 1.0
 # An entry that did not answer is not asked again for this time, so that one that is
 # frozen costs one slow claim and not each of them.
-_AVOID_S = 10.0
+_AVOID_SILENT_S = 10.0
 _SWEEPER = "sweep"
 
 
@@ -71,14 +71,16 @@
         """Make a change through the preferred entry, or here when it is silent."""
         vm = self._choose(f"bucket-{change.key.bucket}")
         if vm != self._own_vm:
-            result = await self._ask(vm, change)
+            result = await self._request_change(vm, change)
             if result is not None:
                 return result
         return await self._writer.change(change)
 
-    async def _ask(self, vm: str, change: ClaimChange) -> ChangeResult | None:
+    async def _request_change(
+        self, vm: str, change: ClaimChange
+    ) -> ChangeResult | None:
         try:
-            with trio.move_on_after(_ASK_TIMEOUT_S):
+            with trio.move_on_after(_CHANGE_TIMEOUT_S):
                 answer = await self._links.ask(vm, CHANGE_TOPIC, encode_change(change))
                 if answer:
                     return decode_result(answer)
@@ -87,7 +89,7 @@
         # That entry may have written the claim all the same. Writing it again here
         # finds the same attempt in the page and changes nothing.
         self._metrics.count_event("claim-not-routed")
-        self._avoided_until[vm] = trio.current_time() + _AVOID_S
+        self._avoided_until[vm] = trio.current_time() + _AVOID_SILENT_S
         return None
 
     async def _answer(self, peer: PeerConnection, body: bytes) -> bytes:
--- a/src/hyssopvane/_internal/roles/dispatcher.py
+++ b/src/hyssopvane/_internal/roles/dispatcher.py
@@ -28,7 +28,7 @@
     NotStarted,
     exchange,
 )
-from hyssopvane._internal.roles.keyed_dispatch import KeyedDispatch, Places
+from hyssopvane._internal.roles.keyed_dispatch import KeyedDispatch, Placer
 from hyssopvane._internal.roles.peer_pool import PeerPool
 from hyssopvane._internal.state.claims import ATTEMPT_BYTES
 from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
@@ -45,7 +45,7 @@
 _RETRY_AFTER_S = 1.0
 
 
-class Dispatcher(Places):
+class Dispatcher(Placer):
     """Run requests: wait for a place, send, relay the answer, retry where allowed."""
 
     def __init__(
@@ -81,7 +81,7 @@
             self._metrics.count_refusal(refusal.reason.value)
             await reply.send_refusal(refusal)
 
-    def settle(self) -> None:
+    def deliver_decisions(self) -> None:
         """Wake the waiting requests about which there is a new decision."""
         for request_id, decision in self._scheduler.collect(now=trio.current_time()):
             channel = self._waiting.pop(request_id, None)
@@ -92,10 +92,10 @@
         """Settle at an interval, so that a passed deadline is told at once."""
         while True:
             await trio.sleep(interval_s)
-            self.settle()
+            self.deliver_decisions()
 
     async def submit(self, work: WorkRequest) -> Placed | Refusal:
-        return await self._follow(
+        return await self._await_decision(
             work, self._scheduler.submit(work, now=trio.current_time())
         )
 
@@ -105,16 +105,16 @@
         decision = self._scheduler.finish(
             work.request_id, report, now=trio.current_time()
         )
-        self.settle()
+        self.deliver_decisions()
         if decision is None:
             return None
         self._metrics.count_retry(report.reason or report.result.value)
         self.record(work.request_id, "retried", report.reason)
-        return await self._follow(work, decision)
+        return await self._await_decision(work, decision)
 
     def withdraw(self, work: WorkRequest) -> None:
         self._scheduler.withdraw(work.request_id)
-        self.settle()
+        self.deliver_decisions()
 
     def record(self, request_id: str, decision: str, why: str) -> None:
         self._decision_log.record(
@@ -128,7 +128,7 @@
             request,
             reply,
             key=request.key,
-            places=self,
+            placer=self,
             pool=self._pool,
             claims=self._claims,
         )
@@ -146,14 +146,16 @@
                 # A short answer that looks whole would reach a family as the final
                 # history. Cutting the connection lets the caller's client see it.
                 # A body may crash its target after the first token, too.
-                report = replace(_judge(end)[0], final=True)
+                report = replace(_make_report(end)[0], final=True)
                 await self.finish(work, report)
-                raise AnswerCut(_explain(end))
-            report, refusal = _judge(end)
+                raise AnswerCut(_describe_end(end))
+            report, refusal = _make_report(end)
             decision = await self.finish(work, report)
         return refusal if decision is None else decision
 
-    async def _follow(self, work: WorkRequest, decision: Decision) -> Placed | Refusal:
+    async def _await_decision(
+        self, work: WorkRequest, decision: Decision
+    ) -> Placed | Refusal:
         if isinstance(decision, Waiting):
             decision = await self._wait(work.request_id, work.deadline)
         assert not isinstance(decision, Waiting)
@@ -169,7 +171,7 @@
         try:
             with trio.move_on_at(deadline):
                 return await receiver.receive()
-            self.settle()
+            self.deliver_decisions()
             return receiver.receive_nowait()
         finally:
             self._waiting.pop(request_id, None)
@@ -194,7 +196,7 @@
         )
 
 
-def _judge(end: ExchangeEnd) -> tuple[AttemptReport, Refusal | None]:
+def _make_report(end: ExchangeEnd) -> tuple[AttemptReport, Refusal | None]:
     """Return what the scheduler and, if that was the last attempt, the caller learn."""
     if isinstance(end, Answered):
         report = AttemptReport(AttemptResult.ANSWERED, latency_s=end.latency_s)
@@ -218,7 +220,9 @@
     if isinstance(end, Lost | NotStarted):
         return (
             AttemptReport(AttemptResult.LOST, "connection-lost"),
-            Refusal(RefusalReason.TARGET_LOST, Outcome.UNKNOWN, detail=_explain(end)),
+            Refusal(
+                RefusalReason.TARGET_LOST, Outcome.UNKNOWN, detail=_describe_end(end)
+            ),
         )
     return (
         AttemptReport(AttemptResult.CANCELLED, "deadline"),
@@ -226,7 +230,7 @@
     )
 
 
-def _explain(end: ExchangeEnd) -> str:
+def _describe_end(end: ExchangeEnd) -> str:
     if isinstance(end, Failed | Lost):
         return end.why
     if isinstance(end, NotStarted):
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -73,7 +73,7 @@
 
 # A connection to another entry costs heartbeats both ways, and most are used seldom.
 _IDLE_LINK_S = 30.0
-_SETTLE_INTERVAL_S = 0.05
+_DEADLINE_CHECK_INTERVAL_S = 0.05
 _AGENT_ROLE = "agent"
 _ENTRY_ROLE = "entry"
 
@@ -184,7 +184,10 @@
             self.sharing.start(nursery)
             nursery.start_soon(self._quarantine.run)
             nursery.start_soon(
-                partial(self.dispatcher.watch_deadlines, interval_s=_SETTLE_INTERVAL_S)
+                partial(
+                    self.dispatcher.watch_deadlines,
+                    interval_s=_DEADLINE_CHECK_INTERVAL_S,
+                )
             )
             self.operators_address = await nursery.start(
                 serve_until_cancelled, OperatorsApp(self), self.settings.operators
@@ -283,7 +286,7 @@
         self.sharing.connect_agent(hello.vm, hello.service)
         if hello.vm in self._listed_leaving:
             self._tell_leaving(hello.vm)
-        self.dispatcher.settle()
+        self.dispatcher.deliver_decisions()
 
     def disconnect_peer(self, vm: str) -> None:
         self.scheduler.disconnect_target(vm)
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -56,22 +56,22 @@
 )
 from hyssopvane._internal.transport.peer_connection import PeerConnection
 
-FRESH_KEY_S = 2.0
+FIRST_ATTEMPT_MAX_AGE_S = 2.0
 """Age below which a key is taken for a first attempt.
 
 Its claim is not read before it is written. At 870 keyed requests a second this keeps
 the reads near none; a repeat that comes sooner is found by the write.
 """
 
-REJOIN_S = 5.0
+RECONNECT_TIMEOUT_S = 5.0
 """Time to wait for a new connection to an agent, above the silence that closes one."""
 
-_REJOIN_INTERVAL_S = 0.1
+_RECONNECT_POLL_INTERVAL_S = 0.1
 _VOID_TIMEOUT_S = 1.0
 _RETRY_AFTER_S = 1.0
 
 
-class Places(ABC):
+class Placer(ABC):
     """Give places at targets."""
 
     @abstractmethod
@@ -102,7 +102,7 @@
         reply: ReplyWriter,
         *,
         key: IdempotencyKey,
-        places: Places,
+        placer: Placer,
         pool: PeerPool,
         claims: ClaimRouter,
     ) -> None:
@@ -110,7 +110,7 @@
         self._work = request.work
         self._reply = reply
         self._key = key
-        self._places = places
+        self._placer = placer
         self._pool = pool
         self._claims = claims
         self._claim_key = make_claim_key(self._work.customer, key.text, key.created_at)
@@ -121,37 +121,37 @@
 
     async def run(self) -> Refusal | None:
         """Run to the end; return the refusal where the caller got no answer."""
-        old = self._key.get_age(time.time()) > FRESH_KEY_S
+        old = self._key.get_age(time.time()) > FIRST_ATTEMPT_MAX_AGE_S
         step = self._flow.begin(look=old)
         while True:
             if isinstance(step, Refuse):
-                self._give_up_place()
-                return self._tell(step.refusal)
+                self._release_place()
+                return self._refuse_or_cut(step.refusal)
             if isinstance(step, Send | Join):
                 end = await self._exchange(step)
                 if isinstance(end, Answered):
-                    await self._end_answered(end)
+                    await self._report_answer(end)
                     return None
                 if isinstance(end, Failed) and self._placed:
                     await self._report_failure()
-                step = self._go_on(step, end)
+                step = self._handle_end(step, end)
             else:
                 step = await self._prepare(step)
 
     async def _report_failure(self) -> None:
         # The body may be what broke the target; the scheduler keeps count of it.
         report = AttemptReport(AttemptResult.BROKEN, "target-broken", final=True)
-        await self._places.finish(self._work, report)
+        await self._placer.finish(self._work, report)
         self._placed = False
 
     async def _prepare(self, step: ReadClaim | Place | Write) -> Step:
         if isinstance(step, ReadClaim):
-            return await self._look()
+            return await self._read_claim()
         if isinstance(step, Place):
-            return await self._place()
+            return await self._request_place()
         return await self._write(step)
 
-    async def _look(self) -> Step:
+    async def _read_claim(self) -> Step:
         try:
             with trio.move_on_at(self._work.deadline):
                 claim = await self._claims.find(self._claim_key)
@@ -160,12 +160,12 @@
             return self._flow.handle_write_failure(error.message)
         return self._flow.handle_write_failure("the claim was not read in time")
 
-    async def _place(self) -> Step:
+    async def _request_place(self) -> Step:
         if self._placed:
             report = AttemptReport(AttemptResult.NOT_STARTED, "not-started")
-            decision = await self._places.finish(self._work, report)
+            decision = await self._placer.finish(self._work, report)
         else:
-            decision = await self._places.submit(self._work)
+            decision = await self._placer.submit(self._work)
         self._placed = isinstance(decision, Placed)
         if isinstance(decision, Placed):
             return self._flow.handle_target(
@@ -187,7 +187,7 @@
             if result.status is ChangeStatus.SEEN:
                 next_step = self._flow.handle_written(result.claim)
                 if not isinstance(next_step, Send):
-                    self._give_up_place()
+                    self._release_place()
                 return next_step
             if result.status is ChangeStatus.EXPIRED:
                 return Refuse(Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN))
@@ -207,7 +207,7 @@
             if join:
                 return Lost("no connection to the agent that holds the key")
             return NotStarted(AgentRefusal.NOT_CONNECTED)
-        self._places.record(
+        self._placer.record(
             self._work.request_id, "joined" if join else "claimed", claim.target
         )
         opening = make_opening(
@@ -225,7 +225,7 @@
             deadline=self._work.deadline,
         )
 
-    def _go_on(self, step: Send | Join, end: ExchangeEnd) -> Step:
+    def _handle_end(self, step: Send | Join, end: ExchangeEnd) -> Step:
         if isinstance(end, NotStarted):
             return self._flow.handle_agent_refusal(
                 end.reason, joined=isinstance(step, Join)
@@ -254,30 +254,32 @@
 
     async def _wait_for_connection(self, claim: Claim) -> PeerConnection | None:
         """Wait a little: a connection that went silent is opened anew."""
-        with trio.move_on_at(min(self._work.deadline, trio.current_time() + REJOIN_S)):
+        with trio.move_on_at(
+            min(self._work.deadline, trio.current_time() + RECONNECT_TIMEOUT_S)
+        ):
             while True:
                 connection = self._get_connection(claim)
                 if connection is not None:
                     return connection
-                await trio.sleep(_REJOIN_INTERVAL_S)
+                await trio.sleep(_RECONNECT_POLL_INTERVAL_S)
         return None
 
     def _get_connection(self, claim: Claim) -> PeerConnection | None:
         connection = self._pool.get_connection(claim.target)
         return None if connection is None or connection.lost else connection
 
-    async def _end_answered(self, end: Answered) -> None:
+    async def _report_answer(self, end: Answered) -> None:
         if self._placed:
             report = AttemptReport(AttemptResult.ANSWERED, latency_s=end.latency_s)
             self._placed = False
-            await self._places.finish(self._work, report)
+            await self._placer.finish(self._work, report)
 
-    def _give_up_place(self) -> None:
+    def _release_place(self) -> None:
         if self._placed:
             self._placed = False
-            self._places.withdraw(self._work)
+            self._placer.withdraw(self._work)
 
-    def _tell(self, refusal: Refusal) -> Refusal:
+    def _refuse_or_cut(self, refusal: Refusal) -> Refusal:
         if self._reply.started:
             raise AnswerCut(refusal.reason.value)
         return refusal
