--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -129,7 +129,7 @@
             self.scheduler.admission,
             own_vm=settings.vm,
             incarnation=self.incarnation,
-            ask=self.links.ask_briefly,
+            ask=self.links.ask_once,
             get_customers=self._get_customers,
         )
         self.topics.add_question(DEMAND_TOPIC, self._answer_demand)
@@ -142,9 +142,9 @@
             own_vm=settings.vm,
             incarnation=self.incarnation,
             random=self._random,
-            observe=self._put_in_force,
+            observe=self._apply_table,
             vm_list=settings.vm_list,
-            observe_vms=self._use_vms,
+            observe_vms=self._update_vms,
         )
         self._read_back = ReadBack(
             self,
@@ -285,7 +285,7 @@
         )
         self.sharing.connect_agent(hello.vm, hello.service)
         if hello.vm in self._listed_leaving:
-            self._tell_leaving(hello.vm)
+            self._notify_leaving(hello.vm)
         self.dispatcher.deliver_decisions()
 
     def disconnect_peer(self, vm: str) -> None:
@@ -302,7 +302,7 @@
             ),
         )
 
-    def _note_leaving(self, records: tuple[VmRecord, ...]) -> None:
+    def _update_leaving(self, records: tuple[VmRecord, ...]) -> None:
         # The platform may announce a leaving VM long before its agent is told to
         # stop. The next heartbeat says the same again, or that it has come back.
         before = self._listed_leaving
@@ -310,15 +310,15 @@
             record.name for record in records if record.state is VmState.LEAVING
         )
         for vm in before ^ self._listed_leaving:
-            self._tell_leaving(vm)
+            self._notify_leaving(vm)
 
-    def _tell_leaving(self, vm: str) -> None:
+    def _notify_leaving(self, vm: str) -> None:
         # Entries with an older list go on to send work there; the agent refuses it.
         connection = self._pool.get_connection(vm)
         if connection is None:
             return
-        word = LEAVING if vm in self._listed_leaving else STAYING
-        connection.notify(LISTED_TOPIC, word)
+        notice = LEAVING if vm in self._listed_leaving else STAYING
+        connection.notify(LISTED_TOPIC, notice)
         if connection.last_heartbeat is not None:
             self.observe_heartbeat(vm, connection.last_heartbeat)
 
@@ -391,17 +391,17 @@
             task_status=task_status,
         )
 
-    def _put_in_force(self, table: Table) -> None:
+    def _apply_table(self, table: Table) -> None:
         self._source.directory = Directory(table)
         self.scheduler.update_table(table, now=trio.current_time())
 
-    def _use_vms(self, records: tuple[VmRecord, ...]) -> None:
+    def _update_vms(self, records: tuple[VmRecord, ...]) -> None:
         assert self._nursery is not None
         self._pool.update(self._select_agents(records), self._nursery)
         self.links.update(_select_entries(records, own_vm=self.settings.vm))
         self._demand.update_entries(self.links.list_vms())
         self._read_back.update_vms(records)
-        self._note_leaving(records)
+        self._update_leaving(records)
 
     def _select_agents(self, records: tuple[VmRecord, ...]) -> frozenset[PeerAddress]:
         """Return the agents that this entry connects to."""
--- a/src/hyssopvane/_internal/roles/entry_links.py
+++ b/src/hyssopvane/_internal/roles/entry_links.py
@@ -17,7 +17,7 @@
 _CONNECT_TIMEOUT_S = 1.0
 # After a question that is asked once in minutes, heartbeats of two seconds cost what it
 # costs to open the connection again (736 and 392 bytes).
-_BRIEF_IDLE_S = 1.0
+_ONCE_IDLE_S = 1.0
 
 
 class EntryLinks(Neighbours):
@@ -41,7 +41,7 @@
         self._idle_s = idle_s
         self._addresses: Mapping[str, str] = {}
         self._connections: dict[str, PeerConnection] = {}
-        self._kept_until: dict[str, float] = {}
+        self._keep_until: dict[str, float] = {}
         self._locks: dict[str, trio.Lock] = {}
         self._nursery: trio.Nursery | None = None
 
@@ -65,9 +65,9 @@
         connection = await self._get_connection(vm, self._idle_s)
         return await connection.ask(topic, body)
 
-    async def ask_briefly(self, vm: str, topic: str, body: bytes) -> bytes:
+    async def ask_once(self, vm: str, topic: str, body: bytes) -> bytes:
         """Ask as `ask` does, where the next question is far away."""
-        connection = await self._get_connection(vm, _BRIEF_IDLE_S)
+        connection = await self._get_connection(vm, _ONCE_IDLE_S)
         return await connection.ask(topic, body)
 
     async def notify(self, vm: str, topic: str, body: bytes) -> None:
@@ -77,8 +77,8 @@
 
     async def _get_connection(self, vm: str, keep_s: float) -> PeerConnection:
         async with self._locks.setdefault(vm, trio.Lock()):
-            kept_until = trio.current_time() + keep_s
-            self._kept_until[vm] = max(kept_until, self._kept_until.get(vm, 0.0))
+            keep_until = trio.current_time() + keep_s
+            self._keep_until[vm] = max(keep_until, self._keep_until.get(vm, 0.0))
             connection = self._connections.get(vm)
             if connection is None or connection.lost:
                 connection = await self._connect(vm)
@@ -114,8 +114,8 @@
 
     async def _close_idle(self) -> None:
         while True:
-            await trio.sleep(_BRIEF_IDLE_S)
+            await trio.sleep(_ONCE_IDLE_S)
             now = trio.current_time()
             for vm, connection in list(self._connections.items()):
-                if self._kept_until[vm] < now and not connection.open_streams:
+                if self._keep_until[vm] < now and not connection.open_streams:
                     connection.close()
--- a/src/hyssopvane/_internal/roles/kept_answer.py
+++ b/src/hyssopvane/_internal/roles/kept_answer.py
@@ -57,7 +57,7 @@
         return self._end is not None
 
     @property
-    def read(self) -> bool:
+    def is_being_read(self) -> bool:
         """Tell whether a caller is being given this answer now."""
         return bool(self._readers)
 
@@ -80,7 +80,7 @@
             self._start += len(data)
             return
         self._data += data
-        self._budget.make_room()
+        self._budget.enforce_limit()
         self._wake()
 
     def finish(self, end: AnswerEnd) -> None:
@@ -153,7 +153,7 @@
         """Forget an answer."""
         self._answers.pop(attempt, None)
 
-    def make_room(self) -> None:
+    def enforce_limit(self) -> None:
         """Drop the oldest answers that nobody reads, ended ones first.
 
         Made for a burst of long answers whose callers don't come back. Without it the
@@ -163,7 +163,7 @@
         over = self.count_bytes() - self._max_bytes
         if over <= 0:
             return
-        unread = [one for one in self._answers.values() if not one.read]
+        unread = [one for one in self._answers.values() if not one.is_being_read]
         for answer in sorted(unread, key=lambda one: not one.ended):
             over -= answer.size
             answer.drop()
--- a/src/hyssopvane/_internal/roles/peer_pool.py
+++ b/src/hyssopvane/_internal/roles/peer_pool.py
@@ -18,8 +18,8 @@
 # After an agent's restart its slot is taken again within seconds; a first wait this
 # short finds it soon, and the doubling keeps a whole zone's loss from becoming a storm
 # of connection attempts when it comes back.
-_FIRST_BACKOFF_S = 0.1
-_LAST_BACKOFF_S = 5.0
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 5.0
 _CONNECT_TIMEOUT_S = 2.0
 _RETIRE_INTERVAL_S = 0.25
 
@@ -104,13 +104,13 @@
         peer.scope.cancel()
 
     async def _keep_connected(self, peer: _Peer) -> None:
-        backoff_s = _FIRST_BACKOFF_S
+        backoff_s = _INITIAL_BACKOFF_S
         with peer.scope:
             while not peer.retiring:
                 if await self._connect_once(peer.address):
-                    backoff_s = _FIRST_BACKOFF_S
+                    backoff_s = _INITIAL_BACKOFF_S
                 await trio.sleep(backoff_s * self._random.uniform(0.5, 1.0))
-                backoff_s = min(backoff_s * 2, _LAST_BACKOFF_S)
+                backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
 
     async def _connect_once(self, address: PeerAddress) -> bool:
         host, port = parse_address(address.address)
--- a/src/hyssopvane/_internal/roles/process.py
+++ b/src/hyssopvane/_internal/roles/process.py
@@ -41,7 +41,7 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(role.run)
             await _wait_for_end(received, settings, reload)
-            nursery.start_soon(_ignore_further, received)
+            nursery.start_soon(_ignore_further_signals, received)
             drained = await _drain(role, settings.drain_limit_s)
             nursery.cancel_scope.cancel()
     await role.close()
@@ -87,7 +87,7 @@
     return not scope.cancelled_caught
 
 
-async def _ignore_further(signals: AsyncIterator[int]) -> None:
+async def _ignore_further_signals(signals: AsyncIterator[int]) -> None:
     # A supervisor that repeats its signal must not cut the answers in progress. One
     # that is left unread would end the process when the receiver closes.
     async for number in signals:
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -51,14 +51,14 @@
         self._pool = pool
         self._observe = observe
         self._services: dict[str, str] = {}
-        self._told: dict[str, tuple[OwnRow, ...]] = {}
+        self._sent_rows: dict[str, tuple[OwnRow, ...]] = {}
         self.spread = TableSpread(
             store,
             links,
             own_vm=own_vm,
             incarnation=incarnation,
             random=random,
-            observe=self._put_in_force,
+            observe=self._apply_table,
             report=_log_error,
             get_vms_digest=lambda: self._vms.digest,
             compare_vms=lambda digest: self._vms.compare(digest),
@@ -96,8 +96,8 @@
     def connect_agent(self, vm: str, service: str) -> None:
         """Tell an agent its rows."""
         self._services[vm] = service
-        self._told.pop(vm, None)
-        self._tell_agent(vm)
+        self._sent_rows.pop(vm, None)
+        self._send_rows(vm)
 
     def disconnect_agent(self, vm: str) -> None:
         """Forget what an agent was told."""
@@ -113,13 +113,13 @@
         rows = {f"{kind}s": _format_rows(table, kind) for kind in RowKind}
         return {"revision": table.revision, **rows}
 
-    def _put_in_force(self, table: Table) -> None:
+    def _apply_table(self, table: Table) -> None:
         self._observe(table)
         for vm in self._services:
-            self._tell_agent(vm)
+            self._send_rows(vm)
         log_event("info", "table-in-force", revision=table.revision)
 
-    def _tell_agent(self, vm: str) -> None:
+    def _send_rows(self, vm: str) -> None:
         connection = self._pool.get_connection(vm)
         if connection is None or not self.spread.table.revision:
             return
@@ -131,8 +131,8 @@
         )
         # The page's revision rises with every edit of another row of it; the agent
         # needs only what differs.
-        if self._told.get(vm) is None or _differ(self._told[vm], rows.rows):
-            self._told[vm] = rows.rows
+        if self._sent_rows.get(vm) is None or _differ(self._sent_rows[vm], rows.rows):
+            self._sent_rows[vm] = rows.rows
             connection.notify(OWN_ROWS_TOPIC, encode_own_rows(rows))
 
     def _receive_pages(self, peer: PeerConnection, body: bytes) -> None:
@@ -157,8 +157,8 @@
     }
 
 
-def _differ(told: tuple[OwnRow, ...], rows: tuple[OwnRow, ...]) -> bool:
-    return [row.cells for row in told] != [row.cells for row in rows]
+def _differ(sent: tuple[OwnRow, ...], rows: tuple[OwnRow, ...]) -> bool:
+    return [row.cells for row in sent] != [row.cells for row in rows]
 
 
 def _log_vms_error(error: HyssopvaneError) -> None:
