--- a/src/hyssopvane/_internal/roles/map_agent.py
+++ b/src/hyssopvane/_internal/roles/map_agent.py
@@ -41,14 +41,14 @@
 
 MAP_ORDER_TOPIC = "map-order"
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 """Time between two looks at the engine beside the agent; it costs the service nothing.
 
 The service is read only while the rank is held or armed, or holds staged weights: at
 64 ranks a group that is 128 reads a second for the seconds between arming and decision.
 """
 
-STAGED_POLLS = 10
+POLLS_PER_STAGED_READ = 10
 """Polls for one read of the service while weights are staged and nothing is armed."""
 
 ABORT_AFTER_S = 3.0
@@ -175,20 +175,20 @@
         self._store = store
         self._metrics = metrics
         self._random = random
-        self._agent = RankSwitchPlanner()
+        self._planner = RankSwitchPlanner()
         # Two passes at once would order the engine by two different records.
         self._lock = trio.Lock()
-        self._waits_since: float | None = None
+        self._waiting_since: float | None = None
 
     async def run(self) -> None:
         """Look after the rank until cancelled."""
         polls = 0
         while True:
-            await trio.sleep(POLL_S * self._random.uniform(0.8, 1.2))
+            await trio.sleep(POLL_INTERVAL_S * self._random.uniform(0.8, 1.2))
             polls += 1
             try:
                 async with self._lock:
-                    await self._look(reads_staged=polls % STAGED_POLLS == 0)
+                    await self._poll(reads_staged=polls % POLLS_PER_STAGED_READ == 0)
             except HyssopvaneError as error:
                 log_event("debug", "map-not-checked", why=error)
 
@@ -198,50 +198,50 @@
         if group != self._group:
             return format_answer(self._refuse(fence, OrderRefusal.UNKNOWN_FENCE))
         async with self._lock:
-            return format_answer(await self._follow(fence))
+            return format_answer(await self._execute_order(fence))
 
-    async def _follow(self, fence: int) -> RankAnswer:
-        if fence < self._agent.highest_fence:
+    async def _execute_order(self, fence: int) -> RankAnswer:
+        if fence < self._planner.highest_fence:
             return self._refuse(fence, OrderRefusal.OLD_FENCE)
-        if not await self._read():
+        if not await self._read_record():
             return self._refuse(fence, OrderRefusal.NO_SERVICE)
-        refusal = self._agent.find_refusal(fence)
+        refusal = self._planner.find_refusal(fence)
         if refusal is not None:
             return self._refuse(fence, refusal)
         try:
-            engine_refusal = await self._bring_in_line(is_fresh=True)
+            engine_refusal = await self._reconcile(is_fresh=True)
             view = await self._engine.get_view()
         except MapSwitchError:
             return self._refuse(fence, OrderRefusal.NO_ENGINE)
         if engine_refusal:
             return RankAnswer(self._rank, fence, engine_refusal=engine_refusal)
-        return make_answer(self._agent.known.record, self._rank, view)
+        return make_answer(self._planner.known.record, self._rank, view)
 
     def _refuse(self, fence: int, refusal: OrderRefusal) -> RankAnswer:
         self._metrics.count_event(f"map-order-refused-{refusal}")
         return RankAnswer(self._rank, fence, refusal=refusal)
 
-    async def _look(self, *, reads_staged: bool) -> None:
+    async def _poll(self, *, reads_staged: bool) -> None:
         view = await self._engine.get_view()
         undecided = bool(view.armed) and not view.armed_decided
         if not (view.is_held or undecided or (view.staged and reads_staged)):
-            self._waits_since = None
+            self._waiting_since = None
             return
-        is_fresh = await self._read()
-        await self._bring_in_line(is_fresh=is_fresh)
-        await self._end_waiting(await self._engine.get_view())
+        is_fresh = await self._read_record()
+        await self._reconcile(is_fresh=is_fresh)
+        await self._abort_if_overdue(await self._engine.get_view())
 
-    async def _bring_in_line(self, *, is_fresh: bool) -> str:
+    async def _reconcile(self, *, is_fresh: bool) -> str:
         """Send the engine what it lacks; return its refusal of the open proposal."""
         for _ in range(_MAX_ORDERS):
             view = await self._engine.get_view()
-            if self._agent.needs_confirmation(view):
+            if self._planner.needs_confirmation(view):
                 await self._confirm()
-            order = self._agent.plan(view, is_fresh=is_fresh)
+            order = self._planner.plan(view, is_fresh=is_fresh)
             if order is None:
                 return ""
             refusal = await self._engine.send(order)
-            self._agent.note_order(order, view)
+            self._planner.note_order(order, view)
             log_event(
                 "info",
                 "map-order",
@@ -253,7 +253,7 @@
             )
             if refusal:
                 self._metrics.count_event(f"map-engine-refused-{order.kind}")
-                proposal = self._agent.known.record.open_proposal
+                proposal = self._planner.known.record.open_proposal
                 is_proposed = proposal is not None and proposal.name == order.name
                 return refusal if is_proposed else ""
         return ""
@@ -262,21 +262,21 @@
         # With the service out the rank stays held: the group waits, which is allowed;
         # two maps in one step are not.
         with suppress(KeyValueError):
-            self._agent.confirm(await self._store.confirm_for_restart())
+            self._planner.confirm(await self._store.confirm_for_restart())
             self._metrics.count_event("map-restart-confirmed")
 
-    async def _end_waiting(self, view: RankView) -> None:
+    async def _abort_if_overdue(self, view: RankView) -> None:
         if not view.waits:
-            self._waits_since = None
+            self._waiting_since = None
             return
         now = trio.current_time()
-        if self._waits_since is None:
-            self._waits_since = now
+        if self._waiting_since is None:
+            self._waiting_since = now
             self._metrics.count_event("map-waiting")
             log_event("warning", "map-waiting", map=view.armed, step=view.armed_step)
             return
-        proposal = self._agent.known.record.open_proposal
-        if now - self._waits_since < ABORT_AFTER_S or proposal is None:
+        proposal = self._planner.known.record.open_proposal
+        if now - self._waiting_since < ABORT_AFTER_S or proposal is None:
             return
         why = f"{self._rank} waited too long for a decision"
         try:
@@ -285,11 +285,11 @@
             return
         if aborted is not None:
             self._metrics.count_event("map-aborted-by-agent")
-        self._agent.learn(self._store.known)
+        self._planner.learn(self._store.known)
 
-    async def _read(self) -> bool:
+    async def _read_record(self) -> bool:
         try:
-            self._agent.learn(await self._store.read())
+            self._planner.learn(await self._store.read())
         except KeyValueError:
             return False
         return True
--- a/src/hyssopvane/_internal/roles/map_duty.py
+++ b/src/hyssopvane/_internal/roles/map_duty.py
@@ -39,12 +39,12 @@
     rank is past the step before it is armed, and the proposal is aborted; with many,
     the gain comes a little later.
     """
-    ask_again_s: float = 0.1
-    stage_again_s: float = 1.0
+    query_retry_s: float = 0.1
+    staging_poll_s: float = 1.0
     """Pause while weights are fetched, which takes seconds to minutes."""
-    arm_limit_s: float = 10.0
+    arm_timeout_s: float = 10.0
     """Time for arming, after which the proposal is aborted."""
-    stage_limit_s: float = 1800.0
+    stage_timeout_s: float = 1800.0
     """Time for staging, after which the proposal is aborted."""
     max_staging: int = 8
     """Ranks that fetch weights at one time.
@@ -55,7 +55,7 @@
     lease_s: int = 30
 
 
-class RankCaller(ABC):
+class RankClient(ABC):
     """Ask the agents of a group's ranks."""
 
     @abstractmethod
@@ -76,7 +76,7 @@
         group: str,
         ranks: frozenset[str],
         store: MapSwitchStore,
-        caller: RankCaller,
+        caller: RankClient,
         metrics: Metrics,
         times: SwitchTimes | None = None,
     ) -> None:
@@ -108,25 +108,32 @@
         progress = SwitchProgress(self._ranks, self._times.margin_steps)
         progress.learn((await self._store.read()).record)
         fence = progress.record.fence
-        began, phase = trio.current_time(), None
+        phase_started_at, phase = trio.current_time(), None
         while (move := progress.plan()).move is not Move.END:
             proposal = progress.record.open_proposal
             assert proposal is not None
             if proposal.phase is not phase:
-                phase, began = proposal.phase, trio.current_time()
-            move = self._limit_time(move, proposal.phase, began)
+                phase, phase_started_at = proposal.phase, trio.current_time()
+            move = self._apply_timeout(move, proposal.phase, phase_started_at)
             await self._carry_out(move, progress)
             progress.learn(self._store.known.record)
             if progress.record.fence != fence:
                 # The proposal has ended, and another coordinator has opened the next.
                 return self._find_end(progress.record, fence)
-        await self._ask(progress, self._ranks)
+        await self._query_ranks(progress, self._ranks)
         return self._find_end(progress.record, fence)
 
-    def _limit_time(self, move: NextMove, phase: Phase, began: float) -> NextMove:
+    def _apply_timeout(
+        self, move: NextMove, phase: Phase, phase_started_at: float
+    ) -> NextMove:
         staging = phase is Phase.STAGING
-        limit_s = self._times.stage_limit_s if staging else self._times.arm_limit_s
-        if move.move is not Move.ASK or trio.current_time() - began < limit_s:
+        timeout_s = (
+            self._times.stage_timeout_s if staging else self._times.arm_timeout_s
+        )
+        if (
+            move.move is not Move.ASK
+            or trio.current_time() - phase_started_at < timeout_s
+        ):
             return move
         missing = ",".join(sorted(move.ranks)[:3])
         return NextMove(Move.ABORT, why=f"{phase} took too long, missing {missing}")
@@ -135,9 +142,9 @@
         fence = progress.record.fence
         match move.move:
             case Move.ASK:
-                if await self._ask(progress, move.ranks):
+                if await self._query_ranks(progress, move.ranks):
                     return
-                await trio.sleep(self._get_pause(progress.record))
+                await trio.sleep(self._get_retry_s(progress.record))
                 # Someone else may have ended the proposal meanwhile.
                 await self._store.read()
             case Move.FIX_STEP:
@@ -151,38 +158,42 @@
             case Move.END:
                 pass
 
-    async def _ask(self, progress: SwitchProgress, ranks: frozenset[str]) -> bool:
+    async def _query_ranks(
+        self, progress: SwitchProgress, ranks: frozenset[str]
+    ) -> bool:
         """Ask ranks and return whether this changed what is to be done."""
         before = progress.plan()
-        limiter = trio.CapacityLimiter(self._get_parallel(progress.record))
+        limiter = trio.CapacityLimiter(self._get_max_queries(progress.record))
         async with trio.open_nursery() as nursery:
             for rank in sorted(ranks):
-                nursery.start_soon(self._ask_rank, rank, progress, limiter)
+                nursery.start_soon(self._query_rank, rank, progress, limiter)
         return progress.plan() != before
 
-    def _get_pause(self, record: GroupRecord) -> float:
+    def _get_retry_s(self, record: GroupRecord) -> float:
         proposal = record.open_proposal
         staging = proposal is not None and proposal.phase is Phase.STAGING
-        return self._times.stage_again_s if staging else self._times.ask_again_s
+        return self._times.staging_poll_s if staging else self._times.query_retry_s
 
-    def _get_parallel(self, record: GroupRecord) -> int:
+    def _get_max_queries(self, record: GroupRecord) -> int:
         proposal = record.open_proposal
         if proposal is not None and proposal.phase is Phase.STAGING:
             return self._times.max_staging
         return max(1, len(self._ranks))
 
-    async def _ask_rank(
+    async def _query_rank(
         self, rank: str, progress: SwitchProgress, limiter: trio.CapacityLimiter
     ) -> None:
         fence = progress.record.fence
         body = format_order(self._group, fence)
         proposal = progress.record.open_proposal
         staging = proposal is not None and proposal.phase is Phase.STAGING
-        limit_s = self._times.stage_limit_s if staging else self._times.arm_limit_s
+        timeout_s = (
+            self._times.stage_timeout_s if staging else self._times.arm_timeout_s
+        )
         async with limiter:
             try:
                 # An agent whose connection fell silent must not hold up the others.
-                with trio.move_on_after(limit_s):
+                with trio.move_on_after(timeout_s):
                     answer = await self._caller.ask(rank, MAP_ORDER_TOPIC, body)
                     progress.receive(parse_answer(answer, rank=rank))
             except (PeerLost, MapSwitchError) as error:
@@ -207,7 +218,7 @@
         )
 
 
-class MapDuty:
+class MapMover:
     """Weigh and carry out the moves of one group.
 
     The lease keeps others from weighing the same move; it is taken for a move only, so
@@ -231,18 +242,18 @@
         self._rebalancer = rebalancer
         self._times = times or SwitchTimes()
 
-    async def consider(
+    async def move_if_worth(
         self, loads: tuple[float, ...], rules: MoveRules, *, now: float, hour: int
     ) -> Phase | None:
         """Move the experts if that is worth its cost; return how the move ended."""
-        weighed = self._rebalancer.choose_move(loads, rules, now=now, hour=hour)
-        if weighed is None:
+        evaluated = self._rebalancer.choose_move(loads, rules, now=now, hour=hour)
+        if evaluated is None:
             return None
         self._rebalancer.begin()
         used = self._rebalancer.current
         try:
-            ended = await self._move_under_lease(weighed.map, weighed.bytes_moved)
-            used = weighed.map if ended is Phase.DECIDED else used
+            ended = await self._move_under_lease(evaluated.map, evaluated.bytes_moved)
+            used = evaluated.map if ended is Phase.DECIDED else used
         except KeyValueError as error:
             log_event("warning", "map-move-put-off", why=error)
             ended = None
--- a/tests/lib/map_coordinator.py
+++ b/tests/lib/map_coordinator.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.coordination.map_switch import MapSwitchStore
 from hyssopvane._internal.policy.expert_maps import spread_evenly
 from hyssopvane._internal.roles.entry_links import EntryLinks
-from hyssopvane._internal.roles.map_duty import MapSwitcher, RankCaller, SwitchTimes
+from hyssopvane._internal.roles.map_duty import MapSwitcher, RankClient, SwitchTimes
 from hyssopvane._internal.state.map_switch import VersionedRecord
 from hyssopvane._internal.transport.peer_connection import ConnectionTimes
 from hyssopvane._internal.utils.metrics import Metrics
@@ -27,7 +27,7 @@
         await trio.sleep_forever()
 
 
-class Links(RankCaller):
+class Links(RankClient):
     """Send requests to agents over separate connections."""
 
     def __init__(self, links: EntryLinks) -> None:
@@ -58,7 +58,7 @@
             store=kind(store, service="draft", group="group-1"),
             caller=Links(links),
             metrics=Metrics(role="test", vm="coordinator"),
-            times=SwitchTimes(stage_limit_s=STAGE_LIMIT_S),
+            times=SwitchTimes(stage_timeout_s=STAGE_LIMIT_S),
         )
         expert_map = spread_evenly(ranks=len(agents), experts=12)
         ended = await switcher.move(options.map, expert_map)
--- a/tests/unit/test_map_switch_store.py
+++ b/tests/unit/test_map_switch_store.py
@@ -15,7 +15,7 @@
     Rebalancer,
 )
 from hyssopvane._internal.roles.map_agent import ABORT_AFTER_S, EngineRank, MapAgent
-from hyssopvane._internal.roles.map_duty import MapDuty, MapSwitcher, RankCaller
+from hyssopvane._internal.roles.map_duty import MapMover, MapSwitcher, RankClient
 from hyssopvane._internal.standins.expert_rank import ExpertRank
 from hyssopvane._internal.standins.key_value_state import KeyValueState
 from hyssopvane._internal.state.map_switch import Phase
@@ -89,7 +89,7 @@
 
     def make_duty(self, holder):
         store = self.open_store(holder)
-        return MapDuty(
+        return MapMover(
             holder=holder,
             store=self.fakes[holder],
             switch_store=store,
@@ -134,7 +134,7 @@
         return self.port.carry_out(order) or ""
 
 
-class AgentCaller(RankCaller):
+class AgentCaller(RankClient):
     """Ask agents in the same process."""
 
     def __init__(self, world):
@@ -255,7 +255,7 @@
     async def run(world):
         world.start_engines()
         duty = world.make_duty("entry-1")
-        ended = await duty.consider(loads, RULES, now=0.0, hour=0)
+        ended = await duty.move_if_worth(loads, RULES, now=0.0, hour=0)
         assert ended is (None if used == "initial" else Phase.DECIDED)
         await world.wait_for_map(used)
         # The lease and its key are given back with the end of the move.
@@ -269,7 +269,7 @@
         world.start_engines()
         lease = await world.make_lease("entry-1")
         duty = world.make_duty("entry-2")
-        assert await duty.consider(HOT, RULES, now=0.0, hour=0) is None
+        assert await duty.move_if_worth(HOT, RULES, now=0.0, hour=0) is None
         assert world.state.get_range(DUTY_KEY)[0].lease == lease
         record = (await world.open_store("other").read()).record
         assert record.proposal is None
@@ -289,7 +289,7 @@
         await world.open_store("entry-1").propose("a", MAP)
         duty = world.make_duty("entry-2")
         await trio.sleep(31)
-        assert await duty.consider(HOT, RULES, now=0.0, hour=0) is None
+        assert await duty.move_if_worth(HOT, RULES, now=0.0, hour=0) is None
         await world.wait_for_map("a.1")
 
     run_world(run)
