--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -47,7 +47,7 @@
 )
 from hyssopvane._internal.roles.peer_listener import serve_peers
 from hyssopvane._internal.roles.peer_pool import PeerAddress, PeerObserver, PeerPool
-from hyssopvane._internal.roles.read_back import ReadBack
+from hyssopvane._internal.roles.read_back import OperatorQueries
 from hyssopvane._internal.roles.refusing_app import (
     MalformedNotes,
     RefusingApp,
@@ -146,7 +146,7 @@
             vm_list=settings.vm_list,
             observe_vms=self._update_vms,
         )
-        self._read_back = ReadBack(
+        self._operator_queries = OperatorQueries(
             self,
             report=self._report_status,
             links=self.links,
@@ -400,7 +400,7 @@
         self._pool.update(self._select_agents(records), self._nursery)
         self.links.update(_select_entries(records, own_vm=self.settings.vm))
         self._demand.update_entries(self.links.list_vms())
-        self._read_back.update_vms(records)
+        self._operator_queries.update_vms(records)
         self._update_leaving(records)
 
     def _select_agents(self, records: tuple[VmRecord, ...]) -> frozenset[PeerAddress]:
--- a/src/hyssopvane/_internal/roles/read_back.py
+++ b/src/hyssopvane/_internal/roles/read_back.py
@@ -23,22 +23,22 @@
 STATUS_TOPIC = "operators/status"
 EXPLAIN_TOPIC = "operators/explain"
 
-MAX_ENTRIES_ASKED = 150
+MAX_ENTRIES_QUERIED = 150
 """Entries that one question of an operator may reach.
 
 The largest zone of the target has about 70; all 960 at once would be the harm: each
 question opens a connection, and each answer has a line for each of 42 agents.
 """
 
-MAX_ASKED_AT_ONCE = 16
-ASK_TIMEOUT_S = 2.0
+MAX_CONCURRENT_QUERIES = 16
+QUERY_TIMEOUT_S = 2.0
 
 _REPORTS = TypeAdapter(tuple[VmReport, ...])
 _DECISIONS = TypeAdapter(VmDecisions)
-_Ask = Callable[[], Awaitable[bytes]]
+_Query = Callable[[], Awaitable[bytes]]
 
 
-class ReadBack:
+class OperatorQueries:
     """Answer operators for a whole availability zone at one entry."""
 
     def __init__(
@@ -66,13 +66,13 @@
 
     async def _show_status(self, query: Mapping[str, str]) -> object:
         records = self._select(query.get("zone", ""))
-        reports = list(self._describe_reach())
-        asks = [
-            self._make_ask(record.name, STATUS_TOPIC, b"")
+        reports = list(self._list_reachable_reports())
+        queries = [
+            self._make_query(record.name, STATUS_TOPIC, b"")
             for record in records
             if record.role is VmRole.ENTRY and record.name != self._process.vm
         ]
-        for answer in await _ask_all(asks):
+        for answer in await _run_queries(queries):
             reports.extend(_parse_reports(answer))
         return asdict(build_status(map(_describe_vm, records), reports))
 
@@ -80,19 +80,19 @@
         request_id = query.get("id", "")
         body = request_id.encode()
         connections = self._pool.list_connections()
-        asks: list[_Ask] = [
-            _make_agent_ask(connection, body) for connection in connections.values()
+        queries: list[_Query] = [
+            _make_agent_query(connection, body) for connection in connections.values()
         ]
-        asks += [
-            self._make_ask(vm, EXPLAIN_TOPIC, body)
-            for vm in self._links.list_vms()[:MAX_ENTRIES_ASKED]
+        queries += [
+            self._make_query(vm, EXPLAIN_TOPIC, body)
+            for vm in self._links.list_vms()[:MAX_ENTRIES_QUERIED]
         ]
-        answers = await _ask_all(asks)
+        answers = await _run_queries(queries)
         found = [_find_decisions(self._process, request_id)]
         found += [one for one in map(_parse_decisions, answers) if one is not None]
         return {
             "request_id": request_id,
-            "asked": len(asks) + 1,
+            "asked": len(queries) + 1,
             "answered": len(found),
             "entry_told": any(
                 one.decisions for one in found if one.vm not in connections
@@ -114,15 +114,15 @@
             if not zone or record.availability_zone == zone
         )
         entries = sum(record.role is VmRole.ENTRY for record in chosen)
-        if entries > MAX_ENTRIES_ASKED:
+        if entries > MAX_ENTRIES_QUERIED:
             raise OperatorRequestError(
                 f"{entries} entries are too many for one question",
-                context=f"at most {MAX_ENTRIES_ASKED}; zones: {', '.join(zones)}",
+                context=f"at most {MAX_ENTRIES_QUERIED}; zones: {', '.join(zones)}",
                 hint="ask for one zone at a time with --zone",
             )
         return chosen
 
-    def _describe_reach(self) -> Iterable[VmReport]:
+    def _list_reachable_reports(self) -> Iterable[VmReport]:
         """Return the reports of this entry and of the agents connected to it."""
         yield self._report()
         for vm, connection in self._pool.list_connections().items():
@@ -137,9 +137,9 @@
                 )
 
     async def _answer_status(self, peer: PeerConnection, body: bytes) -> bytes:
-        return _REPORTS.dump_json(tuple(self._describe_reach()))
+        return _REPORTS.dump_json(tuple(self._list_reachable_reports()))
 
-    def _make_ask(self, vm: str, topic: str, body: bytes) -> _Ask:
+    def _make_query(self, vm: str, topic: str, body: bytes) -> _Query:
         return lambda: self._links.ask(vm, topic, body)
 
 
@@ -163,26 +163,26 @@
     return [{"vm": vm, **asdict(record)} for vm, record in records]
 
 
-def _make_agent_ask(connection: PeerConnection, body: bytes) -> _Ask:
+def _make_agent_query(connection: PeerConnection, body: bytes) -> _Query:
     return lambda: connection.ask(EXPLAIN_TOPIC, body)
 
 
-async def _ask_all(asks: Sequence[_Ask]) -> list[bytes]:
+async def _run_queries(queries: Sequence[_Query]) -> list[bytes]:
     """Ask some at a time; one that does not answer in time is left out."""
     answers: list[bytes] = []
-    limiter = trio.CapacityLimiter(MAX_ASKED_AT_ONCE)
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
 
-    async def ask_one(ask: _Ask) -> None:
+    async def run_query(ask: _Query) -> None:
         async with limiter:
-            with trio.move_on_after(ASK_TIMEOUT_S):
+            with trio.move_on_after(QUERY_TIMEOUT_S):
                 try:
                     answers.append(await ask())
                 except PeerLost:
                     return
 
     async with trio.open_nursery() as nursery:
-        for ask in asks:
-            nursery.start_soon(ask_one, ask)
+        for ask in queries:
+            nursery.start_soon(run_query, ask)
     return answers
 
 
