--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -28,12 +28,12 @@
 from hyssopvane._internal.roles.attempt import Attempt
 from hyssopvane._internal.roles.keyed_runs import KeyedRuns
 from hyssopvane._internal.roles.map_agent import MAP_ORDER_TOPIC, make_map_agent
+from hyssopvane._internal.roles.operator_queries import add_explain_topic
 from hyssopvane._internal.roles.operators import (
     OperatedProcess,
     OperatorsApp,
 )
 from hyssopvane._internal.roles.peer_listener import serve_peers
-from hyssopvane._internal.roles.read_back import add_explain_topic
 from hyssopvane._internal.roles.resting_target import find_refusal, make_refused
 from hyssopvane._internal.roles.topics import TopicRouter
 from hyssopvane._internal.state.attempts import AttemptRegister
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -41,13 +41,13 @@
 from hyssopvane._internal.roles.claim_router import ClaimRouter
 from hyssopvane._internal.roles.dispatcher import Dispatcher
 from hyssopvane._internal.roles.entry_links import EntryLinks
+from hyssopvane._internal.roles.operator_queries import OperatorQueries
 from hyssopvane._internal.roles.operators import (
     OperatedProcess,
     OperatorsApp,
 )
 from hyssopvane._internal.roles.peer_listener import serve_peers
 from hyssopvane._internal.roles.peer_pool import PeerAddress, PeerObserver, PeerPool
-from hyssopvane._internal.roles.read_back import OperatorQueries
 from hyssopvane._internal.roles.refusing_app import (
     MalformedNotes,
     RefusingApp,
--- a/tests/lib/map_coordinator.py
+++ b/tests/lib/map_coordinator.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.coordination.map_switch import MapSwitchStore
 from hyssopvane._internal.policy.expert_maps import spread_evenly
 from hyssopvane._internal.roles.entry_links import EntryLinks
-from hyssopvane._internal.roles.map_duty import MapSwitcher, RankClient, SwitchTimes
+from hyssopvane._internal.roles.map_switcher import MapSwitcher, RankClient, SwitchTimes
 from hyssopvane._internal.state.map_switch import VersionedRecord
 from hyssopvane._internal.transport.peer_connection import ConnectionTimes
 from hyssopvane._internal.utils.metrics import Metrics
--- a/tests/unit/test_map_switch_store.py
+++ b/tests/unit/test_map_switch_store.py
@@ -15,7 +15,7 @@
     Rebalancer,
 )
 from hyssopvane._internal.roles.map_agent import ABORT_AFTER_S, EngineRank, MapAgent
-from hyssopvane._internal.roles.map_duty import MapMover, MapSwitcher, RankClient
+from hyssopvane._internal.roles.map_switcher import MapMover, MapSwitcher, RankClient
 from hyssopvane._internal.standins.expert_rank import ExpertRank
 from hyssopvane._internal.standins.key_value_state import KeyValueState
 from hyssopvane._internal.state.map_switch import Phase
