--- a/src/hyssopvane/_internal/roles/__init__.py
+++ b/src/hyssopvane/_internal/roles/__init__.py
@@ -1,1 +1,1 @@
-"""Assemble the layers into the processes that run."""
+"""Assemble the layers into the processes of an installation."""
--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -1,4 +1,4 @@
-"""Run the agent: the only way to the target beside it."""
+"""Run the agent, through which all requests reach the target on its VM."""
 
 import secrets
 import time
@@ -49,13 +49,13 @@
 
 
 class Agent(OperatedProcess, PeerHandler):
-    """Serve the entries that send work to one target."""
+    """Serve the entries that send requests to one target."""
 
     def __init__(self, settings: AgentSettings) -> None:
         super().__init__(settings)
         self.settings = settings
-        # A new number for each start: what was meant for an earlier start, whose
-        # tombstones are gone, is refused.
+        # Each start has a new number. A request sent to an earlier start is refused,
+        # since the tombstones of that start are lost.
         self.incarnation = secrets.randbits(63)
         self.leaving = False
         self.entries_address = ""
@@ -77,8 +77,8 @@
         self.topics = TopicRouter()
         self.rows = HeldRows(vm=settings.vm, service=settings.service)
         self._row_senders: WeakSet[PeerConnection] = WeakSet()
-        # What an entry said counts as long as its connection: one that died with an
-        # old list must not keep the target out for ever.
+        # A notice counts only while the entry's connection is open. Otherwise an entry
+        # that died with an old list would keep the target out of service for ever.
         self._listed_leaving: set[PeerConnection] = set()
         self.topics.add_notice(LISTED_TOPIC, self._receive_listed)
         add_explain_topic(self.topics, self)
@@ -87,7 +87,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen for entries until cancelled."""
+        """Serve entries and operators until cancelled."""
         async with trio.open_nursery() as nursery:
             self._keyed.start(nursery)
             if self.settings.group:
@@ -116,37 +116,37 @@
         nursery.start_soon(map_agent.run)
 
     async def drain(self) -> None:
-        """Refuse new work and wait until all work in progress has ended."""
+        """Refuse new requests and wait until all running requests have ended."""
         self.leaving = True
         log_event("info", "draining", running=self._count_running())
-        # Not with the next heartbeat: until an entry knows, it places work here that is
-        # refused and has to go elsewhere.
+        # Sent at once, not with the next heartbeat: until an entry knows, it sends
+        # requests here that are refused and have to go to another target.
         for connection in self._connections:
             connection.announce_health()
-        # An entry may have sent work before it read that. Closed on at once, the
-        # connection would take that work with it, and its caller would be told that
-        # nobody knows whether it ran, in a shutdown that cuts off nothing.
+        # An entry may have sent requests before it received that. If the connection
+        # closed at once, they would be lost and their callers would get the outcome
+        # "unknown", although a graceful shutdown must not cut off any request.
         await self._for_each_connection(PeerConnection.settle)
         await self._wait_idle()
         self._stop_accepting.set()
         await self._for_each_connection(PeerConnection.finish)
 
     async def close(self) -> None:
-        """Release the connections to the target and the instruments."""
+        """Close the connections to the target and the store, and the metrics."""
         await self._target.close()
         await self._store.close()
         self.metrics.close()
 
     def is_ready(self) -> bool:
-        """Tell whether the agent takes new work."""
+        """Return whether the agent is not shutting down."""
         return not self.leaving
 
     @property
     def refuses_work(self) -> bool:
-        """Tell whether new work is refused: at a shutdown, by the table or the list.
+        """Return whether new requests are refused: at shutdown, by table or VM list.
 
-        The agent refuses by itself, since an entry whose table or list of VMs is old
-        still sends it work; such a request then costs one hop and no answer.
+        The agent decides this itself, since an entry with an old table or list of VMs
+        still sends it requests. Such a request costs one extra hop but is not lost.
         """
         self._listed_leaving &= self._connections
         listed = bool(self._listed_leaving)
@@ -159,7 +159,7 @@
             self._listed_leaving.discard(peer)
 
     def describe(self) -> dict[str, object]:
-        """Return what is in force here."""
+        """Return the state shown to operators: identity, table, row and load."""
         return {
             "role": "agent",
             "vm": self.settings.vm,
@@ -188,8 +188,8 @@
         )
 
     def receive_heartbeat(self, peer: PeerConnection, heartbeat: Heartbeat) -> None:
-        """Take note of the table that an entry has."""
-        # A heartbeat may overtake the rows on a connection that was just opened.
+        """Record the position of the table that an entry has."""
+        # On a new connection a heartbeat may arrive before the rows.
         if peer in self._row_senders:
             self.rows.note_mark(heartbeat.table_mark)
 
@@ -197,7 +197,7 @@
         try:
             self.rows.accept(decode_own_rows(body))
         except (HyssopvaneError, ValueError) as error:
-            # The rows that are held stay in force.
+            # The rows received before stay in force.
             log_event("warning", "own-rows-refused", why=error)
         else:
             self._row_senders.add(peer)
@@ -252,8 +252,8 @@
         now = time.time()
         why = find_refusal(self._backoff, leaving=self.refuses_work)
         if why is not None and opening.incarnation == self.incarnation:
-            # The entry goes on to another target on the strength of this answer, so a
-            # late copy must find a tombstone.
+            # The entry retries at another target after this refusal, so a copy of the
+            # attempt that arrives late must find a tombstone.
             tombstone_refusal = self._register.add_tombstone(
                 opening.attempt, owner=None, now=now
             )
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -1,4 +1,4 @@
-"""Run one attempt without a key at the target and relay its answer."""
+"""Run one attempt without an idempotency key at the target."""
 
 import time
 from collections.abc import AsyncIterator
@@ -29,7 +29,7 @@
 
 
 class Attempt:
-    """Relay one request to the target and its answer back."""
+    """Relay one request to the target and its answer to the entry."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self._backoff = backoff
 
     async def run(self) -> None:
-        """Run the attempt; the stream's last message tells how it ended."""
-        self._record("started", "the agent takes new work")
+        """Run the attempt; the last message on the stream reports how it ended."""
+        self._record("started", "the agent accepts new requests")
         opening = self._opening
         try:
             async with self._target.call(
@@ -61,7 +61,7 @@
             ) as response:
                 await self._relay(response)
         except TargetUnreachable as error:
-            # The connection was never made, so the target can't have seen the request.
+            # No connection was established, so the target never received the request.
             self._register.revert_start(opening.attempt)
             self._record("refused", f"target unreachable: {error}")
             self._stream.send(Refused(AgentRefusal.TARGET_UNREACHABLE.value))
@@ -69,7 +69,7 @@
             self._record("broken", str(error))
             self._stream.send(Broken(str(error)))
         else:
-            self._record("answered", "the target's answer is whole")
+            self._record("answered", "the target's answer is complete")
 
     async def _relay(self, response: httpcore.Response) -> None:
         observe_rest(self._backoff, response)
@@ -86,7 +86,7 @@
             if isinstance(message, End):
                 return
             if not isinstance(message, Chunk):
-                raise PeerLost("the entry sent something else than a body")
+                raise PeerLost("the entry sent another message instead of the body")
             yield message.data
 
     def _record(self, decision: str, why: str) -> None:
--- a/src/hyssopvane/_internal/roles/call.py
+++ b/src/hyssopvane/_internal/roles/call.py
@@ -1,4 +1,4 @@
-"""Hold a caller's request and the way its answer is written."""
+"""Represent a caller's request and write the answer to it."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold a request whose body is whole and whose caller is known."""
+    """Hold a request that was read completely, from an authenticated caller."""
 
     work: WorkRequest
     method: str
@@ -38,7 +38,7 @@
     join: bool = False,
     resume_from: int = 0,
 ) -> Open:
-    """Return the message that asks an agent to run or to join a request."""
+    """Return the message that opens an attempt at an agent, or joins a running one."""
     remaining_s = request.work.deadline - trio.current_time()
     length = (b"content-length", str(len(request.body)).encode())
     fields = headers.select_for_target(
@@ -70,10 +70,10 @@
         self.started = False
         self.ended = False
         self.sent_bytes = 0
-        """Bytes of the target's body that were sent."""
+        """Bytes of the answer's body that were sent to the caller."""
 
     async def send_head(self, head: Head) -> None:
-        """Start the answer of a request that ran."""
+        """Send the status and headers of the answer to a request that ran."""
         self.started = True
         await self._send(
             {
@@ -91,19 +91,19 @@
         )
 
     async def send_end(self) -> None:
-        """Complete the answer."""
+        """Send the end of the answer."""
         self.ended = True
         await self._send({"type": "http.response.body", "body": b""})
 
     async def send_refusal(self, refusal: Refusal) -> None:
-        """Tell the caller why there is no answer, and when to come back."""
+        """Send the reason why there is no answer, and when to retry."""
         self.started = self.ended = True
         reply_headers: Headers = (
             *self._make_outcome_headers(refusal.outcome),
             (headers.REASON, refusal.reason.value.encode()),
         )
         if refusal.retry_after_s is not None:
-            # Whole seconds, rounded up: nobody comes back before it helps.
+            # Whole seconds, rounded up, so that callers don't retry too early.
             seconds = max(1, -int(-refusal.retry_after_s // 1))
             reply_headers += ((_RETRY_AFTER, str(seconds).encode()),)
         await send_json(
@@ -127,14 +127,14 @@
 
 
 class AnswerCut(Exception):
-    """Tell the server to cut the connection: the answer can't be completed."""
+    """Make the server close the connection, since the answer can't be completed."""
 
 
 async def run_until_disconnect(
     work: Callable[[], Awaitable[None]],
     wait_for_disconnect: Callable[[], Awaitable[None]],
 ) -> None:
-    """Run `work` until it ends or the caller has gone."""
+    """Run `work` until it ends or the caller disconnects."""
 
     async def run_work() -> None:
         await work()
--- a/src/hyssopvane/_internal/roles/caller_app.py
+++ b/src/hyssopvane/_internal/roles/caller_app.py
@@ -1,4 +1,4 @@
-"""Answer callers: know them, read their requests, run them."""
+"""Serve callers: authenticate them, then read and run their requests."""
 
 import hashlib
 import time
@@ -44,7 +44,7 @@
 
 
 class RequestRefused(Exception):
-    """Carry a refusal out of the checks of a request."""
+    """Abort the checks of a request with a refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.reason.value)
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what one caller can make an entry hold."""
+    """Limit the memory that one caller's request can use at an entry."""
 
     max_body_bytes: int
 
 
 class CallerApp:
-    """Serve the callers' listener."""
+    """Handle the requests on the callers' listener."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._limits = limits
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one caller's request."""
+        """Handle one ASGI scope."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -122,15 +122,15 @@
         async def wait() -> None:
             await wait_for_disconnect(receive)
             if reply.ended:
-                # The server reports a caller gone from within the sending of the last
-                # part. Cancelling that sending leaves a kept connection that never
-                # counts as idle, and a shutdown waits for it to its time limit.
+                # The server may report the disconnect while the last part is being
+                # sent. If that send were cancelled, a keep-alive connection would never
+                # count as idle, and a shutdown would wait for it until its time limit.
                 await trio.sleep_forever()
 
         outcome = "cut"
         try:
             await run_until_disconnect(run, wait)
-            # The server reports the caller gone after a whole answer, too.
+            # The server reports a disconnect after a complete answer, too.
             outcome = "ended" if reply.ended else "caller-gone"
         except* AnswerCut:
             pass
@@ -176,13 +176,13 @@
 
 
 class DirectorySource:
-    """Give the directory of the table in force; empty until one is known."""
+    """Hold the directory of the table in force; `None` until a table is known."""
 
     def __init__(self) -> None:
         self.directory: Directory | None = None
 
     def get_directory(self) -> Directory:
-        """Return the directory, or refuse while no table is known."""
+        """Return the directory; raise `RequestRefused` while no table is known."""
         if self.directory is None:
             raise RequestRefused(
                 Refusal(
@@ -215,7 +215,7 @@
 
 
 def _make_unknown_if_keyed(refusal: Refusal, fields: Headers) -> Refusal:
-    """Say no more of a key than what holds for all its attempts."""
+    """Make the outcome unknown for a keyed request: another attempt may have run."""
     if isinstance(read_key(fields), IdempotencyKey):
         return make_outcome_unknown(refusal)
     return refusal
@@ -242,7 +242,9 @@
     if value is None:
         return float(service.deadline_s)
     if not value.isdigit() or not 0 < int(value) <= _MAX_DEADLINE_MS:
-        detail = "Hyssopvane-Deadline-Ms is a whole number of milliseconds, up to a day"
+        detail = (
+            "Hyssopvane-Deadline-Ms must be a whole number of milliseconds, up to a day"
+        )
         raise RequestRefused(
             Refusal(RefusalReason.MALFORMED, Outcome.NOT_RUN, detail=detail)
         )
