--- a/src/hyssopvane/_internal/roles/claim_router.py
+++ b/src/hyssopvane/_internal/roles/claim_router.py
@@ -1,4 +1,4 @@
-"""Send each claim to the entry that writes its page, or write it here."""
+"""Send each claim to the entry that writes its page, or write it locally."""
 
 from collections.abc import Callable
 
@@ -28,18 +28,18 @@
 CHANGE_TOPIC = "claims/change"
 
 _CHANGE_TIMEOUT_S = 1.0
-# An entry that did not answer is not asked again for this time, so that one that is
-# frozen costs one slow claim and not each of them.
+# An entry that did not answer is not used for this time, so that a stalled entry delays
+# one claim and not all of them.
 _AVOID_SILENT_S = 10.0
 _SWEEPER = "sweep"
 
 
 class ClaimRouter:
-    """Bring claims together at one entry for each bucket.
+    """Route the claims of each bucket to one entry, which batches their writes.
 
-    This is only a way to batch: without it 960 entries would race for eight pages and
-    most writes would be lost to one another. Any entry may write any page, and two that
-    both believe a page is theirs only lose a race; nothing rests on the choice.
+    Without routing, 960 entries would compete for eight pages and most of their
+    compare-and-swap writes would fail. Routing is an optimization only: any entry may
+    write any page, and if two entries write the same page, one of them has to retry.
     """
 
     def __init__(
@@ -59,16 +59,16 @@
         topics.add_question(CHANGE_TOPIC, self._answer)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Write and sweep in a nursery."""
+        """Start the writer and the periodic sweep in a nursery."""
         self._writer.start(nursery)
         nursery.start_soon(self._sweep)
 
     async def find(self, key: ClaimKey) -> Claim | None:
-        """Return the claim of a key; raise `KeyValueError`."""
+        """Return the claim of a key; raise `KeyValueError` when it can't be read."""
         return await self._writer.find(key)
 
     async def change(self, change: ClaimChange) -> ChangeResult:
-        """Make a change through the preferred entry, or here when it is silent."""
+        """Write a change through the preferred entry, or locally when it is silent."""
         vm = self._choose(f"bucket-{change.key.bucket}")
         if vm != self._own_vm:
             result = await self._request_change(vm, change)
@@ -86,8 +86,8 @@
                     return decode_result(answer)
         except (PeerLost, ProtocolError):
             pass
-        # That entry may have written the claim all the same. Writing it again here
-        # finds the same attempt in the page and changes nothing.
+        # That entry may have written the claim nevertheless. A second write finds the
+        # same attempt in the page and changes nothing.
         self._metrics.count_event("claim-not-routed")
         self._avoided_until[vm] = trio.current_time() + _AVOID_SILENT_S
         return None
@@ -120,7 +120,7 @@
 
 
 def choose_entry(duty: str, vms: list[str]) -> str:
-    """Return the entry for a duty by rendezvous hash; most stay when one goes."""
+    """Return a duty's entry by rendezvous hash; few duties move when one leaves."""
     score: Callable[[str], int] = lambda vm: xxhash.xxh64_intdigest(
         f"{duty}\0{vm}".encode()
     )
--- a/src/hyssopvane/_internal/roles/dispatcher.py
+++ b/src/hyssopvane/_internal/roles/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carry out the scheduler's decisions about callers' requests."""
+"""Run callers' requests as the scheduler decides."""
 
 import secrets
 import time
@@ -46,7 +46,7 @@
 
 
 class Dispatcher(Placer):
-    """Run requests: wait for a place, send, relay the answer, retry where allowed."""
+    """Run requests: wait for a target, send, relay the answer, retry where allowed."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._waiting: dict[str, trio.MemorySendChannel[Decision]] = {}
 
     async def run(self, request: CallerRequest, reply: ReplyWriter) -> None:
-        """Run a request and write its answer; withdraw it when cancelled."""
+        """Run a request and send its answer or refusal; withdraw it when cancelled."""
         request_id = request.work.request_id
         try:
             refusal = await self._run(request, reply)
@@ -82,14 +82,14 @@
             await reply.send_refusal(refusal)
 
     def deliver_decisions(self) -> None:
-        """Wake the waiting requests about which there is a new decision."""
+        """Pass the scheduler's new decisions to the waiting requests."""
         for request_id, decision in self._scheduler.collect(now=trio.current_time()):
             channel = self._waiting.pop(request_id, None)
             if channel is not None:
                 channel.send_nowait(decision)
 
     async def watch_deadlines(self, *, interval_s: float) -> None:
-        """Settle at an interval, so that a passed deadline is told at once."""
+        """Deliver decisions periodically, so that passed deadlines are reported."""
         while True:
             await trio.sleep(interval_s)
             self.deliver_decisions()
@@ -143,9 +143,10 @@
         while isinstance(decision, Placed):
             end = await self._attempt(request, decision, reply)
             if reply.started and not isinstance(end, Answered):
-                # A short answer that looks whole would reach a family as the final
-                # history. Cutting the connection lets the caller's client see it.
-                # A body may crash its target after the first token, too.
+                # A truncated answer that looks complete would reach a family as the
+                # final history, so the connection is closed and the client sees an
+                # error. The scheduler still gets a report, since a body may crash its
+                # target even after the first token.
                 report = replace(_make_report(end)[0], final=True)
                 await self.finish(work, report)
                 raise AnswerCut(_describe_end(end))
@@ -197,7 +198,7 @@
 
 
 def _make_report(end: ExchangeEnd) -> tuple[AttemptReport, Refusal | None]:
-    """Return what the scheduler and, if that was the last attempt, the caller learn."""
+    """Return the report to the scheduler and the refusal if there is no retry."""
     if isinstance(end, Answered):
         report = AttemptReport(AttemptResult.ANSWERED, latency_s=end.latency_s)
         return report, None
--- a/src/hyssopvane/_internal/roles/entry_links.py
+++ b/src/hyssopvane/_internal/roles/entry_links.py
@@ -1,4 +1,4 @@
-"""Reach other entries over connections that are opened when they are needed."""
+"""Connect to other entries on demand."""
 
 from collections.abc import Mapping
 
@@ -15,16 +15,16 @@
 )
 
 _CONNECT_TIMEOUT_S = 1.0
-# After a question that is asked once in minutes, heartbeats of two seconds cost what it
-# costs to open the connection again (736 and 392 bytes).
+# For requests that are minutes apart: two seconds of heartbeats on an idle connection
+# cost as much as opening it again (736 and 392 bytes).
 _ONCE_IDLE_S = 1.0
 
 
 class EntryLinks(Neighbours):
     """Hold at most one connection to each other entry.
 
-    At the target 960 entries can't keep a connection for each pair: heartbeats alone
-    would use up the control budget. A connection lives while it is used.
+    At the design size of 960 entries there can't be a connection for each pair:
+    heartbeats alone would use up the control budget. Idle connections are closed.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
         self._nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Run the connections in a nursery."""
+        """Run the connections and close idle ones in a nursery."""
         self._nursery = nursery
         nursery.start_soon(self._close_idle)
 
     def update(self, addresses: Mapping[str, str]) -> None:
-        """Learn the addresses of the other entries by VM."""
+        """Set the addresses of the other entries by VM; disconnect removed entries."""
         self._addresses = addresses
         for vm in self._connections.keys() - addresses.keys():
             self._connections[vm].close()
@@ -61,17 +61,17 @@
         return tuple(sorted(self._addresses))
 
     async def ask(self, vm: str, topic: str, body: bytes) -> bytes:
-        """Ask an entry a question; raise `PeerLost` when there is no answer."""
+        """Query an entry; raise `PeerLost` when there is no answer."""
         connection = await self._get_connection(vm, self._idle_s)
         return await connection.ask(topic, body)
 
     async def ask_once(self, vm: str, topic: str, body: bytes) -> bytes:
-        """Ask as `ask` does, where the next question is far away."""
+        """Query an entry as `ask` does, and close the connection soon after."""
         connection = await self._get_connection(vm, _ONCE_IDLE_S)
         return await connection.ask(topic, body)
 
     async def notify(self, vm: str, topic: str, body: bytes) -> None:
-        """Tell an entry something; raise `PeerLost` when it can't be reached."""
+        """Send an entry a notice; raise `PeerLost` when it can't be reached."""
         connection = await self._get_connection(vm, self._idle_s)
         connection.notify(topic, body)
 
@@ -87,13 +87,13 @@
     async def _connect(self, vm: str) -> PeerConnection:
         address = self._addresses.get(vm)
         if address is None or self._nursery is None:
-            raise PeerLost("no such entry is known", context=vm)
+            raise PeerLost("the list of VMs has no such entry", context=vm)
         host, port = parse_address(address)
         try:
             with trio.fail_after(_CONNECT_TIMEOUT_S):
                 stream = await trio.open_tcp_stream(host, port)
         except (OSError, trio.TooSlowError) as error:
-            raise PeerLost("the entry can't be reached", context=vm) from error
+            raise PeerLost("can't connect to the entry", context=vm) from error
         connection = PeerConnection(
             stream,
             hello=self._hello,
--- a/src/hyssopvane/_internal/roles/exchange.py
+++ b/src/hyssopvane/_internal/roles/exchange.py
@@ -1,4 +1,4 @@
-"""Send one opening to an agent and relay the answer to the caller."""
+"""Send one request to an agent and relay the answer to the caller."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """Tell that the caller has the whole answer."""
+    """Report that the caller received the complete answer."""
 
     latency_s: float
-    """Time to the first byte of the answer."""
+    """Time to the first message of the answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotStarted:
-    """Tell why the agent did not start the attempt."""
+    """Report why the agent did not start the attempt."""
 
     reason: AgentRefusal
     retry_after_s: float = 0.0
@@ -42,21 +42,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Tell why an attempt that began has no whole answer."""
+    """Report why an attempt that started has no complete answer."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Tell that the connection ended and nothing is known of the attempt."""
+    """Report that the connection was lost and the attempt's outcome is unknown."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
 class TooLate:
-    """Tell that the deadline passed first."""
+    """Report that the deadline passed before the answer was complete."""
 
 
 ExchangeEnd = Answered | NotStarted | Failed | Lost | TooLate
@@ -72,19 +72,20 @@
     reply: ReplyWriter,
     deadline: float,
 ) -> ExchangeEnd:
-    """Open a stream, send the body, relay the answer; the stream is closed at the end.
+    """Open a stream, send the body, relay the answer, and close the stream.
 
-    A caller who already has part of the answer gets it from there on.
+    A caller that already received part of the answer gets only the remaining part.
     """
     started_at = trio.current_time()
     if connection.peer_leaving and not opening.join:
-        # Chosen before the agent said so, and sent now the attempt could meet the end
-        # of the connection. An answer that the agent holds may still be fetched.
+        # The agent reported that it is leaving after this target was chosen. An attempt
+        # sent now could be lost when the connection closes. An answer that the agent
+        # holds may still be fetched.
         return NotStarted(AgentRefusal.LEAVING)
     try:
         stream = connection.open_stream(opening)
     except PeerLost:
-        # Nothing was sent: the connection was known to be gone.
+        # Nothing was sent: the connection was already lost.
         return NotStarted(AgentRefusal.NOT_CONNECTED)
     finished = False
     try:
@@ -118,7 +119,7 @@
             end = Lost(str(error))
         nursery.cancel_scope.cancel()
         return end
-    raise AssertionError("the nursery swallows nothing else")
+    raise AssertionError("the nursery suppresses no exception")
 
 
 async def _relay_body(
@@ -148,5 +149,5 @@
         await stream.send_data(body)
         stream.send(End())
     except PeerLost:
-        # The receiving side meets the same loss and reports it.
+        # The receiving task gets the same error and reports it.
         return
--- a/src/hyssopvane/_internal/roles/kept_answer.py
+++ b/src/hyssopvane/_internal/roles/kept_answer.py
@@ -1,4 +1,4 @@
-"""Keep an answer so that a repeat of its request gets it whole."""
+"""Keep answers so that a repeat of a request gets the complete answer."""
 
 from collections import OrderedDict
 
@@ -14,14 +14,14 @@
 from hyssopvane._internal.transport.peer_connection import PeerStream
 
 MAX_ANSWER_BYTES = 1024 * 1024
-"""Largest part of one answer that is kept; a draft has some 10 kB.
+"""Largest part of one answer that is kept; a draft has about 10 kB.
 
-A longer one still reaches the callers who are there, at their pace; a repeat from its
-start no longer can.
+A longer answer still reaches the connected callers, at the speed at which they read. A
+repeat can then no longer get it from its start.
 """
 
 MAX_KEPT_BYTES = 24 * 1024 * 1024
-"""Bytes of all kept answers; with them the agent stays below its 128 MB."""
+"""Bytes of all kept answers; with this limit the agent stays below its 128 MB."""
 
 _READ_BYTES = 64 * 1024
 
@@ -34,40 +34,40 @@
 
 
 class KeptAnswer:
-    """Hold one answer, growing or ended, for any number of readers."""
+    """Hold one answer, complete or still being received, for any number of readers."""
 
     def __init__(self, budget: "AnswerBudget") -> None:
         self._budget = budget
         self._head: Head | None = None
         self._data = bytearray()
         self._start = 0
-        """Bytes that are no longer kept, from the start of the body."""
+        """Number of bytes dropped from the start of the body."""
         self._end: AnswerEnd | None = None
         self._readers: set[_Reader] = set()
         self._changed = trio.Event()
 
     @property
     def size(self) -> int:
-        """Return the bytes that are kept."""
+        """Return the number of bytes that are kept."""
         return len(self._data)
 
     @property
     def ended(self) -> bool:
-        """Tell whether nothing more comes."""
+        """Return whether the end of the answer was received."""
         return self._end is not None
 
     @property
     def is_being_read(self) -> bool:
-        """Tell whether a caller is being given this answer now."""
+        """Return whether the answer is being relayed to a caller."""
         return bool(self._readers)
 
     def begin(self, head: Head) -> None:
-        """Take the head."""
+        """Set the status and headers of the answer."""
         self._head = head
         self._wake()
 
     async def append(self, data: bytes) -> None:
-        """Take bytes of the body; wait for slow readers above the limit."""
+        """Append bytes of the body; above the limit, wait for slow readers."""
         while self.size + len(data) > MAX_ANSWER_BYTES and self._readers:
             self._trim(min(one.position for one in self._readers))
             if self.size + len(data) <= MAX_ANSWER_BYTES:
@@ -76,7 +76,7 @@
         if self.size + len(data) > MAX_ANSWER_BYTES:
             self.drop()
         if self._start and not self._data and not self._readers:
-            # Nobody is there, and a repeat could no longer get it from its start.
+            # There is no reader, and a repeat can't get the answer from its start.
             self._start += len(data)
             return
         self._data += data
@@ -84,16 +84,16 @@
         self._wake()
 
     def finish(self, end: AnswerEnd) -> None:
-        """Take the end."""
+        """Set the message that ends the answer."""
         self._end = end
         self._wake()
 
     def drop(self) -> None:
-        """Forget the bytes of the body; those who come for them are told."""
+        """Drop the kept bytes of the body; readers that need them get `Broken`."""
         self._trim(self._start + self.size)
 
     async def relay(self, stream: PeerStream, *, resume_from: int) -> None:
-        """Give the answer to a stream from a byte of its body on."""
+        """Send the answer to a stream from byte `resume_from` of its body on."""
         reader = _Reader(resume_from)
         self._readers.add(reader)
         try:
@@ -138,27 +138,27 @@
 
 
 class AnswerBudget:
-    """Bound the bytes of all kept answers of an agent."""
+    """Limit the bytes of all kept answers of an agent."""
 
     def __init__(self, *, max_bytes: int = MAX_KEPT_BYTES) -> None:
         self._max_bytes = max_bytes
         self._answers: OrderedDict[bytes, KeptAnswer] = OrderedDict()
 
     def add(self, attempt: bytes) -> KeptAnswer:
-        """Return a new answer that counts against the budget."""
+        """Create an answer that counts against the budget."""
         answer = self._answers[attempt] = KeptAnswer(self)
         return answer
 
     def remove(self, attempt: bytes) -> None:
-        """Forget an answer."""
+        """Remove the answer of an attempt."""
         self._answers.pop(attempt, None)
 
     def enforce_limit(self) -> None:
-        """Drop the oldest answers that nobody reads, ended ones first.
+        """Drop the oldest answers without a reader, ended ones first.
 
-        Made for a burst of long answers whose callers don't come back. Without it the
-        agent grows past its memory and dies, with all the answers in progress. Those
-        being read are never dropped: they are bounded by their own limit.
+        Without this limit, a burst of long answers whose callers don't return would use
+        up the agent's memory, and the agent would die with all answers in progress.
+        Answers being read are never dropped: `MAX_ANSWER_BYTES` bounds each of them.
         """
         over = self.count_bytes() - self._max_bytes
         if over <= 0:
@@ -171,5 +171,5 @@
                 return
 
     def count_bytes(self) -> int:
-        """Return the bytes that are kept now."""
+        """Return the number of bytes kept of all answers."""
         return sum(answer.size for answer in self._answers.values())
