--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -1,4 +1,4 @@
-"""Run the entry: callers' HTTP in front, agents behind."""
+"""Run the entry, which accepts callers' HTTP requests and sends them to agents."""
 
 import secrets
 from collections.abc import Mapping
@@ -71,7 +71,8 @@
 )
 from hyssopvane._internal.utils.logs import log_event
 
-# A connection to another entry costs heartbeats both ways, and most are used seldom.
+# A connection to another entry costs heartbeats in both directions, and most are rarely
+# used.
 _IDLE_LINK_S = 30.0
 _DEADLINE_CHECK_INTERVAL_S = 0.05
 _AGENT_ROLE = "agent"
@@ -79,7 +80,7 @@
 
 
 class Entry(OperatedProcess, PeerHandler, PeerObserver):
-    """Serve callers, with the targets' agents behind."""
+    """Serve callers and send their requests to the agents of targets."""
 
     def __init__(self, settings: EntrySettings) -> None:
         super().__init__(settings)
@@ -173,7 +174,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve callers until cancelled."""
+        """Serve callers, peers and operators until cancelled."""
         async with trio.open_nursery() as nursery:
             await self._store.start(nursery)
             self.links.start(nursery)
@@ -205,27 +206,27 @@
             await trio.sleep_forever()
 
     async def drain(self) -> None:
-        """Leave the balancer, then let every request in progress end whole."""
+        """Leave the platform's balancer, then complete every request in progress."""
         self.leaving = True
         self._callers_leaving.set()
         log_event("info", "draining", open=self.scheduler.count_requests())
-        # The balancer keeps sending until it has seen the readiness change; a listener
-        # closed before that refuses callers who did nothing wrong.
+        # The balancer sends callers here until it has seen the readiness change. If the
+        # listener closed before that, their connections would be refused.
         await trio.sleep(self.settings.shutdown_delay_s)
         self._callers_shutdown.set()
         await self._callers_closed.wait()
 
     async def close(self) -> None:
-        """Release the connection to the platform and the instruments."""
+        """Close the connection to the store, and the metrics."""
         await self._store.close()
         self.metrics.close()
 
     def is_ready(self) -> bool:
-        """Tell whether the entry takes new work."""
+        """Return whether the entry has a table and is not shutting down."""
         return not self.leaving and self._source.directory is not None
 
     def describe(self) -> dict[str, object]:
-        """Return what is in force here."""
+        """Return the state shown to operators: identity, table, watches and targets."""
         directory = self._source.directory
         return {
             "role": "entry",
@@ -272,7 +273,7 @@
         self.topics.receive(peer, topic, body)
 
     async def serve_stream(self, stream: PeerStream, opening: Open) -> None:
-        """Do nothing: nobody sends work to an entry by the internal protocol."""
+        """Do nothing: entries get no requests over the internal protocol."""
 
     def connect_peer(self, hello: Hello) -> None:
         self.scheduler.connect_target(
@@ -303,8 +304,8 @@
         )
 
     def _update_leaving(self, records: tuple[VmRecord, ...]) -> None:
-        # The platform may announce a leaving VM long before its agent is told to
-        # stop. The next heartbeat says the same again, or that it has come back.
+        # The platform may list a VM as leaving long before its agent is signaled to
+        # stop. The next heartbeat confirms it, or reports that the VM has returned.
         before = self._listed_leaving
         self._listed_leaving = frozenset(
             record.name for record in records if record.state is VmState.LEAVING
@@ -313,7 +314,7 @@
             self._notify_leaving(vm)
 
     def _notify_leaving(self, vm: str) -> None:
-        # Entries with an older list go on to send work there; the agent refuses it.
+        # Entries with an older list still send requests there; the agent refuses them.
         connection = self._pool.get_connection(vm)
         if connection is None:
             return
@@ -404,7 +405,7 @@
         self._update_leaving(records)
 
     def _select_agents(self, records: tuple[VmRecord, ...]) -> frozenset[PeerAddress]:
-        """Return the agents that this entry connects to."""
+        """Return the agents in this entry's subset and set those that get suspects."""
         chosen = self._subset.update(
             entries=_list_members(records, VmRole.ENTRY),
             targets=_list_members(records, VmRole.AGENT),
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -1,4 +1,4 @@
-"""Carry out the steps of requests with idempotency keys."""
+"""Run requests with idempotency keys."""
 
 import secrets
 import time
@@ -57,14 +57,14 @@
 from hyssopvane._internal.transport.peer_connection import PeerConnection
 
 FIRST_ATTEMPT_MAX_AGE_S = 2.0
-"""Age below which a key is taken for a first attempt.
+"""Age below which a key is assumed to be on its first attempt.
 
-Its claim is not read before it is written. At 870 keyed requests a second this keeps
-the reads near none; a repeat that comes sooner is found by the write.
+The claim of such a key is written without a read before. At 870 keyed requests a second
+this avoids nearly all reads; a repeat within this time is detected by the write.
 """
 
 RECONNECT_TIMEOUT_S = 5.0
-"""Time to wait for a new connection to an agent, above the silence that closes one."""
+"""Time to wait for a reconnection; longer than the silence that closes a connection."""
 
 _RECONNECT_POLL_INTERVAL_S = 0.1
 _VOID_TIMEOUT_S = 1.0
@@ -72,29 +72,29 @@
 
 
 class Placer(ABC):
-    """Give places at targets."""
+    """Place requests at targets."""
 
     @abstractmethod
     async def submit(self, work: WorkRequest) -> Placed | Refusal:
-        """Wait for a place, or for the refusal."""
+        """Wait until the request is placed or refused."""
 
     @abstractmethod
     async def finish(
         self, work: WorkRequest, report: AttemptReport
     ) -> Placed | Refusal | None:
-        """Give a place back; wait for the next one where there is to be one."""
+        """Release the place after an attempt; wait for another one if it is retried."""
 
     @abstractmethod
     def withdraw(self, work: WorkRequest) -> None:
-        """Give everything back."""
+        """Remove the request from the queue and release its place."""
 
     @abstractmethod
     def record(self, request_id: str, decision: str, why: str) -> None:
-        """Keep a decision for operators."""
+        """Record a decision for operators."""
 
 
 class KeyedDispatch:
-    """Run one request with a key."""
+    """Run one request with an idempotency key."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
         self._placed = False
 
     async def run(self) -> Refusal | None:
-        """Run to the end; return the refusal where the caller got no answer."""
+        """Run the request; return the refusal, or `None` after an answer."""
         old = self._key.get_age(time.time()) > FIRST_ATTEMPT_MAX_AGE_S
         step = self._flow.begin(look=old)
         while True:
@@ -139,7 +139,7 @@
                 step = await self._prepare(step)
 
     async def _report_failure(self) -> None:
-        # The body may be what broke the target; the scheduler keeps count of it.
+        # The body may have crashed the target; the scheduler counts such failures.
         report = AttemptReport(AttemptResult.BROKEN, "target-broken", final=True)
         await self._placer.finish(self._work, report)
         self._placed = False
@@ -158,7 +158,7 @@
                 return self._flow.handle_claim(claim)
         except HyssopvaneError as error:
             return self._flow.handle_write_failure(error.message)
-        return self._flow.handle_write_failure("the claim was not read in time")
+        return self._flow.handle_write_failure("reading the claim timed out")
 
     async def _request_place(self) -> Step:
         if self._placed:
@@ -179,8 +179,8 @@
     async def _write(self, step: Write) -> Step:
         deadline = self._work.deadline
         if step.change.claim.void:
-            # Often the deadline is why the claim is made void; the caller is better
-            # served by a certain answer a moment later.
+            # A claim is often made void because the deadline has passed. A definite
+            # outcome shortly after the deadline is better for the caller.
             deadline = max(deadline, trio.current_time() + _VOID_TIMEOUT_S)
         with trio.move_on_at(deadline):
             result = await self._claims.change(step.change)
@@ -192,9 +192,9 @@
             if result.status is ChangeStatus.EXPIRED:
                 return Refuse(Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN))
             return self._flow.handle_write_failure(
-                "the key-value service is out; the claim is not confirmed"
+                "the key-value service is unavailable; the claim is not confirmed"
             )
-        return self._flow.handle_write_failure("the claim was not confirmed in time")
+        return self._flow.handle_write_failure("confirming the claim timed out")
 
     async def _exchange(self, step: Send | Join) -> ExchangeEnd:
         claim = step.claim
@@ -247,13 +247,13 @@
             return Refuse(
                 Refusal(RefusalReason.TARGET_BROKEN, Outcome.UNKNOWN, detail=end.why)
             )
-        detail = "the same key, sent again, gets the answer if it comes"
+        detail = "a retry with the same key gets the answer if the target completes it"
         return Refuse(
             Refusal(RefusalReason.DEADLINE_PASSED, Outcome.UNKNOWN, detail=detail)
         )
 
     async def _wait_for_connection(self, claim: Claim) -> PeerConnection | None:
-        """Wait a little: a connection that went silent is opened anew."""
+        """Wait for a connection, since a silent one is closed and opened again."""
         with trio.move_on_at(
             min(self._work.deadline, trio.current_time() + RECONNECT_TIMEOUT_S)
         ):
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -1,4 +1,4 @@
-"""Run requests with idempotency keys, apart from the connections they came by."""
+"""Run requests with idempotency keys independently of their connections."""
 
 import hashlib
 import time
@@ -45,7 +45,7 @@
 
 
 class KeyedRuns:
-    """Hold the runs of one agent and give their answers to whoever repeats them."""
+    """Hold the keyed runs of one agent and send their answers to repeated requests."""
 
     def __init__(
         self,
@@ -67,22 +67,22 @@
 
     @property
     def busy(self) -> int:
-        """Return the number of runs and of answers being given."""
+        """Return the number of running requests and of streams being served."""
         return self._busy
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Run requests in a nursery that outlives their connections."""
+        """Set the nursery for runs, which outlives connections, and start expiry."""
         self._nursery = nursery
         nursery.start_soon(self._expire)
 
     async def wait_idle(self) -> None:
-        """Wait until no run is in progress and no answer is being given."""
+        """Wait until no request is running and no stream is being served."""
         while self._busy:
             self._idle = trio.Event()
             await self._idle.wait()
 
     async def serve(self, stream: PeerStream, opening: Open, *, leaving: bool) -> None:
-        """Start or join the run of a key and give its answer to the stream."""
+        """Start or join the run of a key and relay its answer to the stream."""
         refusal: AgentRefusal | None = None
         self._begin_work()
         try:
@@ -124,8 +124,8 @@
                 opening.attempt, owner=owner, now=time.time()
             )
         if run.owner.name != owner.name or run.body_digest != opening.body_digest:
-            # Two keys whose hashes meet in the claims: neither may get the other's
-            # answer.
+            # The hashes of two keys collide in the claims: neither may get the answer
+            # of the other.
             return AgentRefusal.KEY_OTHER
         self._record(opening, "joined", f"from byte {opening.resume_from}")
         await run.answer.relay(stream, resume_from=opening.resume_from)
@@ -139,8 +139,8 @@
         try:
             body = await _receive_body(stream, opening)
         except BaseException:
-            # The entry died or gave up before the body was whole; nothing has reached
-            # the target, and now nothing will.
+            # The entry died or cancelled before the body was complete. The target got
+            # nothing, and the tombstone prevents a later start.
             self._register.add_tombstone(opening.attempt, owner=owner, now=time.time())
             answer.finish(Refused(AgentRefusal.CANCELLED.value))
             raise
@@ -148,8 +148,8 @@
             answer.finish(Refused(AgentRefusal.TOMBSTONE.value))
         else:
             assert self._nursery is not None
-            # Not in the connection's nursery: an entry that dies takes its connections
-            # with it, and the caller comes back for this answer by another entry.
+            # Not in the connection's nursery: when an entry dies, its connections end,
+            # and the caller retries through another entry to get this answer.
             self._begin_work()
             self._nursery.start_soon(self._run, opening, body, answer)
         await answer.relay(stream, resume_from=opening.resume_from)
@@ -159,7 +159,7 @@
         try:
             await self._call_target(opening, body, answer)
         except TargetUnreachable as error:
-            # The connection was never made, so the target can't have seen the request.
+            # No connection was established, so the target never received the request.
             self._register.revert_start(opening.attempt)
             self._record(opening, "refused", f"target unreachable: {error}")
             answer.finish(Refused(AgentRefusal.TARGET_UNREACHABLE.value))
@@ -167,11 +167,13 @@
             self._record(opening, "broken", str(error))
             answer.finish(Broken(str(error)))
         else:
-            self._record(opening, "answered", "the target's answer is whole")
+            self._record(opening, "answered", "the target's answer is complete")
             answer.finish(End())
         finally:
             if not answer.ended:
-                answer.finish(Broken("the agent was stopped"))
+                answer.finish(
+                    Broken("the agent stopped before the answer was complete")
+                )
             self._end_work()
 
     async def _call_target(
@@ -223,10 +225,10 @@
     parts: list[bytes] = []
     while not isinstance(message := await stream.receive(), End):
         if not isinstance(message, Chunk):
-            raise PeerLost("the entry sent something else than a body")
+            raise PeerLost("the entry sent another message instead of the body")
         parts.append(message.data)
     body = b"".join(parts)
     if hashlib.sha256(body).digest() != opening.body_digest:
-        # The answer would be another request's, and the key would be spent on it.
-        raise PeerLost("the body is not the one that was announced")
+        # Otherwise the key would be used up for the answer to a different request.
+        raise PeerLost("the body doesn't match the digest in the opening")
     return body
