--- a/src/hyssopvane/_internal/roles/operators.py
+++ b/src/hyssopvane/_internal/roles/operators.py
@@ -1,4 +1,4 @@
-"""Answer operators: readiness, metrics, what is in force and why."""
+"""Serve operators: readiness, metrics, state in force and decisions."""
 
 import hmac
 from abc import abstractmethod
@@ -20,11 +20,11 @@
 from hyssopvane._internal.utils.metrics import Metrics
 
 ShowPage = Callable[[Mapping[str, str]], Awaitable[object]]
-"""Takes the query of a page's URL and returns a document of JSON."""
+"""Function that takes the query of a page's URL and returns a JSON document."""
 
 
 class OperatedProcess(Role):
-    """Give what operators may read of a process."""
+    """Provide the metrics, decisions and pages that operators read."""
 
     def __init__(self, settings: EntrySettings | AgentSettings) -> None:
         self.metrics = Metrics(role=settings.role, vm=settings.vm)
@@ -32,29 +32,29 @@
         self.vm = settings.vm
         self.token = settings.token
         self.pages: dict[str, ShowPage] = {}
-        """Further pages of the operators' listener, by path."""
+        """Additional pages of the operators' listener, by path."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release what the process holds."""
+        """Close the connections and metrics of the process."""
 
     @abstractmethod
     def is_ready(self) -> bool:
-        """Tell whether the process takes new work."""
+        """Return whether the process accepts new requests."""
 
     @abstractmethod
     def describe(self) -> dict[str, object]:
-        """Return what is in force here."""
+        """Return the state of the process as a JSON document."""
 
 
 class OperatorsApp:
-    """Serve the operators' listener; everything but readiness needs the token."""
+    """Serve the operators' listener; all pages but readiness require the token."""
 
     def __init__(self, process: OperatedProcess) -> None:
         self._process = process
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one operators' request."""
+        """Handle one ASGI scope."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
--- a/src/hyssopvane/_internal/roles/peer_listener.py
+++ b/src/hyssopvane/_internal/roles/peer_listener.py
@@ -1,4 +1,4 @@
-"""Accept internal connections of other processes."""
+"""Accept connections of the internal protocol."""
 
 from functools import partial
 
@@ -27,7 +27,7 @@
 ) -> None:
     """Run one task for each accepted connection until cancelled.
 
-    Accept none from `stop` on.
+    New connections are no longer accepted once `stop` is set.
     """
     open_connections = set() if connections is None else connections
 
--- a/src/hyssopvane/_internal/roles/peer_pool.py
+++ b/src/hyssopvane/_internal/roles/peer_pool.py
@@ -1,4 +1,4 @@
-"""Keep connections from an entry to the agents of its targets."""
+"""Maintain the connections from an entry to the agents of its targets."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -15,9 +15,9 @@
 )
 from hyssopvane._internal.utils.logs import log_event
 
-# After an agent's restart its slot is taken again within seconds; a first wait this
-# short finds it soon, and the doubling keeps a whole zone's loss from becoming a storm
-# of connection attempts when it comes back.
+# A restarted agent listens again within seconds, so a short first back-off finds it
+# soon. The exponential back-off prevents a storm of connection attempts when a whole
+# availability zone returns after an outage.
 _INITIAL_BACKOFF_S = 0.1
 _MAX_BACKOFF_S = 5.0
 _CONNECT_TIMEOUT_S = 2.0
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Name a peer and where it listens."""
+    """Identify a peer by its VM and the address it listens on."""
 
     vm: str
     address: str
@@ -40,23 +40,23 @@
 
 
 class PeerObserver(ABC):
-    """Learn which peers can be reached."""
+    """Observe which peers are connected, and their heartbeats."""
 
     @abstractmethod
     def connect_peer(self, hello: Hello) -> None:
-        """Take note that a peer can be reached."""
+        """Handle a new connection to a peer."""
 
     @abstractmethod
     def disconnect_peer(self, vm: str) -> None:
-        """Take note that a peer can't be reached."""
+        """Handle the loss of the connection to a peer."""
 
     @abstractmethod
     def observe_heartbeat(self, vm: str, heartbeat: Heartbeat) -> None:
-        """Take note of a peer's heartbeat."""
+        """Handle a heartbeat of a peer."""
 
 
 class PeerPool:
-    """Hold one task and one connection for each peer."""
+    """Keep one connection to each peer, and reconnect when it is lost."""
 
     def __init__(
         self,
@@ -76,15 +76,15 @@
         self._connections: dict[str, PeerConnection] = {}
 
     def get_connection(self, vm: str) -> PeerConnection | None:
-        """Return the connection to a peer, if there is one."""
+        """Return the connection to a peer, or `None` when there is none."""
         return self._connections.get(vm)
 
     def list_connections(self) -> dict[str, PeerConnection]:
-        """Return the connections by the peer's VM."""
+        """Return a copy of the connections by the peer's VM."""
         return dict(self._connections)
 
     def update(self, peers: frozenset[PeerAddress], nursery: trio.Nursery) -> None:
-        """Connect to new peers; leave the others once their streams have ended."""
+        """Connect to new peers; disconnect removed ones once their streams end."""
         for address in self._peers.keys() - peers:
             nursery.start_soon(self._retire, self._peers.pop(address))
         for address in peers - self._peers.keys():
@@ -92,8 +92,8 @@
             nursery.start_soon(self._keep_connected, peer)
 
     async def _retire(self, peer: _Peer) -> None:
-        # The list of VMs is late, and the subset changes with each entry that comes or
-        # goes. To close a connection at once would cut the answers that it carries.
+        # The list of VMs lags, and the subset changes with each entry that starts or
+        # stops. Closing the connection at once would cut off the answers in progress.
         peer.retiring = True
         vm = peer.address.vm
         connection = self._connections.pop(vm, None)
@@ -139,7 +139,7 @@
                 self._observer.connect_peer(hello)
                 log_event("info", "peer-connected", peer=vm, role=hello.role)
         except* RuntimeError:
-            # The task ended before it greeted: the peer refused the greeting.
+            # The task ended before the handshake: the peer refused the greeting.
             log_event("warning", "peer-refused", peer=vm)
         finally:
             if self._connections.get(vm) is connection:
--- a/src/hyssopvane/_internal/roles/process.py
+++ b/src/hyssopvane/_internal/roles/process.py
@@ -1,4 +1,4 @@
-"""Run a role as a process: signals, graceful shutdown, exit."""
+"""Run a role as a process with signals, graceful shutdown and exit."""
 
 import signal
 from abc import ABC, abstractmethod
@@ -12,7 +12,7 @@
 
 
 class Role(ABC):
-    """Run one role of the system."""
+    """Represent a kind of process, such as an entry or an agent."""
 
     @abstractmethod
     async def run(
@@ -22,11 +22,11 @@
 
     @abstractmethod
     async def drain(self) -> None:
-        """Take no new work, and let what is in progress end whole."""
+        """Refuse new requests and complete those in progress."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release what the role holds."""
+        """Release connections and other resources."""
 
 
 ReloadSettings = Callable[[], AnySettings]
@@ -35,7 +35,7 @@
 async def run_until_signal(
     role: Role, settings: AnySettings, *, reload: ReloadSettings
 ) -> bool:
-    """Run until SIGTERM or SIGINT, drain, close; tell whether all requests ended."""
+    """Run until SIGTERM or SIGINT, then drain; return whether all requests ended."""
     signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     with trio.open_signal_receiver(*signals) as received:
         async with trio.open_nursery() as nursery:
@@ -60,7 +60,7 @@
 
 
 def _reload(settings: AnySettings, reload: ReloadSettings) -> AnySettings:
-    # A file that is wrong must not end a process that serves.
+    # An invalid settings file must not stop a running process.
     try:
         found = reload()
     except SettingsError as error:
@@ -81,14 +81,14 @@
 
 
 async def _drain(role: Role, limit_s: float) -> bool:
-    # A request that came at the very end of the delay gets its whole time.
+    # A request that arrives at the end of the shutdown delay still gets its full time.
     with trio.move_on_after(limit_s) as scope:
         await role.drain()
     return not scope.cancelled_caught
 
 
 async def _ignore_further_signals(signals: AsyncIterator[int]) -> None:
-    # A supervisor that repeats its signal must not cut the answers in progress. One
-    # that is left unread would end the process when the receiver closes.
+    # A supervisor that repeats its signal must not cut off answers in progress. An
+    # unread signal would terminate the process when the receiver closes.
     async for number in signals:
         log_event("warning", "signal-ignored", number=number, why="already draining")
--- a/src/hyssopvane/_internal/roles/topics.py
+++ b/src/hyssopvane/_internal/roles/topics.py
@@ -9,27 +9,27 @@
 
 
 class TopicRouter:
-    """Hold one function for each topic; an unknown topic is answered by nothing."""
+    """Hold a handler for each topic; questions of unknown topics get empty answers."""
 
     def __init__(self) -> None:
         self._answers: dict[str, AnswerQuestion] = {}
         self._notices: dict[str, ReceiveNotice] = {}
 
     def add_question(self, topic: str, answer: AnswerQuestion) -> None:
-        """Answer the questions of a topic by a function."""
+        """Register the handler for the questions of a topic."""
         self._answers[topic] = answer
 
     def add_notice(self, topic: str, receive: ReceiveNotice) -> None:
-        """Pass the notices of a topic to a function."""
+        """Register the handler for the notices of a topic."""
         self._notices[topic] = receive
 
     async def answer(self, peer: PeerConnection, topic: str, body: bytes) -> bytes:
-        """Answer a question; a peer of a later version may ask an unknown one."""
+        """Answer a question; one of an unknown topic, from a newer peer, gets `b""`."""
         answer = self._answers.get(topic)
         return b"" if answer is None else await answer(peer, body)
 
     def receive(self, peer: PeerConnection, topic: str, body: bytes) -> None:
-        """Pass a notice on; one of an unknown topic is ignored."""
+        """Pass a notice to its handler; ignore one of an unknown topic."""
         receive = self._notices.get(topic)
         if receive is not None:
             receive(peer, body)
