--- a/src/hyssopvane/_internal/roles/map_agent.py
+++ b/src/hyssopvane/_internal/roles/map_agent.py
@@ -1,4 +1,4 @@
-"""Keep the rank beside an agent in line with its group's record."""
+"""Reconcile the rank on an agent's VM with the record of its group."""
 
 import json
 from abc import ABC, abstractmethod
@@ -42,28 +42,30 @@
 MAP_ORDER_TOPIC = "map-order"
 
 POLL_INTERVAL_S = 0.5
-"""Time between two looks at the engine beside the agent; it costs the service nothing.
+"""Interval between polls of the engine, which is on the same VM as the agent.
 
-The service is read only while the rank is held or armed, or holds staged weights: at
-64 ranks a group that is 128 reads a second for the seconds between arming and decision.
+The key-value service is read only while the rank is held or armed, or holds staged
+weights. With 64 ranks in a group that is 128 reads a second for the seconds between
+arming and decision.
 """
 
 POLLS_PER_STAGED_READ = 10
-"""Polls for one read of the service while weights are staged and nothing is armed."""
+"""Polls per read of the key-value service while weights are staged but none armed."""
 
 ABORT_AFTER_S = 3.0
 """Time a rank waits at the armed step before its agent writes the abort.
 
-The coordinator may be dead, and the whole group stands still with this rank. It is
-longer than a slow answer of the service, so that a living coordinator decides first.
+The coordinator may be dead, and the whole group is stalled with this rank. The time is
+longer than a slow answer of the key-value service, so that a live coordinator decides
+first.
 """
 
 _ORDER_TIMEOUT_S = 5.0
 _STAGE_TIMEOUT_S = 900.0
-"""Fetching weights waits for its share of the weight store's rate."""
+"""Long, since fetching weights waits for its share of the weight store's rate."""
 
 _MAX_ORDERS = 8
-"""Orders in one pass; a restarted rank needs five."""
+"""Maximum number of orders in one pass; a restarted rank needs five."""
 
 _JSON_HEADERS: Headers = ((b"content-type", b"application/json"),)
 
@@ -75,7 +77,7 @@
     store: KeyValueStore,
     metrics: Metrics,
 ) -> "MapAgent":
-    """Return the map agent of the rank beside an agent."""
+    """Return the map agent for the rank on an agent's VM."""
     return MapAgent(
         rank=settings.vm,
         group=settings.group,
@@ -87,19 +89,19 @@
 
 
 class EngineRank(ABC):
-    """Reach the rank of an engine."""
+    """Query and order the engine of a rank."""
 
     @abstractmethod
     async def get_view(self) -> RankView:
-        """Return what the engine says; raise `MapSwitchError` when it doesn't."""
+        """Return the engine's state; raise `MapSwitchError` when it doesn't answer."""
 
     @abstractmethod
     async def send(self, order: EngineOrder) -> str:
-        """Send an order and return the engine's refusal, or nothing."""
+        """Send an order; return the engine's refusal, or an empty string."""
 
 
 class TargetRank(EngineRank):
-    """Reach the rank through the agent's connections to its target."""
+    """Query and order the engine through the agent's connections to its target."""
 
     def __init__(self, target: TargetClient) -> None:
         self._target = target
@@ -150,14 +152,14 @@
             ValueError,
         ) as error:
             raise MapSwitchError(
-                "the engine did not answer about its expert map",
+                "the engine did not answer a request about its expert map",
                 context=f"{type(error).__name__}: {error}",
-                hint="check the engine; its agent asks again",
+                hint="check the engine; its agent polls it again",
             ) from error
 
 
 class MapAgent:
-    """Answer coordinators, and bring the rank in line also without one."""
+    """Execute coordinators' orders, and reconcile the rank also without them."""
 
     def __init__(
         self,
@@ -176,12 +178,12 @@
         self._metrics = metrics
         self._random = random
         self._planner = RankSwitchPlanner()
-        # Two passes at once would order the engine by two different records.
+        # Two concurrent passes could send the engine orders from different records.
         self._lock = trio.Lock()
         self._waiting_since: float | None = None
 
     async def run(self) -> None:
-        """Look after the rank until cancelled."""
+        """Poll and reconcile the rank until cancelled."""
         polls = 0
         while True:
             await trio.sleep(POLL_INTERVAL_S * self._random.uniform(0.8, 1.2))
@@ -193,7 +195,7 @@
                 log_event("debug", "map-not-checked", why=error)
 
     async def answer_order(self, peer: PeerConnection, body: bytes) -> bytes:
-        """Follow a coordinator's order, when the service confirms it, and answer."""
+        """Execute a coordinator's order if the store confirms it, and answer."""
         group, fence = parse_order(body)
         if group != self._group:
             return format_answer(self._refuse(fence, OrderRefusal.UNKNOWN_FENCE))
@@ -232,7 +234,7 @@
         await self._abort_if_overdue(await self._engine.get_view())
 
     async def _reconcile(self, *, is_fresh: bool) -> str:
-        """Send the engine what it lacks; return its refusal of the open proposal."""
+        """Send the missing orders; return the engine's refusal of the open proposal."""
         for _ in range(_MAX_ORDERS):
             view = await self._engine.get_view()
             if self._planner.needs_confirmation(view):
@@ -259,8 +261,8 @@
         return ""
 
     async def _confirm(self) -> None:
-        # With the service out the rank stays held: the group waits, which is allowed;
-        # two maps in one step are not.
+        # While the key-value service is unavailable, the rank stays held. The group may
+        # wait, but two maps must never be used in one step.
         with suppress(KeyValueError):
             self._planner.confirm(await self._store.confirm_for_restart())
             self._metrics.count_event("map-restart-confirmed")
--- a/src/hyssopvane/_internal/roles/map_switcher.py
+++ b/src/hyssopvane/_internal/roles/map_switcher.py
@@ -1,4 +1,4 @@
-"""Move the experts of a group: propose, stage, arm and decide a switch."""
+"""Switch the expert map of a group: propose, stage, arm and decide."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -30,33 +30,33 @@
 
 @dataclass(frozen=True, slots=True)
 class SwitchTimes:
-    """Hold the times of a switch."""
+    """Hold the timeouts, intervals and limits of a switch."""
 
     margin_steps: int = 400
     """Steps from the furthest rank to the switch: 1.8 s at 4.5 ms a step.
 
-    Arming takes a read of the service and two calls on each rank. With too few steps a
-    rank is past the step before it is armed, and the proposal is aborted; with many,
-    the gain comes a little later.
+    Arming takes a read of the key-value service and two calls on each rank. With too
+    few steps a rank passes the step before it is armed, and the proposal is aborted.
+    With more steps the switch takes effect later.
     """
     query_retry_s: float = 0.1
     staging_poll_s: float = 1.0
-    """Pause while weights are fetched, which takes seconds to minutes."""
+    """Interval between queries while weights are fetched, for seconds to minutes."""
     arm_timeout_s: float = 10.0
-    """Time for arming, after which the proposal is aborted."""
+    """Time for arming, and for one query then; the proposal is aborted after it."""
     stage_timeout_s: float = 1800.0
-    """Time for staging, after which the proposal is aborted."""
+    """Time for staging, and for one query then; the proposal is aborted after it."""
     max_staging: int = 8
-    """Ranks that fetch weights at one time.
+    """Maximum number of ranks that fetch weights at the same time.
 
-    More would share the store's limited rate all the same, and would slow the steps of
-    the whole group on as many ranks at once.
+    More ranks would share the same limited rate of the weight store, and each rank that
+    fetches slows down the steps of the whole group.
     """
     lease_s: int = 30
 
 
 class RankClient(ABC):
-    """Ask the agents of a group's ranks."""
+    """Query the agents of a group's ranks."""
 
     @abstractmethod
     async def ask(self, vm: str, topic: str, body: bytes) -> bytes:
@@ -64,10 +64,11 @@
 
 
 class MapSwitcher:
-    """Drive the proposals of one group to their end.
+    """Drive the proposals of one group to a decision or an abort.
 
-    Any number of these may run for one group, also one that was paused for long: each
-    write is a compare-and-swap on the group's record, tied to fence and phase.
+    Any number of switchers may run for one group, even one that was paused for a long
+    time: each write is a compare-and-swap on the group's record that checks fence and
+    phase.
     """
 
     def __init__(
@@ -90,10 +91,10 @@
     async def move(
         self, name: str, expert_map: ExpertMap, *, weights_bytes: int = 0
     ) -> Phase | None:
-        """Propose a map and return how it ended; None when another is under way.
+        """Propose a map and return how it ended; `None` when another one is open.
 
-        Raise `KeyValueError` when the service is out; the proposal may then be open,
-        and whoever comes next drives it to its end.
+        Raise `KeyValueError` when the key-value service is unavailable. The proposal
+        may then be open, and the next coordinator drives it to its end.
         """
         proposed = await self._store.propose(
             name, expert_map, weights_bytes=weights_bytes
@@ -104,7 +105,7 @@
         return await self.finish()
 
     async def finish(self) -> Phase | None:
-        """Drive an open proposal to its end, also one of another coordinator."""
+        """Drive the open proposal to its end, even one of another coordinator."""
         progress = SwitchProgress(self._ranks, self._times.margin_steps)
         progress.learn((await self._store.read()).record)
         fence = progress.record.fence
@@ -118,7 +119,7 @@
             await self._carry_out(move, progress)
             progress.learn(self._store.known.record)
             if progress.record.fence != fence:
-                # The proposal has ended, and another coordinator has opened the next.
+                # The proposal ended and another coordinator opened a new one.
                 return self._find_end(progress.record, fence)
         await self._query_ranks(progress, self._ranks)
         return self._find_end(progress.record, fence)
@@ -145,7 +146,7 @@
                 if await self._query_ranks(progress, move.ranks):
                     return
                 await trio.sleep(self._get_retry_s(progress.record))
-                # Someone else may have ended the proposal meanwhile.
+                # Another coordinator may have ended the proposal in the meantime.
                 await self._store.read()
             case Move.FIX_STEP:
                 await self._store.fix_step(fence, move.step)
@@ -161,7 +162,7 @@
     async def _query_ranks(
         self, progress: SwitchProgress, ranks: frozenset[str]
     ) -> bool:
-        """Ask ranks and return whether this changed what is to be done."""
+        """Query ranks and return whether their answers changed the next move."""
         before = progress.plan()
         limiter = trio.CapacityLimiter(self._get_max_queries(progress.record))
         async with trio.open_nursery() as nursery:
@@ -192,7 +193,7 @@
         )
         async with limiter:
             try:
-                # An agent whose connection fell silent must not hold up the others.
+                # An agent on a silent connection must not delay the others.
                 with trio.move_on_after(timeout_s):
                     answer = await self._caller.ask(rank, MAP_ORDER_TOPIC, body)
                     progress.receive(parse_answer(answer, rank=rank))
@@ -219,10 +220,11 @@
 
 
 class MapMover:
-    """Weigh and carry out the moves of one group.
+    """Evaluate and carry out the expert moves of one group.
 
-    The lease keeps others from weighing the same move; it is taken for a move only, so
-    that a quiet group costs the service nothing. Nothing is unsafe without it.
+    The lease avoids duplicate moves by other entries. It is taken only for a move, so
+    that an unchanged group causes no load on the key-value service. Safety doesn't
+    depend on it.
     """
 
     def __init__(
@@ -245,7 +247,7 @@
     async def move_if_worth(
         self, loads: tuple[float, ...], rules: MoveRules, *, now: float, hour: int
     ) -> Phase | None:
-        """Move the experts if that is worth its cost; return how the move ended."""
+        """Move the experts if the gain exceeds the cost; return how the move ended."""
         evaluated = self._rebalancer.choose_move(loads, rules, now=now, hour=hour)
         if evaluated is None:
             return None
@@ -280,7 +282,7 @@
     async def _move(self, expert_map: ExpertMap, weights_bytes: int) -> Phase | None:
         record = (await self._switch_store.read()).record
         if record.open_proposal is not None:
-            # A coordinator that died has left it; the ranks may be waiting for its end.
+            # Left open by a dead coordinator; the ranks may be waiting for its end.
             await self._switcher.finish()
             return None
         name = f"map-{record.fence + 1}"
@@ -298,5 +300,5 @@
         try:
             await self._switch_store.release_duty(lease)
         except HyssopvaneError as error:
-            # It lapses by itself.
+            # The lease expires by itself.
             log_event("debug", "map-lease-not-released", why=error)
--- a/src/hyssopvane/_internal/roles/operator_queries.py
+++ b/src/hyssopvane/_internal/roles/operator_queries.py
@@ -1,4 +1,4 @@
-"""Gather for operators what the other VMs say is in force, and why."""
+"""Collect the status and the decisions of other VMs for operators."""
 
 from collections.abc import Awaitable, Callable, Iterable, Mapping, Sequence
 from dataclasses import asdict
@@ -24,10 +24,11 @@
 EXPLAIN_TOPIC = "operators/explain"
 
 MAX_ENTRIES_QUERIED = 150
-"""Entries that one question of an operator may reach.
+"""Maximum number of entries that one operator request may query.
 
-The largest zone of the target has about 70; all 960 at once would be the harm: each
-question opens a connection, and each answer has a line for each of 42 agents.
+The largest availability zone has about 70 entries by design. Querying all 960 at once
+would overload the system: each query opens a connection, and each answer has a line for
+each of 42 agents.
 """
 
 MAX_CONCURRENT_QUERIES = 16
@@ -39,7 +40,7 @@
 
 
 class OperatorQueries:
-    """Answer operators for a whole availability zone at one entry."""
+    """Serve operators' pages that cover the VMs of a whole availability zone."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         process.pages["/explain-all"] = self._show_explanation
 
     def update_vms(self, records: tuple[VmRecord, ...]) -> None:
-        """Learn the platform's list."""
+        """Set the records of the platform's list of VMs."""
         self._records = records
 
     async def _show_status(self, query: Mapping[str, str]) -> object:
@@ -116,14 +117,14 @@
         entries = sum(record.role is VmRole.ENTRY for record in chosen)
         if entries > MAX_ENTRIES_QUERIED:
             raise OperatorRequestError(
-                f"{entries} entries are too many for one question",
+                f"{entries} entries are too many for one query",
                 context=f"at most {MAX_ENTRIES_QUERIED}; zones: {', '.join(zones)}",
-                hint="ask for one zone at a time with --zone",
+                hint="query one zone at a time with --zone",
             )
         return chosen
 
     def _list_reachable_reports(self) -> Iterable[VmReport]:
-        """Return the reports of this entry and of the agents connected to it."""
+        """Yield the reports of this entry and of the agents connected to it."""
         yield self._report()
         for vm, connection in self._pool.list_connections().items():
             heartbeat = connection.last_heartbeat
@@ -144,7 +145,7 @@
 
 
 def add_explain_topic(topics: TopicRouter, process: OperatedProcess) -> None:
-    """Answer other processes with the decisions on one request."""
+    """Register a topic that answers peers with the decisions on one request."""
 
     async def answer(peer: PeerConnection, body: bytes) -> bytes:
         request_id = body.decode(errors="replace")
@@ -168,7 +169,7 @@
 
 
 async def _run_queries(queries: Sequence[_Query]) -> list[bytes]:
-    """Ask some at a time; one that does not answer in time is left out."""
+    """Run queries with limited concurrency; leave out those that fail or time out."""
     answers: list[bytes] = []
     limiter = trio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
 
@@ -193,7 +194,7 @@
 
 
 def _parse_reports(answer: bytes) -> tuple[VmReport, ...]:
-    # A VM of an earlier version answers with nothing and is shown as without answer.
+    # A VM of an earlier version sends an empty answer and is shown as "no answer".
     try:
         return _REPORTS.validate_json(answer)
     except ValidationError:
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -1,4 +1,4 @@
-"""Wire the table's fan-out into the connections of an entry."""
+"""Connect the distribution of the table to the connections of an entry."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -30,7 +30,7 @@
 
 
 class TableSharing:
-    """Hold an entry's table, and pass it on to entries and agents."""
+    """Follow the table at an entry and distribute it to entries and agents."""
 
     def __init__(
         self,
@@ -78,12 +78,12 @@
         topics.add_question(QUESTION_TOPIC, self._answer_question)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Follow the table in a nursery."""
+        """Follow the table and the list of VMs in a nursery."""
         nursery.start_soon(self.spread.run)
         nursery.start_soon(self._vms.run)
 
     def _update_vms(self, records: tuple[VmRecord, ...]) -> None:
-        # The addresses come first: the duties may have something to tell at once.
+        # Addresses are updated first, since the spread may send messages at once.
         self._observe_vms(records)
         self.spread.update_entries(
             {
@@ -94,17 +94,17 @@
         )
 
     def connect_agent(self, vm: str, service: str) -> None:
-        """Tell an agent its rows."""
+        """Send an agent its rows after it connected."""
         self._services[vm] = service
         self._sent_rows.pop(vm, None)
         self._send_rows(vm)
 
     def disconnect_agent(self, vm: str) -> None:
-        """Forget what an agent was told."""
+        """Stop sending rows to an agent that disconnected."""
         self._services.pop(vm, None)
 
     def receive_heartbeat(self, peer: PeerConnection, heartbeat: Heartbeat) -> None:
-        """Notice that another entry has a newer table."""
+        """Compare the table position of another entry with the own one."""
         if peer.peer is not None:
             self.spread.compare(peer.peer.vm, heartbeat.table_mark)
 
@@ -129,8 +129,8 @@
             vm=vm,
             service=self._services[vm],
         )
-        # The page's revision rises with every edit of another row of it; the agent
-        # needs only what differs.
+        # The page's revision also rises with edits of other rows on the page. Rows are
+        # sent only when their cells differ.
         if self._sent_rows.get(vm) is None or _differ(self._sent_rows[vm], rows.rows):
             self._sent_rows[vm] = rows.rows
             connection.notify(OWN_ROWS_TOPIC, encode_own_rows(rows))
