--- a/tests/lib/peers.py
+++ b/tests/lib/peers.py
@@ -1,4 +1,4 @@
-"""Connect two ends of an internal connection in memory."""
+"""Connect both ends of an internal connection in memory."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -29,12 +29,12 @@
 def make_hello(
     vm: str, *, version: int = PROTOCOL_VERSION, token: str = TOKEN
 ) -> Hello:
-    """Return a greeting."""
+    """Return the hello message of a test peer."""
     return Hello(version, "test", vm, "arima", 1, token)
 
 
 def make_opening(**changes: Any) -> Open:
-    """Return an opening with small values."""
+    """Return an opening with minimal values, changed as given."""
     opening = Open(
         request_id="r",
         attempt=b"a" * 16,
@@ -49,7 +49,7 @@
 
 
 class RecordingHandler(PeerHandler):
-    """Serve streams by a function and remember the rest."""
+    """Serve streams with a function and record heartbeats and notices."""
 
     def __init__(self, serve: ServeStream | None = None) -> None:
         self.serve = serve
@@ -78,7 +78,7 @@
 
 @dataclass
 class Pair:
-    """Hold both ends of a connection and what lies between them."""
+    """Hold both ends of a connection, with their handlers and streams."""
 
     opener: PeerConnection
     accepter: PeerConnection
@@ -90,7 +90,7 @@
 
 @asynccontextmanager
 async def connect_pair(serve: ServeStream | None = None) -> AsyncIterator[Pair]:
-    """Run both ends until the block is left."""
+    """Run both ends of a connection within the `async with` block."""
     near, far = trio.testing.memory_stream_pair()
     handlers = RecordingHandler(), RecordingHandler(serve)
     opener = PeerConnection(
--- a/tests/unit/test_keyed_runs.py
+++ b/tests/unit/test_keyed_runs.py
@@ -1,4 +1,4 @@
-"""Test how an agent runs requests with keys and keeps their answers."""
+"""Test how an agent runs requests with idempotency keys and keeps their answers."""
 
 import hashlib
 from contextlib import asynccontextmanager
@@ -28,7 +28,7 @@
 
 
 class FakeResponse:
-    """Give two parts of an answer, the second when the test allows it."""
+    """Yield an answer in two parts, the second one when the test allows it."""
 
     status = 200
     headers = ()
@@ -43,7 +43,7 @@
 
 
 class FakeTarget:
-    """Count calls."""
+    """Record the bodies of calls."""
 
     def __init__(self):
         self.calls = []
@@ -68,7 +68,7 @@
 
 @asynccontextmanager
 async def run_agent():
-    """Run the keyed part of an agent; give its target and a way to connect to it."""
+    """Run the keyed part of an agent; yield its target and a function to connect."""
     target = FakeTarget()
     runs = KeyedRuns(
         register=AttemptRegister(1), target=target, decision_log=DecisionLog()
@@ -91,7 +91,7 @@
 
 
 async def receive_all(stream):
-    """Return the messages of an answer, its chunks joined."""
+    """Return the messages of an answer, with adjacent chunks joined."""
     messages = []
     while True:
         message = await stream.receive()
@@ -111,9 +111,10 @@
     ("resume_from", "data"), [(0, b"first, second"), (7, b"second")]
 )
 def test_repeat_gets_the_answer_after_the_entry_died(resume_from, data):
-    """The entry's connection breaks while the answer streams.
+    """Guard against a run that ends with its connection.
 
-    The run must go on, and the repeat gets its answer from where the caller stands.
+    The entry's connection is lost while the answer streams. The run continues, and the
+    repeated request gets the answer from the byte that the caller has reached.
     """
 
     async def run():
@@ -136,10 +137,10 @@
 
 
 def test_late_copy_of_a_buried_attempt_is_refused():
-    """A repeat asks for an attempt whose frame is still on its way.
+    """Guard against a bid that is made twice.
 
-    The repeat is told that it did not start, and its entry starts another; if the late
-    frame ran after that, the bid would be made twice.
+    A repeat joins an attempt whose opening has not arrived yet. It is refused, and its
+    entry starts another attempt. The late opening must not start after that.
     """
 
     async def run():
@@ -161,7 +162,7 @@
 
 
 def test_entry_that_dies_within_the_body_leaves_nothing_running():
-    """The entry dies after it sent half of a bid; the target must not see half."""
+    """Guard against a partial bid at the target when the entry dies within the body."""
 
     async def run():
         key = make_key()
@@ -199,7 +200,7 @@
 
 
 def test_answer_that_is_no_longer_kept_is_told():
-    """A very long answer does not fit into the agent's memory once its caller left."""
+    """A repeat gets an error when its answer was too large to keep without a reader."""
 
     async def run():
         key = make_key()
--- a/tests/unit/test_peer_pool.py
+++ b/tests/unit/test_peer_pool.py
@@ -1,4 +1,4 @@
-"""Test how an entry leaves the agents that are no longer in its subset."""
+"""Test how an entry disconnects from agents that are no longer in its subset."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 
 
 class RecordingObserver(PeerObserver):
-    """Remember which peers can be reached."""
+    """Record which peers are connected."""
 
     def __init__(self):
         self.connected = []
@@ -81,9 +81,9 @@
 
 @pytest.mark.parametrize("returns", [False, True])
 def test_answer_outlives_the_subset(returns):
-    """A target drops out of an entry's subset while it answers a caller.
+    """Guard against a connection that closes while it relays an answer.
 
-    Were its connection closed at once, the caller would get half of an answer, though
-    nothing failed. The connection takes no new work and goes when its streams end.
+    A target leaves the entry's subset while it answers a caller. The connection accepts
+    no new streams and closes when its streams end, so the answer is not cut off.
     """
     trio.run(check_retirement, returns)
