--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -49,7 +49,7 @@
 
 
 class Site:
-    """Hold three entries before one engine and one plain service."""
+    """Run three entries in front of one engine and one plain service."""
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -112,9 +112,10 @@
 
 
 def test_repeat_through_another_entry_gets_the_same_answer(site):
-    """A caller's connection breaks and it sends its bid again elsewhere.
+    """Guard against a bid that runs twice when it is sent through two entries.
 
-    Without the claim it would bid twice, and see two confirmations.
+    The caller's connection breaks, and it sends its bid again through another entry.
+    Without the claim it would bid twice and get two confirmations.
     """
     key = make_key()
     first = site.bid(key, entry=0)
@@ -137,7 +138,8 @@
             "not-run",
             "key-malformed",
         ),
-        # Made when the test runs: on a busy machine that is minutes after this line.
+        # Created when the test runs, which on a busy machine may be minutes after
+        # collection.
         (lambda: make_key(age_s=700), 409, "unknown", "key-expired"),
         (lambda: make_key(age_s=-600), 400, "unknown", "key-from-future"),
     ],
@@ -155,9 +157,10 @@
 
 @pytest.mark.parametrize("age_s", [60, -60])
 def test_clock_off_by_a_minute_is_served(site, age_s):
-    """The caller's clock is a minute fast or slow, as phones' clocks are.
+    """Guard against rejected keys of callers whose clock is off by a minute.
 
-    It must notice nothing, and a repeat must still find the first run.
+    Phones' clocks may be a minute fast or slow. The request must be served, and a
+    repeat must find the first run.
     """
     key = make_key(age_s=age_s)
     answers = [site.bid(key, entry=entry) for entry in (0, 1)]
@@ -176,9 +179,10 @@
 
 
 def test_three_entries_with_one_key_at_once_run_it_once(site):
-    """A nervous client sends one bid over three connections at the same moment.
+    """Guard against a bid that runs more than once when entries race for its claim.
 
-    Each goes through another entry. All three callers get the one confirmation.
+    A client sends one bid over three connections at the same time, each through another
+    entry. All three callers get the same confirmation.
     """
     key = make_key()
     answers = [None] * 3
@@ -197,7 +201,7 @@
 
 
 def test_lost_answer_of_the_claim_is_read_back(site):
-    """The service writes the claim but its answer is lost on the way."""
+    """Guard against a lost answer to a write of the claim that was carried out."""
     site.set_faults(lose_next_write_answers=1)
     key = make_key()
     assert site.bid(key).status == 201
@@ -206,11 +210,12 @@
 
 
 def test_outage_refuses_keyed_requests_at_once_and_runs_nothing(site):
-    """The key-value service is down; a bid can't be claimed.
+    """Guard against keyed requests that wait or run during an outage.
 
-    The caller learns at once that this attempt did not start and when to send the same
-    key again; calls without a key go on. A repeat of a bid that ran before the outage
-    must not be told that it did not run.
+    The key-value service is down, so a bid can't be claimed. The caller is refused at
+    once and told when to retry with the same key; calls without a key are served. The
+    refusal says "unknown", since a repeat of a bid that ran before the outage must not
+    be reported as not run.
     """
     key = make_key()
     ran = make_key(age_s=5)
@@ -247,10 +252,10 @@
 
 
 def test_entry_killed_with_a_stream_running(tmp_path):
-    """The entry VM dies while a draft streams to a clerk's terminal.
+    """Guard against a second run after an entry died in the middle of a stream.
 
-    The clerk's client comes back with the same key through another entry and must get
-    the whole history, of the one run.
+    The entry's VM dies while a draft streams to a clerk. The client retries with the
+    same key through another entry and must get the complete answer of the one run.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -281,9 +286,10 @@
 
 
 def test_agent_restarted_after_the_run(tmp_path):
-    """The VM of a target is replaced after it ran a bid; its memory is gone.
+    """Guard against a second run after the agent lost its kept answers.
 
-    The repeat must not bid again. The caller is told that nobody knows.
+    The VM of a target is replaced after it ran a bid. The repeat must not bid again,
+    and its outcome is "unknown".
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -299,12 +305,12 @@
         assert site.count_runs(key) == 1
 
 
-def test_frozen_agent_wakes_and_runs_nothing_twice(tmp_path):
-    """A target's VM is paused and later goes on where it stood.
+def test_agent_resumed_after_a_pause_runs_nothing_twice(tmp_path):
+    """Guard against a second run when a paused VM resumes.
 
-    The bid was sent to it before; its connections are closed by then. Whatever the
-    caller was told meanwhile, the bid runs at most once, and after the VM woke the
-    same key gets its one confirmation.
+    A bid is sent to the VM of a target while it is paused, and its connections are
+    closed before it resumes. The bid runs at most once, and after the VM has resumed,
+    the same key gets the one confirmation.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -319,7 +325,7 @@
 
 
 def start_draft(site, *, http2):
-    """Start a long draft without a key; return a function that reads its rest."""
+    """Start a long draft without a key; return a function that reads the remainder."""
     body = json.dumps({"prompt": "Ali", "max_tokens": 400, "stream": True}).encode()
     arguments = ("POST", site.entries[0], "/draft/v1/completions")
     headers = make_headers(None)
@@ -338,7 +344,7 @@
     assert next(parts)
 
     def read_rest():
-        # The pool and the stream stay open as long as this function.
+        # The references keep the pool and the stream open.
         assert pool.connections and stream is not None
         for _ in parts:
             pass
@@ -353,11 +359,11 @@
 
 @pytest.mark.parametrize("http2", [False, True])
 def test_agent_killed_mid_answer_cuts_the_answer(tmp_path, http2):
-    """The target's VM dies while a draft streams, and the answer can't be completed.
+    """Guard against a truncated answer that looks complete.
 
-    A short answer that looks whole would reach a family as the final history; the
-    caller's client must see at once that it broke off, and not wait for an idle
-    connection to be closed.
+    The target's VM dies while a draft streams. A truncated draft would reach a family
+    as the final history, so the client must get an error at once, not only when the
+    idle connection is closed.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -365,5 +371,5 @@
         site.draft_agent.send_signal(signal.SIGKILL)
         with pytest.raises(httpcore.RemoteProtocolError) as cut:
             read_rest()
-        # The whole connection would end only when it has been idle for a minute.
+        # The error must not come from the connection's idle timeout of a minute.
         assert "disconnected" not in str(cut.value)
--- a/tests/functional/test_graceful_shutdown.py
+++ b/tests/functional/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Test that a graceful shutdown cuts off nothing, over separate processes."""
+"""Test that a graceful shutdown cuts off no request, with separate processes."""
 
 import json
 import signal
@@ -23,7 +23,7 @@
 
 
 class Site:
-    """Hold one entry before a model engine and two agents of a plain service."""
+    """Run one entry in front of a model engine and two agents of a plain service."""
 
     def __init__(self, cluster, *, rounds=1, **entry_settings):
         self.cluster = cluster
@@ -44,7 +44,7 @@
 
 
 class Load:
-    """Send streams, plain calls and uploads until told to stop."""
+    """Send streams, plain calls and uploads until stopped."""
 
     def __init__(self, callers, *, http2):
         self.callers = callers
@@ -66,9 +66,9 @@
         return httpcore.AsyncConnectionPool(http1=not self.http2, http2=self.http2)
 
     async def _repeat_uploads(self):
-        # The client's HTTP/2 waits for the server's next frame even when another of its
-        # tasks has just read the one that opened its window. On a shared connection
-        # that falls silent at the shutdown, an upload would wait for ever.
+        # The HTTP/2 client waits for the server's next frame even if another of its
+        # tasks has just read the frame that opened its window. On a shared connection
+        # that becomes silent at the shutdown, an upload would wait for ever.
         async with self._open_pool() as pool:
             await self._repeat(pool, send_upload)
 
@@ -77,15 +77,15 @@
             try:
                 error = await send(pool, self.callers)
             except httpcore.ConnectError:
-                # The listener is closed: the platform's balancer sends this caller to
-                # another VM. Nothing was lost.
+                # The listener is closed, and the platform's balancer would send this
+                # caller to another VM. No request was lost.
                 if not self.may_not_connect:
                     self.broken.append("refused before the delay had passed")
                 return
             except Exception as failure:
                 error = f"{send.__name__}: {failure!r}"
             if error == MOVE_ON and self.may_not_connect:
-                # What a caller is told on a busy HTTP/2 connection; it did not run.
+                # The refusal on a busy HTTP/2 connection; the request did not run.
                 return
             if error:
                 self.broken.append(error)
@@ -122,10 +122,10 @@
 
 
 def is_unserved(error, stream_ids):
-    """Tell whether GOAWAY names an earlier stream as the last that was served.
+    """Return whether GOAWAY names an earlier stream as the last one served.
 
-    Such a request never ran and may be sent again by the protocol's own rule. The
-    client does so by itself, unless it waits for its peer's window in an upload.
+    Such a request did not run, and HTTP/2 allows it to be retried. The client does this
+    itself, except while an upload waits for the peer's window.
     """
     ended = error.args[0]
     last = getattr(ended, "last_stream_id", None)
@@ -183,11 +183,11 @@
 
 @pytest.mark.parametrize("http2", [False, True], ids=["http1", "http2"])
 def test_entry_under_load_cuts_off_nothing(tmp_path, http2):
-    """The VM of an entry is replaced while clerks' drafts stream through it.
+    """Guard against drafts that are cut off when the VM of an entry is replaced.
 
-    Without care the server cuts what still runs after its own three seconds, closes
-    connections on which the next request is already on its way, and resets requests
-    that come on a busy HTTP/2 connection. A clerk sees a draft end in the middle.
+    By default the server cuts off running requests after three seconds, closes
+    connections on which the next request is in flight, and resets requests that arrive
+    on a busy HTTP/2 connection.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster, shutdown_delay_s=0.5)
@@ -202,10 +202,10 @@
 
 
 def test_agents_replaced_under_load_cut_off_nothing(tmp_path):
-    """The VMs of a target's agents are replaced one by one.
+    """Guard against calls that are lost when the VMs of agents are replaced one by one.
 
-    Without the drain every call that an agent still runs is lost with it, and its
-    caller gets an error for work that was done.
+    Without the drain, every call that the agent is running would be lost, and its
+    caller would get an error for a request that ran.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -239,10 +239,11 @@
 
 
 def test_answer_later_than_servers_own_timeout_is_whole(tmp_path):
-    """A call still needs several seconds when the VM is told to stop.
+    """Guard against a long call that is cut off during a shutdown.
 
-    The server's default cuts it after three seconds; the caller would get nothing. A
-    second signal, as impatient supervisors send, must not cut it either.
+    The call takes several seconds after the signal, and the server's default cuts it
+    off after three seconds. A second signal, as some supervisors send, must not cut it
+    off either.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -263,9 +264,9 @@
 
 
 def test_readiness_goes_before_the_listener(tmp_path):
-    """The platform's balancer needs some seconds to notice that a VM leaves.
+    """Guard against a listener that closes while callers are still sent to it.
 
-    A listener that closes at once refuses the callers it still sends.
+    The platform's balancer needs some seconds to notice that a VM is leaving.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster, shutdown_delay_s=2)
@@ -280,7 +281,7 @@
         assert site.entry.read_to_end() == 0
 
 
-def test_requests_over_the_time_limit_are_cut_and_told(tmp_path):
+def test_requests_over_the_time_limit_are_cut_and_reported(tmp_path):
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster, longest_request_s=0.5)
         stream = open_request(
@@ -294,9 +295,10 @@
 
 
 def test_agent_with_a_running_stream_ends_it_whole(tmp_path):
-    """The agent's VM is replaced while its engine writes a draft.
+    """Guard against an answer that is cut off when the agent stops.
 
-    Closing the connection to the entry with the last frames still queued cuts the end.
+    The agent's VM is replaced while its engine streams a draft. If the connection to
+    the entry closed with the last frames still queued, the end would be lost.
     """
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster)
@@ -324,7 +326,7 @@
 
 
 def is_http2_goaway(data):
-    """Tell whether whole HTTP/2 frames hold a GOAWAY."""
+    """Return whether a sequence of complete HTTP/2 frames contains a GOAWAY."""
     position = 0
     while position + 9 <= len(data):
         if data[position + 3] == 7:
@@ -356,7 +358,7 @@
 
 
 class KeptCaller:
-    """Hold one connection of HTTP/1.1 that has been idle, and send one call on it."""
+    """Hold an idle HTTP/1.1 connection and send one call on it."""
 
     def __init__(self, callers, idle_s):
         self.callers = callers
@@ -393,7 +395,7 @@
 
 
 async def call_kept_while_stopping(callers, process, seed):
-    """Return what became of calls on kept connections, by the moment of sending."""
+    """Return idle time and outcome of each call on a kept connection."""
     random = Random(seed)
     kept = [KeptCaller(callers, IDLE_S[n % len(IDLE_S)]) for n in range(KEPT)]
     for idle_s in sorted(IDLE_S, reverse=True):
@@ -413,11 +415,12 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_calls_on_kept_connections_are_answered_while_an_entry_stops(tmp_path, seed):
-    """Guards against idle connections that end as their callers send."""
+    """Guard against idle connections that close just when their callers send."""
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster, shutdown_delay_s=0.5)
         outcomes = trio.run(call_kept_while_stopping, site.callers, site.entry, seed)
         assert site.entry.read_to_end() == 0
         print("\n".join(site.entry.lines[-60:]))
-        # A machine that stalls for a second may send after the end, which is told.
+        # On a machine that stalls for a second, a call may be sent after the end; it is
+        # then answered by 408.
         assert [one for one in outcomes if one[1] not in ANSWERED] == []
--- a/tests/functional/test_in_force.py
+++ b/tests/functional/test_in_force.py
@@ -1,4 +1,4 @@
-"""Test the table's way to every process, and reading back what is in force there."""
+"""Test that table edits reach every process, and that their state can be queried."""
 
 import json
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    """Run three entries of one zone before a plain service."""
+    """Run three entries of one availability zone in front of a plain service."""
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
         plain, _ = cluster.start_standin("plain_service")
@@ -87,9 +87,9 @@
 
 
 def test_vm_without_answer_is_marked(cluster):
-    """A VM is gone and the platform's list still shows it.
+    """Guard against a status that omits VMs without an answer.
 
-    The status must name it rather than show only those that answered.
+    A VM is dead and the platform's list still contains it.
     """
     wait_until(lambda: "in force on 4 of 4 VMs" in ask(cluster, "status"))
     cluster.processes["entry-2"].kill()
@@ -101,7 +101,10 @@
 
 
 def test_agent_refuses_by_its_own_row_and_comes_back(cluster):
-    """An operator takes a target out; entries with an old table still send it work."""
+    """Guard against requests that run at a target that was taken out of service.
+
+    Entries with an old table still send requests to it.
+    """
     run_hyssopvane("table", "add", "target/check-1", platform=cluster.platform)
     set_cell(cluster, "target/check-1", "in_service", "no")
     wait_until(lambda: not read_in_force(cluster, "check-1")["takes_work"])
@@ -113,10 +116,11 @@
 
 
 def test_outage_keeps_the_table_and_a_new_entry_takes_it_from_its_peers(cluster):
-    """The key-value service goes down right after an edit, and a VM is replaced.
+    """Guard against a table that is lost or incomplete during an outage.
 
-    The edit still reaches every entry, also the one that is started in the outage, and
-    callers of all are served; when the service is back, edits go on.
+    The key-value service goes down right after an edit, and a VM is replaced. The edit
+    reaches every entry, including the one started in the outage, and all callers are
+    served. After the outage, edits work again.
     """
     set_cell(cluster, "customer/clerks", "weight", "300")
     set_faults(cluster, down=True)
@@ -135,9 +139,9 @@
 
 
 def test_edit_reaches_an_entry_whose_watchers_are_killed(cluster):
-    """Both watchers of the zone die at once, and the platform's list still shows them.
+    """Guard against an entry that keeps an old table when its watchers die.
 
-    The entry that is left must not go on with the old table.
+    Both watchers of the zone die at once, and the platform's list still contains them.
     """
 
     def find_watchers():
@@ -153,12 +157,14 @@
 
 
 def test_stale_read_brings_no_old_value_back(cluster):
-    """A replica of the service lags, and all entries are replaced meanwhile.
+    """Guard against an old limit that returns after an operator has replaced it.
 
-    Read alone, it would bring a limit back that an operator has replaced.
+    A replica of the key-value service lags while all entries are replaced. A table read
+    only from that replica would be outdated.
     """
     set_faults(cluster, stale_reads=True)
-    # The command's own reads are stale too; the swap shows it the page as it is.
+    # The reads of this command are stale too; its failed compare-and-swap shows it the
+    # current page.
     set_cell(cluster, "customer/clerks", "weight", "500")
     for vm in ENTRIES:
         wait_until(lambda vm=vm: has_weight(cluster, vm, "500"))
@@ -172,7 +178,7 @@
 
 
 def count_reached(cluster, vm):
-    """Return how many processes an entry asks about a request, and how many answer."""
+    """Return how many processes an entry queries for decisions, and how many answer."""
     answer = request(
         "GET", cluster.operators[vm], "/explain-all?id=none", headers=OPERATOR
     )
@@ -181,10 +187,11 @@
 
 
 def test_explain_gathers_entry_and_agent(cluster):
-    """An operator asks one entry about a request that another one has answered.
+    """Guard against an explanation that lacks the decisions of other processes.
 
-    An entry knows the others by the platform's list, which lags by a moment after a
-    start: asked before that, it can't know of the request.
+    An operator queries one entry about a request that another entry answered. Entries
+    know each other from the platform's list, which lags after a start, so the test
+    waits until all processes are queried.
     """
     everybody = len(ENTRIES) + 1
     wait_until(lambda: count_reached(cluster, "entry-1") == (everybody, everybody))
@@ -196,7 +203,7 @@
 
 
 def test_explain_says_that_the_entry_of_a_request_is_missing(cluster):
-    """Guards against half of a request's story that is shown as the whole of it."""
+    """Guard against partial decisions on a request that are shown as complete."""
     everybody = len(ENTRIES) + 1
     wait_until(lambda: count_reached(cluster, "entry-1") == (everybody, everybody))
     cluster.unlist_vm("entry-2")
--- a/tests/functional/test_leaving.py
+++ b/tests/functional/test_leaving.py
@@ -1,4 +1,4 @@
-"""Test that a leaving target gets no new work, however its leaving is told."""
+"""Test that a leaving target gets no new requests, however its leaving is reported."""
 
 import json
 import signal
@@ -23,14 +23,14 @@
 SILENCE_S = 60.0
 """Silence after which a connection is closed.
 
-A test that freezes an entry is about what it still believes. On a slow machine the
-freeze may last longer than the usual three seconds, and its connections are gone too.
+A test that stops an entry checks its outdated state. On a slow machine the stop may
+last longer than the default of three seconds, which would close its connections too.
 """
 
 
 @pytest.fixture
 def cluster(tmp_path):
-    """Run two entries before two plain targets."""
+    """Run two entries in front of two targets of a plain service."""
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
         for number in (1, 2):
@@ -94,7 +94,7 @@
 
 
 def drive_until(cluster, check):
-    """Call through all entries until a check holds; return when t-1 last ran."""
+    """Call all entries until a check holds; return time of last run and runs at t-1."""
     last_run_at, runs = time.monotonic(), count_runs(cluster)
     while not check():
         for callers in cluster.callers:
@@ -113,10 +113,10 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_target_that_leaves_gets_no_new_work(cluster, way):
-    """A target leaves and the entries learn it late.
+def test_leaving_target_gets_no_new_requests(cluster, way):
+    """Guard against requests to a leaving target while entries don't know it yet.
 
-    Work that is sent there all the same would end with the VM, or be held up there.
+    Requests sent there would be lost with the VM, or delayed.
     """
     drive_until(cluster, lambda: count_runs(cluster) > 3)
     began = time.monotonic()
@@ -129,8 +129,8 @@
     print(f"{way}: last placement {last_run_at - began:.2f} s after the order")
 
 
-def test_agent_that_is_told_to_stop_gets_no_new_work(cluster):
-    """The platform ends the agent's process while the key-value service is down."""
+def test_agent_signaled_to_stop_gets_no_new_requests(cluster):
+    """Guard against requests to a stopping agent during an outage of the store."""
     drive_until(cluster, lambda: count_runs(cluster) > 3)
     set_down(cluster)
     began = time.monotonic()
@@ -146,10 +146,11 @@
 
 
 def test_entry_with_an_old_table_and_list_costs_one_hop(cluster):
-    """One entry is frozen while a target leaves, then wakes; the service is down.
+    """Guard against requests that run at a leaving target, or fail, due to old state.
 
-    It has the old table and the old list and sends its callers' work to the target,
-    which refuses; the callers are answered by the other target.
+    One entry is stopped while a target leaves, and resumes while the key-value service
+    is down. With its old table and list it sends requests to the target, which refuses
+    them; the other target answers the callers.
     """
     cluster.entries[1].send_signal(signal.SIGSTOP)
     leave_by_cell("in_service", "no")(cluster)
--- a/tests/functional/test_poison.py
+++ b/tests/functional/test_poison.py
@@ -1,4 +1,4 @@
-"""Test a body that crashes its targets, across separate processes."""
+"""Test requests whose body crashes targets, with separate processes."""
 
 import json
 
@@ -17,10 +17,11 @@
 
 
 def test_body_that_crashes_targets_is_refused_by_every_entry(tmp_path):
-    """A caller sends a body that crashes each engine, by one entry and the other.
+    """Guard against a body that crashes all engines through different entries.
 
-    Each entry sees one crash. If they did not share what they know, the caller would
-    take down one engine after another, and every other caller would go without.
+    A caller sends a body that crashes engines through two entries, and each entry
+    observes one crash. If the entries did not share the crashes, the caller would crash
+    one engine after another, and other callers would not be served.
     """
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
@@ -34,12 +35,12 @@
             wait_for_targets(cluster, f"entry-{number}", TARGETS)
 
         assert send(entries[0], WORD).status == 502
-        # The second crash is told as one, or as the quarantine when word came first.
+        # Refused as quarantined if this entry already knows of the first crash.
         assert send(entries[1], WORD).status in (502, 422)
         for entry in entries:
             wait_until(lambda entry=entry: send(entry, WORD).status == 422)
             answer = send(entry, WORD)
             assert answer.headers["hyssopvane-reason"] == "quarantined"
             assert send(entry, "Maharaj").status == 200
-        # One before anybody knows, and one more for each entry while word travels.
+        # One crash before any entry knows, and one per entry until it is informed.
         assert 2 <= sum(engine.has_ended for engine in engines) <= 3
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Test the whole path as separate processes."""
+"""Test the path from entry to target with separate processes."""
 
 import json
 import signal
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def path(tmp_path_factory):
-    """Run one entry before a model engine and a plain service."""
+    """Run one entry in front of a model engine and a plain service."""
     with open_cluster(tmp_path_factory.mktemp("path")) as cluster:
         commit_table(cluster.platform)
         engine, _ = cluster.start_standin("engine_server")
@@ -77,8 +77,8 @@
 
 
 @pytest.mark.parametrize("keyed", [False, True], ids=["plain", "keyed"])
-def test_target_that_asks_for_rest_gets_no_more_requests(tmp_path, keyed):
-    """Guards against an agent or an entry that passes Retry-After on and ignores it."""
+def test_target_that_asks_for_a_pause_gets_no_more_requests(tmp_path, keyed):
+    """Guard against an agent or entry that relays Retry-After but doesn't obey it."""
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
         target, _ = cluster.start_standin("plain_service")
@@ -128,16 +128,17 @@
 
 
 def test_entry_with_a_kept_connection_stops_at_once(tmp_path):
-    """A caller keeps its connection open after an answer, as browsers do.
+    """Guard against a shutdown that waits for an idle keep-alive connection.
 
-    The entry took that connection for a request in progress, so its VM was not replaced
-    before the longest request's time had passed.
+    A caller keeps its connection open after an answer, as browsers do. If the entry
+    counted that connection as a request in progress, the VM could only be replaced
+    after the time limit of the longest request.
     """
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
         plain, _ = cluster.start_standin("plain_service")
         cluster.start_agent("check-1", service="check", target=plain)
-        # The test would hang for an hour without the protection.
+        # With the fault the test would hang for an hour.
         entry, callers = cluster.start_entry("entry-1", longest_request_s=3_600)
         wait_for_targets(cluster, "entry-1", 1)
         with httpcore.ConnectionPool() as pool:
