--- a/tests/functional/test_graceful_shutdown.py
+++ b/tests/functional/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
 STREAM = {"prompt": "Ali", "max_tokens": TOKENS, "stream": True}
 UPLOAD = b"x" * 300_000
 ROUNDS = 3
-WARM = 20
+WARM_UP_REQUESTS = 20
 MOVE_ON = "move on"
 
 
@@ -52,7 +52,7 @@
         self.broken = []
         self.whole = 0
         self.stopped = False
-        self.may_not_connect = False
+        self.may_be_refused = False
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         async with self._open_pool() as pool, trio.open_nursery() as nursery:
@@ -79,12 +79,12 @@
             except httpcore.ConnectError:
                 # The listener is closed, and the platform's balancer would send this
                 # caller to another VM. No request was lost.
-                if not self.may_not_connect:
+                if not self.may_be_refused:
                     self.broken.append("refused before the delay had passed")
                 return
             except Exception as failure:
                 error = f"{send.__name__}: {failure!r}"
-            if error == MOVE_ON and self.may_not_connect:
+            if error == MOVE_ON and self.may_be_refused:
                 # The refusal on a busy HTTP/2 connection; the request did not run.
                 return
             if error:
@@ -171,10 +171,10 @@
 async def end_under_load(load, process):
     async with trio.open_nursery() as nursery:
         await nursery.start(load.run)
-        while load.whole < WARM:
+        while load.whole < WARM_UP_REQUESTS:
             assert not load.broken, load.broken
             await trio.sleep(0.02)
-        load.may_not_connect = True
+        load.may_be_refused = True
         process.send_signal(signal.SIGTERM)
         code = await trio.to_thread.run_sync(process.read_to_end)
         load.stopped = True
@@ -216,7 +216,7 @@
                 await nursery.start(load.run)
                 for number in range(ROUNDS):
                     whole = load.whole
-                    while load.whole < whole + WARM and not load.broken:
+                    while load.whole < whole + WARM_UP_REQUESTS and not load.broken:
                         await trio.sleep(0.02)
                     fresh = await trio.to_thread.run_sync(
                         site.start_check, f"check-again-{number}"
@@ -263,7 +263,7 @@
         assert "drained=True" in site.entry.lines[-1]
 
 
-def test_readiness_goes_before_the_listener(tmp_path):
+def test_readiness_changes_before_the_listener_closes(tmp_path):
     """Guard against a listener that closes while callers are still sent to it.
 
     The platform's balancer needs some seconds to notice that a VM is leaving.
@@ -351,13 +351,13 @@
         assert entry.read_to_end() == 0
 
 
-KEPT = 60
+KEEP_ALIVE_CALLERS = 60
 IDLE_S = (0.1, 0.7, 1.5)
 SEND_S = 0.3
 ANSWERED = ("HTTP/1.1 200", "HTTP/1.1 408")
 
 
-class KeptCaller:
+class KeepAliveCaller:
     """Hold an idle HTTP/1.1 connection and send one call on it."""
 
     def __init__(self, callers, idle_s):
@@ -394,31 +394,38 @@
         return received
 
 
-async def call_kept_while_stopping(callers, process, seed):
+async def call_keep_alive_while_stopping(callers, process, seed):
     """Return idle time and outcome of each call on a kept connection."""
     random = Random(seed)
-    kept = [KeptCaller(callers, IDLE_S[n % len(IDLE_S)]) for n in range(KEPT)]
+    keep_alive_callers = [
+        KeepAliveCaller(callers, IDLE_S[n % len(IDLE_S)])
+        for n in range(KEEP_ALIVE_CALLERS)
+    ]
     for idle_s in sorted(IDLE_S, reverse=True):
-        for caller in kept:
+        for caller in keep_alive_callers:
             if caller.idle_s == idle_s:
                 await caller.open()
         await trio.sleep(idle_s - max((i for i in IDLE_S if i < idle_s), default=0))
     process.send_signal(signal.SIGTERM)
     await trio.to_thread.run_sync(process.wait_for, "event=listener-closed")
     async with trio.open_nursery() as nursery:
-        for caller in kept:
+        for caller in keep_alive_callers:
             nursery.start_soon(caller.send_in, random.uniform(0, SEND_S))
-    for caller in kept:
+    for caller in keep_alive_callers:
         await caller.stream.aclose()
-    return [(caller.idle_s, caller.outcome) for caller in kept]
+    return [(caller.idle_s, caller.outcome) for caller in keep_alive_callers]
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_calls_on_kept_connections_are_answered_while_an_entry_stops(tmp_path, seed):
+def test_calls_on_keep_alive_connections_are_answered_while_an_entry_stops(
+    tmp_path, seed
+):
     """Guard against idle connections that close just when their callers send."""
     with open_cluster(tmp_path) as cluster:
         site = Site(cluster, shutdown_delay_s=0.5)
-        outcomes = trio.run(call_kept_while_stopping, site.callers, site.entry, seed)
+        outcomes = trio.run(
+            call_keep_alive_while_stopping, site.callers, site.entry, seed
+        )
         assert site.entry.read_to_end() == 0
         print("\n".join(site.entry.lines[-60:]))
         # On a machine that stalls for a second, a call may be sent after the end; it is
--- a/tests/functional/test_in_force.py
+++ b/tests/functional/test_in_force.py
@@ -100,7 +100,7 @@
     assert lines[-1].endswith("in force on 3 of 4 VMs")
 
 
-def test_agent_refuses_by_its_own_row_and_comes_back(cluster):
+def test_agent_refuses_by_its_own_row_until_it_is_in_service_again(cluster):
     """Guard against requests that run at a target that was taken out of service.
 
     Entries with an old table still send requests to it.
@@ -193,8 +193,10 @@
     know each other from the platform's list, which lags after a start, so the test
     waits until all processes are queried.
     """
-    everybody = len(ENTRIES) + 1
-    wait_until(lambda: count_reached(cluster, "entry-1") == (everybody, everybody))
+    all_processes = len(ENTRIES) + 1
+    wait_until(
+        lambda: count_reached(cluster, "entry-1") == (all_processes, all_processes)
+    )
     answer = call(cluster, "entry-2")
     request_id = answer.headers["hyssopvane-request-id"]
     output = ask(cluster, "explain", request_id, entry="entry-1")
@@ -204,8 +206,10 @@
 
 def test_explain_says_that_the_entry_of_a_request_is_missing(cluster):
     """Guard against partial decisions on a request that are shown as complete."""
-    everybody = len(ENTRIES) + 1
-    wait_until(lambda: count_reached(cluster, "entry-1") == (everybody, everybody))
+    all_processes = len(ENTRIES) + 1
+    wait_until(
+        lambda: count_reached(cluster, "entry-1") == (all_processes, all_processes)
+    )
     cluster.unlist_vm("entry-2")
     unknown = len(ENTRIES)
     wait_until(lambda: count_reached(cluster, "entry-1") == (unknown, unknown))
--- a/tests/functional/test_leaving.py
+++ b/tests/functional/test_leaving.py
@@ -93,7 +93,7 @@
     return read_in_force(cluster, "t-1")["takes_work"]
 
 
-def drive_until(cluster, check):
+def call_until(cluster, check):
     """Call all entries until a check holds; return time of last run and runs at t-1."""
     last_run_at, runs = time.monotonic(), count_runs(cluster)
     while not check():
@@ -118,10 +118,10 @@
 
     Requests sent there would be lost with the VM, or delayed.
     """
-    drive_until(cluster, lambda: count_runs(cluster) > 3)
+    call_until(cluster, lambda: count_runs(cluster) > 3)
     began = time.monotonic()
     WAYS[way](cluster)
-    last_run_at, runs = drive_until(cluster, lambda: not takes_work(cluster))
+    last_run_at, runs = call_until(cluster, lambda: not takes_work(cluster))
     for _ in range(CALLS_AFTER):
         for callers in cluster.callers:
             call(callers)
@@ -131,11 +131,11 @@
 
 def test_agent_signaled_to_stop_gets_no_new_requests(cluster):
     """Guard against requests to a stopping agent during an outage of the store."""
-    drive_until(cluster, lambda: count_runs(cluster) > 3)
+    call_until(cluster, lambda: count_runs(cluster) > 3)
     set_down(cluster)
     began = time.monotonic()
     leave_by_signal(cluster)
-    last_run_at, runs = drive_until(
+    last_run_at, runs = call_until(
         cluster, lambda: cluster.agent._popen.poll() is not None
     )
     for _ in range(CALLS_AFTER):
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -127,7 +127,7 @@
         assert "event=stopped" in entry.lines[-1]
 
 
-def test_entry_with_a_kept_connection_stops_at_once(tmp_path):
+def test_entry_with_a_keep_alive_connection_stops_at_once(tmp_path):
     """Guard against a shutdown that waits for an idle keep-alive connection.
 
     A caller keeps its connection open after an answer, as browsers do. If the entry
--- a/tests/unit/test_keyed_runs.py
+++ b/tests/unit/test_keyed_runs.py
@@ -38,7 +38,7 @@
 
     async def aiter_stream(self):
         yield b"first, "
-        await self.target.go_on.wait()
+        await self.target.may_continue.wait()
         yield self.target.rest
 
 
@@ -47,7 +47,7 @@
 
     def __init__(self):
         self.calls = []
-        self.go_on = trio.Event()
+        self.may_continue = trio.Event()
         self.rest = b"second"
 
     @asynccontextmanager
@@ -129,14 +129,14 @@
                     key, FIRST, join=True, resume_from=resume_from
                 )
                 stream = pair.opener.open_stream(opening)
-                target.go_on.set()
+                target.may_continue.set()
                 assert await receive_all(stream) == [Head(200, ()), Chunk(data), End()]
             assert target.calls == [BODY]
 
     run_test(run)
 
 
-def test_late_copy_of_a_buried_attempt_is_refused():
+def test_late_copy_of_an_attempt_with_a_tombstone_is_refused():
     """Guard against a bid that is made twice.
 
     A repeat joins an attempt whose opening has not arrived yet. It is refused, and its
@@ -146,7 +146,7 @@
     async def run():
         key = make_key()
         async with run_agent() as (target, connect), connect() as pair:
-            target.go_on.set()
+            target.may_continue.set()
             join = pair.opener.open_stream(make_keyed_opening(key, FIRST, join=True))
             assert await join.receive() == Refused("tombstone")
             late = await open_run(pair, make_keyed_opening(key, FIRST))
@@ -199,7 +199,7 @@
     run_test(run)
 
 
-def test_answer_that_is_no_longer_kept_is_told():
+def test_answer_that_is_no_longer_kept_is_reported():
     """A repeat gets an error when its answer was too large to keep without a reader."""
 
     async def run():
@@ -211,7 +211,7 @@
             stream.close()
             pair.opener.close()
             await trio.testing.wait_all_tasks_blocked()
-            target.go_on.set()
+            target.may_continue.set()
             await trio.testing.wait_all_tasks_blocked()
             async with connect() as again:
                 opening = make_keyed_opening(key, FIRST, join=True)
--- a/tests/unit/test_peer_pool.py
+++ b/tests/unit/test_peer_pool.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("returns", [False, True])
-def test_answer_outlives_the_subset(returns):
+def test_connection_outside_the_subset_completes_its_answer(returns):
     """Guard against a connection that closes while it relays an answer.
 
     A target leaves the entry's subset while it answers a caller. The connection accepts
