--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -266,7 +266,7 @@
         return refusal
 
     def _count_running(self) -> int:
-        return len(self._running) + self._keyed.busy
+        return len(self._running) + self._keyed.active_count
 
     async def _serve_entries(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
--- a/src/hyssopvane/_internal/roles/claim_router.py
+++ b/src/hyssopvane/_internal/roles/claim_router.py
@@ -31,7 +31,7 @@
 # An entry that did not answer is not used for this time, so that a stalled entry delays
 # one claim and not all of them.
 _AVOID_SILENT_S = 10.0
-_SWEEPER = "sweep"
+_SWEEP_DUTY = "sweep"
 
 
 class ClaimRouter:
@@ -111,7 +111,7 @@
     async def _sweep(self) -> None:
         while True:
             await trio.sleep(SLICE_S)
-            if self._choose(_SWEEPER) != self._own_vm:
+            if self._choose(_SWEEP_DUTY) != self._own_vm:
                 continue
             try:
                 await self._writer.sweep()
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -62,13 +62,13 @@
         self._budget = AnswerBudget()
         self._runs: dict[bytes, _Run] = {}
         self._nursery: trio.Nursery | None = None
-        self._busy = 0
+        self._active_count = 0
         self._idle = trio.Event()
 
     @property
-    def busy(self) -> int:
+    def active_count(self) -> int:
         """Return the number of running requests and of streams being served."""
-        return self._busy
+        return self._active_count
 
     def start(self, nursery: trio.Nursery) -> None:
         """Set the nursery for runs, which outlives connections, and start expiry."""
@@ -77,7 +77,7 @@
 
     async def wait_idle(self) -> None:
         """Wait until no request is running and no stream is being served."""
-        while self._busy:
+        while self._active_count:
             self._idle = trio.Event()
             await self._idle.wait()
 
@@ -199,11 +199,11 @@
                 self._runs.pop(attempt, None)
 
     def _begin_work(self) -> None:
-        self._busy += 1
+        self._active_count += 1
 
     def _end_work(self) -> None:
-        self._busy -= 1
-        if not self._busy:
+        self._active_count -= 1
+        if not self._active_count:
             self._idle.set()
 
     def _record(self, opening: Open, decision: str, why: str) -> None:
--- a/src/hyssopvane/_internal/roles/map_switcher.py
+++ b/src/hyssopvane/_internal/roles/map_switcher.py
@@ -120,9 +120,9 @@
             progress.learn(self._store.known.record)
             if progress.record.fence != fence:
                 # The proposal ended and another coordinator opened a new one.
-                return self._find_end(progress.record, fence)
+                return self._get_outcome(progress.record, fence)
         await self._query_ranks(progress, self._ranks)
-        return self._find_end(progress.record, fence)
+        return self._get_outcome(progress.record, fence)
 
     def _apply_timeout(
         self, move: NextMove, phase: Phase, phase_started_at: float
@@ -200,7 +200,7 @@
             except (PeerLost, MapSwitchError) as error:
                 log_event("debug", "map-rank-silent", rank=rank, why=error)
 
-    def _find_end(self, record: GroupRecord, fence: int) -> Phase | None:
+    def _get_outcome(self, record: GroupRecord, fence: int) -> Phase | None:
         if any(one.fence == fence for one in record.switches):
             return Phase.DECIDED
         return Phase.ABORTED if fence else None
--- a/src/hyssopvane/_internal/roles/operators.py
+++ b/src/hyssopvane/_internal/roles/operators.py
@@ -19,7 +19,7 @@
 )
 from hyssopvane._internal.utils.metrics import Metrics
 
-ShowPage = Callable[[Mapping[str, str]], Awaitable[object]]
+PageHandler = Callable[[Mapping[str, str]], Awaitable[object]]
 """Function that takes the query of a page's URL and returns a JSON document."""
 
 
@@ -31,7 +31,7 @@
         self.decisions = DecisionLog()
         self.vm = settings.vm
         self.token = settings.token
-        self.pages: dict[str, ShowPage] = {}
+        self.pages: dict[str, PageHandler] = {}
         """Additional pages of the operators' listener, by path."""
 
     @abstractmethod
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -20,7 +20,7 @@
 from hyssopvane._internal.exceptions import HyssopvaneError
 from hyssopvane._internal.protocol.messages import Heartbeat
 from hyssopvane._internal.roles.entry_links import EntryLinks
-from hyssopvane._internal.roles.operators import ShowPage
+from hyssopvane._internal.roles.operators import PageHandler
 from hyssopvane._internal.roles.peer_pool import PeerPool
 from hyssopvane._internal.roles.topics import TopicRouter
 from hyssopvane._internal.state.columns import COLUMNS, RowKind
@@ -38,7 +38,7 @@
         links: EntryLinks,
         pool: PeerPool,
         topics: TopicRouter,
-        pages: dict[str, ShowPage],
+        pages: dict[str, PageHandler],
         *,
         own_vm: str,
         incarnation: int,
