--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -316,8 +316,8 @@
         site = Site(cluster)
         key = make_key(age_s=5)
         site.agent.send_signal(signal.SIGSTOP)
-        answer = site.bid(key)
-        assert answer.headers["hyssopvane-outcome"] == "unknown"
+        answer_during_pause = site.bid(key)
+        assert answer_during_pause.headers["hyssopvane-outcome"] == "unknown"
         site.agent.send_signal(signal.SIGCONT)
         wait_until(lambda: site.bid(key, entry=1).status == 201)
         assert site.bid(key, entry=2).status == 201
