--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -15,7 +15,7 @@
     LISTED_TOPIC,
     STAYING,
 )
-from hyssopvane._internal.coordination.quarantine import QuarantineShare
+from hyssopvane._internal.coordination.quarantine import QuarantineSync
 from hyssopvane._internal.coordination.vm_list import (
     VmRecord,
     VmRole,
@@ -105,7 +105,7 @@
         self._nursery: trio.Nursery | None = None
         self._listed_leaving: frozenset[str] = frozenset()
         self._subset = SubsetMap(Member(settings.vm, settings.availability_zone))
-        self._quarantine = QuarantineShare(
+        self._quarantine = QuarantineSync(
             self._store,
             self.scheduler.planner.suspects,
             random=self._random,
@@ -130,7 +130,7 @@
             self.scheduler.admission,
             own_vm=settings.vm,
             incarnation=self.incarnation,
-            ask=self.links.ask_once,
+            send_request=self.links.ask_once,
             get_customers=self._get_customers,
         )
         self.topics.add_question(DEMAND_TOPIC, self._answer_demand)
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -67,7 +67,7 @@
             partial(fetch_vms, vm_list),
             random=random,
             watches=lambda: self.spread.watches,
-            send=self.spread.tell_receivers,
+            send=self.spread.send_to_receivers,
             observe=self._update_vms,
             report=_log_vms_error,
         )
@@ -125,7 +125,7 @@
             return
         rows = select_own_rows(
             self.spread.table,
-            self.spread.reader.get_held_marks(),
+            self.spread.reader.get_held_positions(),
             vm=vm,
             service=self._services[vm],
         )
--- a/tests/unit/test_claims_after_return.py
+++ b/tests/unit/test_claims_after_return.py
@@ -1,4 +1,4 @@
-"""Test claims in a key-value service that comes back from a copy."""
+"""Test claims in a key-value service that is restored from a copy."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -17,11 +17,11 @@
 from tests.unit.test_claims import NOW, make_change, make_key, run_mocked
 
 SETTLED_S = CLOCK_ALLOWANCE_S + 3 * SLICE_S
-"""Time after which keys are made that can't have been claimed before a return."""
+"""Seconds after a restore from which on new keys can't have been claimed before it."""
 
 
 class Service:
-    """Hold a service and entries that write claims in it."""
+    """Run a key-value service and the claim writers of several entries."""
 
     def __init__(self, nursery, count, *, choose_fault=lambda: Fault.NONE):
         self.state = KeyValueState(trio.current_time)
@@ -44,10 +44,10 @@
             self.stores.append(store)
             self.writers.append(writer)
 
-    def keep_copy(self):
+    def save_copy(self):
         self.copy = self.state.copy_items()
 
-    def come_back(self):
+    def restore_copy(self):
         self.state = self.copy.copy_items()
         self.state.begin_cluster()
         for store in self.stores:
@@ -63,21 +63,21 @@
 
 
 def is_confirmed(result, change):
-    return result.status is ChangeStatus.SEEN and result.claim == change.claim
+    return result.status is ChangeStatus.KNOWN and result.claim == change.claim
 
 
-def test_claim_made_after_a_return_is_not_overwritten():
-    """Guards against a lost page that is taken for another one of its revision."""
+def test_claim_made_after_a_restore_is_not_overwritten():
+    """Guard against confusing a lost page with another page of the same revision."""
 
     async def run():
         async with open_service() as site:
             first, second = site.writers
             later = NOW + SETTLED_S
             await first.change(make_change(make_key(8, created_at=later), 1))
-            site.service.keep_copy()
+            site.service.save_copy()
             await first.change(make_change(make_key(16, created_at=later), 2))
             await first.change(make_change(make_key(24, created_at=later), 3))
-            site.service.come_back()
+            site.service.restore_copy()
             await trio.sleep(SETTLED_S)
             made = make_change(make_key(8 + 8 * 8, created_at=later), 4)
             result = await second.change(made)
@@ -91,19 +91,19 @@
 
 
 @pytest.mark.parametrize("keeps_running", [True, False])
-def test_key_whose_claim_was_lost_is_not_claimed_anew(keeps_running):
-    """Guards against a second run of a request whose claim the service has lost."""
+def test_key_whose_claim_was_lost_is_not_claimed_again(keeps_running):
+    """Guard against a second run of a request whose claim the service has lost."""
 
     async def run():
         async with open_service() as site:
             first, second = site.writers
             await second.change(make_change(make_key(1), 1))
-            site.service.keep_copy()
+            site.service.save_copy()
             lost = make_change(make_key(2), 2)
             assert is_confirmed(await first.change(lost), lost)
             if not keeps_running:
                 site.service.stores[0].end()
-            site.service.come_back()
+            site.service.restore_copy()
             again = make_change(make_key(2), 3)
             assert not is_confirmed(await second.change(again), again)
             if keeps_running:
@@ -116,32 +116,32 @@
     run_mocked(run)
 
 
-def test_key_that_is_replaced_after_a_return_is_not_claimed_anew():
-    """Guards against an attempt in the copy that is replaced a second time."""
+def test_key_whose_replacement_was_lost_is_not_claimed_again():
+    """Guard against replacing an attempt in the copy a second time."""
 
     async def run():
         async with open_service() as site:
             first, second = site.writers
             await first.change(make_change(make_key(1), 1))
-            site.service.keep_copy()
+            site.service.save_copy()
             replaced = make_change(make_key(1), 2, expected=1)
             assert is_confirmed(await first.change(replaced), replaced)
-            site.service.come_back()
+            site.service.restore_copy()
             again = make_change(make_key(1), 3, expected=1)
             assert not is_confirmed(await second.change(again), again)
 
     run_mocked(run)
 
 
-def test_keys_made_after_a_return_are_claimed():
-    """Guards against an old return that holds up new requests."""
+def test_keys_made_after_a_restore_are_claimed():
+    """Guard against a past restore that blocks new requests."""
 
     async def run():
         async with open_service() as site:
             first, second = site.writers
             await first.change(make_change(make_key(1), 1))
-            site.service.keep_copy()
-            site.service.come_back()
+            site.service.save_copy()
+            site.service.restore_copy()
             await second.find(make_key(1))
             await trio.sleep(SETTLED_S)
             for writer in (first, second):
@@ -153,7 +153,7 @@
 
 
 def test_page_that_was_deleted_is_not_restored():
-    """Guards against pages of expired keys that nobody deletes after a return."""
+    """Guard against pages of expired keys that are never deleted after a restore."""
 
     async def run():
         async with open_service() as site:
@@ -164,8 +164,8 @@
                 await second.sweep()
             store = site.service.stores[1]
             assert (await store.get_prefix("claims/page/")).items == ()
-            site.service.keep_copy()
-            site.service.come_back()
+            site.service.save_copy()
+            site.service.restore_copy()
             await first.find(make_key(2))
             await trio.sleep(5)
             assert (await store.get_prefix("claims/page/")).items == ()
@@ -173,18 +173,18 @@
     run_mocked(run)
 
 
-def test_entry_started_after_a_return_claims_no_older_key():
-    """Guards against a process that knows only the restored cluster."""
+def test_entry_started_after_a_restore_claims_no_older_key():
+    """Guard against lost claims at an entry that knows only the restored cluster."""
 
     async def run():
         async with trio.open_nursery() as nursery:
             service = Service(nursery, 1)
             await service.writers[0].change(make_change(make_key(1), 1))
-            service.keep_copy()
+            service.save_copy()
             lost = make_change(make_key(2), 2)
             assert is_confirmed(await service.writers[0].change(lost), lost)
             service.stores[0].end()
-            service.come_back()
+            service.restore_copy()
             store = FakeKeyValueStore(service.state, nursery)
             fresh = ClaimWriter(
                 store,
@@ -201,12 +201,12 @@
 
 
 @pytest.mark.parametrize("seed", [*range(60), 226])
-def test_one_attempt_is_confirmed_for_a_key_over_returns(seed, monkeypatch):
-    """Guards against two attempts of a key that are both confirmed over a return."""
+def test_one_attempt_is_confirmed_for_a_key_across_restores(seed, monkeypatch):
+    """Guard against two attempts of one key that are confirmed before and after."""
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
     random = Random(seed)
-    confirmed, buried = {}, set()
+    confirmed, unsent = {}, set()
     kinds = [*Fault, *[Fault.NONE] * 12]
 
     async def claim(writer, number, attempt):
@@ -221,12 +221,12 @@
         if found is not None:
             if found.attempt in confirmed.get(number, ()):
                 return
-            # Its agent has proved that this attempt was never sent and never runs.
-            buried.add(found.attempt)
+            # The agent has proved that this attempt was not sent and will never run.
+            unsent.add(found.attempt)
             expected = found.attempt
         change = make_change(key, attempt, expected=expected)
         result = await writer.change(change)
-        if is_confirmed(result, change) and attempt not in buried:
+        if is_confirmed(result, change) and attempt not in unsent:
             confirmed.setdefault(number, set()).add(attempt)
 
     async def run():
@@ -236,15 +236,15 @@
             while not is_confirmed(await service.writers[0].change(first), first):
                 await trio.sleep(1)
             confirmed[0] = {1_000}
-            service.keep_copy()
+            service.save_copy()
             async with trio.open_nursery() as callers:
                 for attempt in range(1, 80):
                     await trio.sleep(random.expovariate(4))
                     draw = random.random()
                     if draw < 0.08:
-                        service.keep_copy()
+                        service.save_copy()
                     elif draw < 0.16:
-                        service.come_back()
+                        service.restore_copy()
                     number = random.randrange(1 + int(trio.current_time()))
                     writer = random.choice(service.writers)
                     callers.start_soon(claim, writer, number, attempt)
--- a/tests/unit/test_routing_feed.py
+++ b/tests/unit/test_routing_feed.py
@@ -1,4 +1,4 @@
-"""Test that a process never goes back to an older configuration."""
+"""Test how a process tracks the configuration and the replicas."""
 
 import json
 from random import Random
@@ -8,7 +8,7 @@
 import trio.testing
 
 from hyssopvane._internal.coordination.key_value import KeyValue, WatchEvent
-from hyssopvane._internal.coordination.routing_feed import REGAIN_S, RoutingFeed
+from hyssopvane._internal.coordination.routing_feed import MISSING_GRACE_S, RoutingFeed
 from hyssopvane._internal.platform.wire import PlatformFormat
 from hyssopvane._internal.state.store_snapshot import (
     StoreItem,
@@ -44,7 +44,7 @@
     )
 
 
-def make_beliefs(version, *, revision, replicas=(), replicas_revision=0):
+def make_store_snapshot(version, *, revision, replicas=(), replicas_revision=0):
     return StoreSnapshot(
         configuration_revision=revision,
         configuration=encode(make_configuration(version)),
@@ -68,16 +68,16 @@
     [(30, 3, 3), (10, 1, 2), (20, 1, 2), (30, 1, 2)],
     ids=["newer", "older", "same", "newer-revision-older-version"],
 )
-def test_peer_never_takes_a_process_back(revision, version, expected):
-    """A peer that lags, or a late answer, brings an older configuration.
+def test_peer_never_reverts_a_configuration(revision, version, expected):
+    """Guard against an older configuration from a lagging peer or a late answer.
 
-    A key that was taken away would work again, at one machine and for a while.
+    A revoked key would be accepted again by one VM for some time.
     """
 
     async def test():
         feed = make_feed()
-        feed.merge(make_beliefs(2, revision=20))
-        feed.merge(make_beliefs(version, revision=revision))
+        feed.merge(make_store_snapshot(2, revision=20))
+        feed.merge(make_store_snapshot(version, revision=revision))
         assert feed.table.version == expected
 
     run(test)
@@ -86,23 +86,25 @@
 def test_unreadable_configuration_changes_nothing():
     async def test():
         feed = make_feed()
-        feed.merge(make_beliefs(2, revision=20))
+        feed.merge(make_store_snapshot(2, revision=20))
         feed.merge(StoreSnapshot(30, b"{", 0, ()))
         assert feed.table.version == 2
 
     run(test)
 
 
-def test_replicas_that_lapsed_in_an_outage_are_believed_for_a_while():
-    """The store comes back, and the registrations have run out meanwhile.
+def test_replicas_that_expired_in_an_outage_are_kept_for_a_grace_time():
+    """Guard against dropping all replicas after an outage of the store.
 
-    Living replicas are back within two seconds; until then an entry that believed the
-    list would have nobody to send to, and refuse everybody.
+    Registrations expire during the outage, and live replicas register again within two
+    seconds. Until then an entry without replicas would refuse all requests.
     """
 
     async def test():
         feed = make_feed()
-        feed.merge(make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9))
+        feed.merge(
+            make_store_snapshot(1, revision=5, replicas=(1, 2), replicas_revision=9)
+        )
         feed.connected_at = trio.current_time()
         feed._replace_replicas((), StorePosition(0, 20), source="store")
         assert len(feed.replicas) == 2
@@ -111,18 +113,20 @@
             nursery.start_soon(feed._drop_missing)
             await trio.sleep(1.0)
             feed._put(back)
-            await trio.sleep(REGAIN_S)
+            await trio.sleep(MISSING_GRACE_S)
             nursery.cancel_scope.cancel()
         assert list(feed.replicas) == ["servers/1"]
 
     run(test)
 
 
-def test_replica_that_is_removed_in_calm_times_is_dropped_at_once():
+def test_replica_removed_without_an_outage_is_dropped_at_once():
     async def test():
         feed = make_feed()
         await trio.sleep(10)
-        feed.merge(make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9))
+        feed.merge(
+            make_store_snapshot(1, revision=5, replicas=(1, 2), replicas_revision=9)
+        )
         items = (KeyValue("servers/2", make_registration(2), 5),)
         feed._replace_replicas(items, StorePosition(0, 20), source="store")
         assert list(feed.replicas) == ["servers/2"]
@@ -130,11 +134,12 @@
     run(test)
 
 
-def test_replica_at_a_new_ones_address_is_gone():
-    """All machines lose power, and the replicas start anew at the same addresses.
+def test_replica_whose_address_was_reused_is_dropped():
+    """Guard against old registrations next to new ones of the same address.
 
-    The old registrations stay for seconds. Each load would be counted twice, and half
-    of the requests would ask for a replica that is no more.
+    After a power loss of all machines, replicas restart at the same addresses, and the
+    old registrations remain for seconds. Each load would be counted twice, and half of
+    the requests would be addressed to a replica that no longer exists.
     """
 
     async def test():
@@ -148,14 +153,16 @@
     run(test)
 
 
-def test_replica_that_lapsed_is_not_passed_on_to_peers():
-    """Guards against a peer that learns a replica anew after its registration ended."""
+def test_expired_replica_is_not_sent_to_peers():
+    """Guard against a peer that adds a replica again after its registration ended."""
 
     async def test():
         feed, peer = make_feed(), make_feed()
         for one in (feed, peer):
-            beliefs = make_beliefs(1, revision=5, replicas=(1, 2), replicas_revision=9)
-            one.merge(beliefs)
+            snapshot = make_store_snapshot(
+                1, revision=5, replicas=(1, 2), replicas_revision=9
+            )
+            one.merge(snapshot)
         await trio.sleep(10)
         gone = WatchEvent("servers/1", None, 10)
         peer._apply_event("servers/", gone)
--- a/tests/unit/test_table_after_return.py
+++ b/tests/unit/test_table_after_return.py
@@ -1,4 +1,4 @@
-"""Test the table over a key-value service that comes back from copies."""
+"""Test the table when the key-value service is restored from copies."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
     merge_versions,
 )
 from hyssopvane._internal.coordination.own_rows import HeldRows, select_own_rows
-from hyssopvane._internal.coordination.service_era import NUMBERS_OF_AN_ERA
+from hyssopvane._internal.coordination.service_era import NUMBERS_PER_ERA
 from hyssopvane._internal.coordination.table_edit import TableEdit
 from hyssopvane._internal.coordination.table_pages import Page, PageEra
 from hyssopvane._internal.coordination.table_store import TableReader
@@ -33,7 +33,7 @@
 )
 
 BOB = parse_row_id("customer/bob")
-SETTLE_S = 40.0
+CONVERGENCE_S = 40.0
 
 
 def add(row):
@@ -94,7 +94,7 @@
 def test_lost_edits_stay_in_force_by_cell(
     kept, lost, since, expected, knows_the_lost_era
 ):
-    """Guards against lost edits that revert or hold back what is written since."""
+    """Guard against lost edits that revert or block edits made after the restore."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -126,8 +126,8 @@
     run_mocked(run)
 
 
-def test_reader_that_follows_notices_a_return():
-    """Guards against a watch that waits at a revision which the service has lost."""
+def test_following_reader_detects_a_restore():
+    """Guard against a watch that waits for a revision that the service has lost."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -153,8 +153,8 @@
     run_mocked(run)
 
 
-def test_edit_sent_before_its_editor_knew_of_a_return_comes_into_force():
-    """Guards against an accepted edit whose revision a lost edit has had."""
+def test_edit_sent_before_its_editor_knew_of_a_restore_comes_into_force():
+    """Guard against an accepted edit that has the revision of a lost one."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -185,34 +185,34 @@
     run_mocked(run)
 
 
-def test_agent_takes_rows_of_a_later_era():
-    """Guards against a target that keeps the row of a lost revision for ever."""
+def test_agent_accepts_rows_of_a_later_era():
+    """Guard against a target that keeps the row of a lost revision for good."""
     key = "table/page/27"
     held = HeldRows(vm="t-1", service="draft")
 
-    def tell(weight, *marks):
+    def send_rows(weight, *positions):
         table = Table(
-            marks[0].revision,
+            positions[0].revision,
             targets={"t-1": TargetRow("t-1", "draft", weight)},
-            era=marks[0].era,
+            era=positions[0].era,
         )
         rows = select_own_rows(
             table,
-            dict.fromkeys([key, *_list_page_keys()], marks),
+            dict.fromkeys([key, *_list_page_keys()], positions),
             vm="t-1",
             service="draft",
         )
         held.accept(rows)
 
-    tell(5, StorePosition(1, 40))
-    tell(7, StorePosition(2, 12))
+    send_rows(5, StorePosition(1, 40))
+    send_rows(7, StorePosition(2, 12))
     assert held.target.weight == 7
     assert held.position == StorePosition(2, 12)
-    tell(5, StorePosition(1, 41))
+    send_rows(5, StorePosition(1, 41))
     assert held.target.weight == 7
-    tell(9, StorePosition(2, 12), StorePosition(1, 40))
+    send_rows(9, StorePosition(2, 12), StorePosition(1, 40))
     assert held.target.weight == 9
-    tell(7, StorePosition(2, 12))
+    send_rows(7, StorePosition(2, 12))
     assert held.target.weight == 9
 
 
@@ -224,20 +224,20 @@
     ("one", "other", "shared"),
     [
         (Page(5), Page(3), 3),
-        (Page(9), Page(NUMBERS_OF_AN_ERA + 1, eras=(PageEra(2, 4),)), 4),
-        (Page(3), Page(NUMBERS_OF_AN_ERA + 1, eras=(PageEra(2, 4),)), 3),
+        (Page(9), Page(NUMBERS_PER_ERA + 1, eras=(PageEra(2, 4),)), 4),
+        (Page(3), Page(NUMBERS_PER_ERA + 1, eras=(PageEra(2, 4),)), 3),
         (
-            Page(NUMBERS_OF_AN_ERA + 2, eras=(PageEra(2, 4),)),
-            Page(2 * NUMBERS_OF_AN_ERA + 1, eras=(PageEra(3, 6),)),
+            Page(NUMBERS_PER_ERA + 2, eras=(PageEra(2, 4),)),
+            Page(2 * NUMBERS_PER_ERA + 1, eras=(PageEra(3, 6),)),
             4,
         ),
         (
-            Page(NUMBERS_OF_AN_ERA + 5, eras=(PageEra(2, 4),)),
+            Page(NUMBERS_PER_ERA + 5, eras=(PageEra(2, 4),)),
             Page(
-                2 * NUMBERS_OF_AN_ERA + 1,
-                eras=(PageEra(2, 4), PageEra(3, NUMBERS_OF_AN_ERA + 2)),
+                2 * NUMBERS_PER_ERA + 1,
+                eras=(PageEra(2, 4), PageEra(3, NUMBERS_PER_ERA + 2)),
             ),
-            NUMBERS_OF_AN_ERA + 2,
+            NUMBERS_PER_ERA + 2,
         ),
     ],
 )
@@ -246,14 +246,14 @@
     assert find_shared_sequence(other, one) == shared
 
 
-def test_version_that_lost_nothing_changes_nothing():
+def test_version_without_lost_edits_changes_nothing():
     page = Page(7, ("a",))
     assert merge_versions({1: Page(3), 2: page}) == page
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_fleet_follows_a_service_that_comes_back(seed, monkeypatch):
-    """Guards against accepted edits that revert or stay out at some entry."""
+def test_fleet_follows_a_restored_service(seed, monkeypatch):
+    """Guard against accepted edits that are reverted or missing at an entry."""
     monkeypatch.setattr(trio_run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
     monkeypatch.setattr(trio_run, "_r", Random(seed))
     random = Random(seed)
@@ -274,8 +274,8 @@
                 if draw < 0.1:
                     copy = fleet.state.copy_items()
                 elif draw < 0.2:
-                    # What an editor was told a moment ago is known by some entry.
-                    await trio.sleep(SETTLE_S)
+                    # First wait until some entry has each edit that was accepted.
+                    await trio.sleep(CONVERGENCE_S)
                     fleet.restore_from(copy)
                 elif draw < 0.25:
                     member = random.choice(list(fleet.members.values()))
@@ -293,7 +293,7 @@
                     await trio.sleep(random.uniform(0, 3))
             for member in fleet.members.values():
                 member.cut = False
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(CONVERGENCE_S)
             for member in fleet.members.values():
                 for cell, value in accepted.items():
                     row = member.spread.table.customers[cell.row.name]
--- a/tests/unit/test_table_store.py
+++ b/tests/unit/test_table_store.py
@@ -1,4 +1,4 @@
-"""Test edits that race and lose replies, and readers that lose the service."""
+"""Test concurrent edits, lost replies, and readers during outages of the service."""
 
 import itertools
 from collections import Counter
@@ -34,7 +34,7 @@
 from hyssopvane._internal.standins.key_value_state import KeyValueState, Put
 from hyssopvane._internal.state.columns import parse_row_id
 from hyssopvane._internal.state.table import CellId, check_references
-from tests.lib.fake_key_value import LATE_S, FakeKeyValueStore, Fault
+from tests.lib.fake_key_value import LATE_WRITE_DELAY_S, FakeKeyValueStore, Fault
 
 ALICE = parse_row_id("customer/alice")
 WEIGHT = CellId(ALICE, "weight")
@@ -63,18 +63,18 @@
     return await reader.load()
 
 
-def count_landings(state):
-    """Count how often each edit came into a cell; its text is the edit's id."""
-    landings = Counter()
+def count_applications(state):
+    """Count how often each edit was applied to a cell; its text is the edit's id."""
+    applications = Counter()
     last = {}
     for event in state.get_events(0, PAGE_PREFIX.encode(), b"u"):
         page = parse_page(KeyValue("page", event.item.value, 0))
         for row, stored in page.rows.items():
             for name, cell in stored.cells.items():
                 if last.get((row, name)) != cell.revision:
-                    landings[cell.text] += 1
+                    applications[cell.text] += 1
                 last[row, name] = cell.revision
-    return landings
+    return applications
 
 
 def scripted(faults):
@@ -85,11 +85,11 @@
 
 @pytest.mark.parametrize("fault", [Fault.LOST_REPLY, Fault.LATE_WRITE])
 def test_lost_reply_is_resolved_without_a_second_write(fault):
-    """The service carries out an edit but its answer is lost on the way.
+    """Guard against a retry that overwrites the accepted value of another operator.
 
-    Before the operator's command looks again, a colleague sets the same cell. A
-    command that simply tried again would put back its own value: the colleague was
-    told that the edit is accepted, and would later find the old limit in force.
+    The service applies an edit but its answer is lost. Another operator sets the same
+    cell before the command reads it back. A plain retry would restore the first value,
+    although the second edit was accepted.
     """
 
     async def run():
@@ -104,7 +104,7 @@
                 await make_editor(store).commit(set_cell(WEIGHT, "200", "200"))
 
             async def edit_second():
-                while not count_landings(state)["200"]:
+                while not count_applications(state)["200"]:
                     await trio.sleep(0.001)
                 other = FakeKeyValueStore(state, nursery)
                 await make_editor(other).commit(set_cell(WEIGHT, "300", "300"))
@@ -113,17 +113,17 @@
                 operators.start_soon(edit_first)
                 operators.start_soon(edit_second)
             assert (await load_table(state, nursery)).customers["alice"].weight == 300
-            assert count_landings(state) == {"200": 1, "300": 1}
+            assert count_applications(state) == {"200": 1, "300": 1}
 
     run_mocked(run)
 
 
-def test_write_that_got_lost_is_not_repeated_over_a_newer_value():
-    """A write is lost before it reaches the service, and its sender can't know.
+def test_lost_write_is_not_retried_over_a_newer_value():
+    """Guard against a retry that overwrites a newer value without a conflict.
 
-    Meanwhile a colleague sets the same cell and is told that it is accepted. Were the
-    first command to try again on top of that, the colleague's value would be gone
-    without a conflict shown to anybody.
+    A write is lost before it reaches the service, and its sender can't know. Meanwhile
+    another operator's edit of the same cell is accepted. A retry of the first edit on
+    top of that value would silently replace it.
     """
 
     async def run():
@@ -144,16 +144,17 @@
                 with pytest.raises(EditConflict) as error:
                     await make_editor(store).commit(set_cell(WEIGHT, "200", "200"))
             assert "300" in str(error.value)
-            assert count_landings(state) == {"300": 1}
+            assert count_applications(state) == {"300": 1}
 
     run_mocked(run)
 
 
-def test_service_that_stays_down_after_a_lost_reply_leaves_the_outcome_unknown():
-    """The answer to a write is lost and the service does not come back.
+def test_lost_reply_of_a_service_that_stays_down_is_reported_as_unknown():
+    """Guard against a false report that nothing was changed.
 
-    The operator must not be told that nothing was changed, as that may be wrong, and
-    gets the id with which the same edit can be sent again without being done twice.
+    The answer to a write is lost and the service stays down. The error must say that
+    the outcome is unknown, and contain the edit id with which the same edit can be sent
+    again without being applied twice.
     """
 
     async def run():
@@ -167,7 +168,7 @@
             assert "--edit-id 200 --expect 1" in error.value.hint
             again = make_editor(FakeKeyValueStore(state, nursery))
             await again.commit(set_cell(WEIGHT, "200", "200", expected=1))
-            assert count_landings(state) == {"200": 1}
+            assert count_applications(state) == {"200": 1}
             for number in range(MAX_RECENT_EDITS + 1):
                 await again.commit(set_cell(PRIORITY, "1", f"other {number}"))
             with pytest.raises(EditConflict):
@@ -177,7 +178,7 @@
 
 
 def test_edit_is_refused_at_once_while_the_service_is_down():
-    """The service is down when an operator sets a cell; nothing can have changed."""
+    """The service is down when an operator sets a cell, so nothing was changed."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -206,10 +207,10 @@
     faults=st.lists(st.sampled_from(Fault), max_size=40),
 )
 def test_racing_operators_never_revert_an_accepted_cell(seed, edits, faults):
-    """Operators edit one row at one moment while the service is down, stale or
-    loses replies. An edit that comes into force a second time, or comes into force
-    although its operator was told that it lost, undoes what a colleague was told is
-    accepted.
+    """Guard against an edit that is applied twice, or applied after it was refused.
+
+    Operators edit one row concurrently while the service is down, answers stale reads
+    or loses replies. Such an edit would revert an accepted edit of another operator.
     """
     outcomes = {}
 
@@ -240,25 +241,26 @@
                 for number, (cell, expected, delay) in enumerate(edits):
                     arguments = (nursery, str(number + 1), cell, expected, delay)
                     operators.start_soon(edit, *arguments)
-        return count_landings(state)
+        return count_applications(state)
 
-    landings = run_mocked(run)
+    applications = run_mocked(run)
     for edit_id, outcome in outcomes.items():
         if isinstance(outcome, EditAccepted):
-            assert landings[edit_id] == 1
+            assert applications[edit_id] == 1
         elif isinstance(outcome, KeyValueUnknown):
-            assert landings[edit_id] <= 1
+            assert applications[edit_id] <= 1
         else:
-            assert landings[edit_id] == 0
+            assert applications[edit_id] == 0
 
 
 @pytest.mark.parametrize(
     ("cells", "accepted"), [((WEIGHT, PRIORITY), 2), ((WEIGHT, WEIGHT), 1)]
 )
 def test_race_of_two_operators(cells, accepted):
-    """Two operators read the row at one moment and both set a cell.
+    """Two operators read a row at the same time, and each sets a cell.
 
-    On different cells neither may lose its edit; on the same cell one must be told.
+    Edits of different cells are both accepted; of two edits of one cell, the second one
+    is a conflict.
     """
 
     async def run():
@@ -301,7 +303,7 @@
         ),
     ],
 )
-def test_refused_edit_changes_nothing_and_names_the_remedy(edit, words):
+def test_refused_edit_changes_nothing_and_includes_a_hint(edit, words):
     async def run():
         state = KeyValueState(trio.current_time)
         async with trio.open_nursery() as nursery:
@@ -316,9 +318,10 @@
 
 
 def test_row_that_is_added_again_does_not_match_the_old_one():
-    """A row is removed and added anew while an operator still looks at the old one.
+    """Guard against an edit of an old row that changes the new one.
 
-    The operator's expected revision must not fit the new row by accident.
+    A row is removed and added again after an operator has read it. The expected
+    revision of the old row must not match the new row.
     """
 
     async def run():
@@ -340,10 +343,11 @@
     seed=st.integers(0, 2**32),
     faults=st.lists(st.sampled_from(Fault), max_size=30),
 )
-def test_reader_follows_and_never_goes_back(seed, faults):
-    """A reader's watch goes silent, its reads are stale and the service is down.
+def test_reader_follows_and_never_reverts(seed, faults):
+    """Guard against a lost edit or an older limit that returns.
 
-    Each edit must still come into force, and once it is, no older limit may return.
+    The watch of the reader goes silent, its reads are stale and the service is down.
+    Each edit must still come into force, and must not be reverted afterwards.
     """
     seen = []
 
@@ -416,8 +420,8 @@
     run_mocked(run)
 
 
-def test_pages_of_a_peer_are_taken_over_only_when_newer():
-    """A peer that was paused passes pages on that others have long replaced."""
+def test_pages_of_a_peer_are_accepted_only_when_newer():
+    """A peer that was paused forwards pages that were replaced since."""
 
     async def run():
         state = KeyValueState(trio.current_time)
@@ -439,10 +443,11 @@
     run_mocked(run)
 
 
-def test_page_that_cannot_be_read_leaves_the_last_one_in_force():
-    """Somebody writes a page by hand, and it is not what a reader can use.
+def test_unreadable_page_leaves_the_last_one_in_force():
+    """Guard against a malformed page that clears limits or blocks other pages.
 
-    The rows of this page keep their last limits, and other pages still come through.
+    A page was overwritten with content that a reader can't parse. The rows of this page
+    keep their last values, and other pages still come into force.
     """
     reports = []
 
@@ -461,11 +466,12 @@
     assert "can't be read" in str(reports[0])
 
 
-def test_stale_reads_do_not_hold_back_an_edit():
-    """The replica that answers reads stays behind, so a page is always seen too old.
+def test_stale_reads_do_not_block_an_edit():
+    """Guard against an edit that fails because all reads are stale.
 
-    The answer to the swap that lost shows the page as it is, and the edit goes on
-    from there; else the operator would be told that too many edit at one time.
+    The replica that answers reads lags behind, so every read returns an old page. The
+    answer to the failed swap has the current page, and the next attempt builds on it.
+    Otherwise the edit would fail with the error that too many operators edit at once.
     """
 
     async def run():
@@ -478,7 +484,7 @@
             other = make_editor(FakeKeyValueStore(state, nursery))
             await other.commit(set_cell(PRIORITY, "1", "1"))
             await make_editor(stale).commit(set_cell(WEIGHT, "200", "200"))
-            assert count_landings(state) == {"1": 1, "200": 1}
+            assert count_applications(state) == {"1": 1, "200": 1}
 
     run_mocked(run)
 
@@ -505,11 +511,12 @@
     ],
     ids=["service and its target", "one key of two customers"],
 )
-def test_edits_that_do_not_fit_together_are_not_both_accepted(edits):
-    """Two operators change different rows at one moment. Each edit is right by itself,
-    but together they give a target whose service is gone, or two customers one key.
+def test_inconsistent_edits_are_not_both_accepted(edits):
+    """Guard against concurrent edits that are valid alone but not together.
 
-    The first leaves a target without work, the second bills one customer for another.
+    Two operators change different rows at the same time. Together the edits leave a
+    target without its service, which gets no work, or give two customers one key, which
+    bills one customer for the other.
     """
 
     async def run():
@@ -536,11 +543,12 @@
     run_mocked(run)
 
 
-def test_write_that_arrives_late_does_not_follow_its_refusal():
-    """A write is still on its way when another edit takes away what it refers to.
+def test_late_write_of_a_refused_edit_is_not_applied():
+    """Guard against a delayed write that is applied after its edit was refused.
 
-    Read back, the table refuses the edit by now, and the operator is told that
-    nothing was changed. The write that arrives afterwards must not prove this wrong.
+    A write is in flight while another edit removes the row that it refers to. When the
+    table is read back, the edit is invalid, and the operator is told that nothing was
+    changed. The delayed write must then fail.
     """
 
     async def run():
@@ -561,7 +569,7 @@
                 operators.start_soon(remove)
                 with pytest.raises(TableError):
                     await make_editor(store).commit(set_service("t-1", "draft"))
-            await trio.sleep(2 * LATE_S)
+            await trio.sleep(2 * LATE_WRITE_DELAY_S)
             assert not (await load_table(state, nursery)).targets
 
     run_mocked(run)
@@ -576,11 +584,12 @@
         yield receive
 
 
-def test_watch_that_ends_at_once_is_tried_ever_more_rarely():
-    """The service answers reads but ends each watch at once, for an hour.
+def test_watch_that_ends_at_once_is_retried_with_back_off():
+    """Guard against readers that overload the service when watches fail.
 
-    Readers that come back without a pause would use up its reads a second, and
-    operators and callers would find it slow.
+    For an hour the service answers reads but ends each watch at once. Readers that
+    retry without a back-off would use up its capacity for reads, and slow down
+    operators and callers.
     """
 
     async def run():
@@ -597,8 +606,8 @@
     assert run_mocked(run) < 3600
 
 
-def test_edit_accepted_after_the_service_lost_some_comes_into_force():
-    """Guards against a page that is left out because its revision came before."""
+def test_edit_accepted_after_a_restore_comes_into_force():
+    """Guard against a page that is ignored because a lost page had its revision."""
 
     async def run():
         state = KeyValueState(trio.current_time)
--- a/tests/unit/test_vm_spread.py
+++ b/tests/unit/test_vm_spread.py
@@ -1,4 +1,4 @@
-"""Test that the list of VMs reaches the entries that don't read it."""
+"""Test that the list of VMs reaches the entries that don't poll it."""
 
 from random import Random
 
@@ -7,7 +7,11 @@
 import trio.testing
 
 from hyssopvane._internal.coordination.vm_list import VmRecord, VmRole, VmState
-from hyssopvane._internal.coordination.vm_spread import POLL_S, STALE_S, VmSpread
+from hyssopvane._internal.coordination.vm_spread import (
+    MAX_LIST_AGE_S,
+    POLL_INTERVAL_S,
+    VmSpread,
+)
 from hyssopvane._internal.exceptions import VmListError
 from hyssopvane._internal.policy.watchers import FAN_OUT, plan_duties
 
@@ -17,7 +21,7 @@
 
 
 class Platform:
-    """Hold the platform's list and count its readings."""
+    """Serve the platform's list and count the reads of it."""
 
     def __init__(self):
         self.records = (TARGET,)
@@ -32,7 +36,7 @@
 
 
 def run_pair(scenario):
-    """Run a watcher and a listener that hears its notices and beats."""
+    """Run a watcher and a listener that receives its notices and beats."""
 
     async def run():
         platform = Platform()
@@ -68,13 +72,13 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0.0))
 
 
-def test_change_reaches_an_entry_that_does_not_read():
+def test_change_reaches_an_entry_that_does_not_poll():
     async def scenario(platform, seen, lost):
         platform.records = (LEAVING, OTHER)
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
         assert seen[-1] == (LEAVING, OTHER)
         platform.records = (OTHER,)
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
         assert seen[-1] == (OTHER,)
         await trio.sleep(60)
         assert platform.readings["listener"] == 1
@@ -84,15 +88,16 @@
 
 
 def test_lost_notice_is_found_by_the_list_hash():
-    """A notice of a leaving VM is lost, and everything else goes on as before.
+    """Guard against a list that stays wrong after a notice was lost.
 
-    The entry would send work to that VM for as long as it lives, or none to a new one.
+    The notice of a leaving VM is lost without any other fault. The entry would send
+    work to that VM until its end, or send none to a new VM.
     """
 
     async def scenario(platform, seen, lost):
         lost.append(True)
         platform.records = (LEAVING,)
-        await trio.sleep(STALE_S + 6)
+        await trio.sleep(MAX_LIST_AGE_S + 6)
         assert seen[-1] == (LEAVING,)
 
     run_pair(scenario)
@@ -108,8 +113,8 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 6, 7, 10, 11, 69, 86])
-def test_every_entry_is_reached_without_any_one(count):
-    """One entry in the middle dies, and the list of VMs still shows it."""
+def test_every_entry_is_reached_despite_the_loss_of_any_one(count):
+    """Any one entry that forwards updates dies while the list of VMs still shows it."""
     zones = {f"entry-{number}": "arima" for number in range(count)}
     duties = {name: plan_duties(name, zones) for name in zones}
     watchers = [name for name in zones if duties[name].watches]
@@ -128,10 +133,10 @@
 
 def test_zones_form_a_ring():
     zones = {f"entry-{number}": f"zone-{number % 3}" for number in range(12)}
-    told = {
+    neighbour_zones = {
         zones[receiver]
         for name in zones
         for receiver in plan_duties(name, zones).receivers
         if zones[receiver] != zones[name]
     }
-    assert told == set(zones.values())
+    assert neighbour_zones == set(zones.values())
