--- a/src/hyssopvane/_internal/roles/dispatcher.py
+++ b/src/hyssopvane/_internal/roles/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carry out the scheduler's decisions about callers' requests."""
+"""Run callers' requests as the scheduler decides."""
 
 import secrets
 import time
@@ -28,7 +28,7 @@
     NotStarted,
     exchange,
 )
-from hyssopvane._internal.roles.keyed_dispatch import KeyedDispatch, Places
+from hyssopvane._internal.roles.keyed_dispatch import KeyedDispatch, Placer
 from hyssopvane._internal.roles.peer_pool import PeerPool
 from hyssopvane._internal.state.claims import ATTEMPT_BYTES
 from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
@@ -45,8 +45,8 @@
 _RETRY_AFTER_S = 1.0
 
 
-class Dispatcher(Places):
-    """Run requests: wait for a place, send, relay the answer, retry where allowed."""
+class Dispatcher(Placer):
+    """Run requests: wait for a target, send, relay the answer, retry where allowed."""
 
     def __init__(
         self,
@@ -54,18 +54,18 @@
         scheduler: Scheduler,
         pool: PeerPool,
         metrics: Metrics,
-        memory: DecisionLog,
+        decision_log: DecisionLog,
         claims: ClaimRouter,
     ) -> None:
         self._scheduler = scheduler
         self._pool = pool
         self._metrics = metrics
-        self._memory = memory
+        self._decision_log = decision_log
         self._claims = claims
         self._waiting: dict[str, trio.MemorySendChannel[Decision]] = {}
 
     async def run(self, request: CallerRequest, reply: ReplyWriter) -> None:
-        """Run a request and write its answer; withdraw it when cancelled."""
+        """Run a request and send its answer or refusal; withdraw it when cancelled."""
         request_id = request.work.request_id
         try:
             refusal = await self._run(request, reply)
@@ -81,21 +81,21 @@
             self._metrics.count_refusal(refusal.reason.value)
             await reply.send_refusal(refusal)
 
-    def settle(self) -> None:
-        """Wake the waiting requests about which there is a new decision."""
+    def deliver_decisions(self) -> None:
+        """Pass the scheduler's new decisions to the waiting requests."""
         for request_id, decision in self._scheduler.collect(now=trio.current_time()):
             channel = self._waiting.pop(request_id, None)
             if channel is not None:
                 channel.send_nowait(decision)
 
     async def watch_deadlines(self, *, interval_s: float) -> None:
-        """Settle at an interval, so that a passed deadline is told at once."""
+        """Deliver decisions periodically, so that passed deadlines are reported."""
         while True:
             await trio.sleep(interval_s)
-            self.settle()
+            self.deliver_decisions()
 
     async def submit(self, work: WorkRequest) -> Placed | Refusal:
-        return await self._follow(
+        return await self._await_decision(
             work, self._scheduler.submit(work, now=trio.current_time())
         )
 
@@ -105,19 +105,21 @@
         decision = self._scheduler.finish(
             work.request_id, report, now=trio.current_time()
         )
-        self.settle()
+        self.deliver_decisions()
         if decision is None:
             return None
         self._metrics.count_retry(report.reason or report.result.value)
         self.record(work.request_id, "retried", report.reason)
-        return await self._follow(work, decision)
+        return await self._await_decision(work, decision)
 
     def withdraw(self, work: WorkRequest) -> None:
         self._scheduler.withdraw(work.request_id)
-        self.settle()
+        self.deliver_decisions()
 
     def record(self, request_id: str, decision: str, why: str) -> None:
-        self._memory.record(request_id, DecisionRecord(time.time(), decision, why))
+        self._decision_log.record(
+            request_id, DecisionRecord(time.time(), decision, why)
+        )
 
     async def _run(self, request: CallerRequest, reply: ReplyWriter) -> Refusal | None:
         if request.key is None:
@@ -126,7 +128,7 @@
             request,
             reply,
             key=request.key,
-            places=self,
+            placer=self,
             pool=self._pool,
             claims=self._claims,
         )
@@ -141,17 +143,20 @@
         while isinstance(decision, Placed):
             end = await self._attempt(request, decision, reply)
             if reply.started and not isinstance(end, Answered):
-                # A short answer that looks whole would reach a family as the final
-                # history. Cutting the connection lets the caller's client see it.
-                # A body may crash its target after the first token, too.
-                report = replace(_judge(end)[0], final=True)
+                # A truncated answer that looks complete would reach a family as the
+                # final history, so the connection is closed and the client sees an
+                # error. The scheduler still gets a report, since a body may crash its
+                # target even after the first token.
+                report = replace(_make_report(end)[0], final=True)
                 await self.finish(work, report)
-                raise AnswerCut(_explain(end))
-            report, refusal = _judge(end)
+                raise AnswerCut(_describe_end(end))
+            report, refusal = _make_report(end)
             decision = await self.finish(work, report)
         return refusal if decision is None else decision
 
-    async def _follow(self, work: WorkRequest, decision: Decision) -> Placed | Refusal:
+    async def _await_decision(
+        self, work: WorkRequest, decision: Decision
+    ) -> Placed | Refusal:
         if isinstance(decision, Waiting):
             decision = await self._wait(work.request_id, work.deadline)
         assert not isinstance(decision, Waiting)
@@ -167,7 +172,7 @@
         try:
             with trio.move_on_at(deadline):
                 return await receiver.receive()
-            self.settle()
+            self.deliver_decisions()
             return receiver.receive_nowait()
         finally:
             self._waiting.pop(request_id, None)
@@ -192,8 +197,8 @@
         )
 
 
-def _judge(end: ExchangeEnd) -> tuple[AttemptReport, Refusal | None]:
-    """Return what the scheduler and, if that was the last attempt, the caller learn."""
+def _make_report(end: ExchangeEnd) -> tuple[AttemptReport, Refusal | None]:
+    """Return the report to the scheduler and the refusal if there is no retry."""
     if isinstance(end, Answered):
         report = AttemptReport(AttemptResult.ANSWERED, latency_s=end.latency_s)
         return report, None
@@ -216,7 +221,9 @@
     if isinstance(end, Lost | NotStarted):
         return (
             AttemptReport(AttemptResult.LOST, "connection-lost"),
-            Refusal(RefusalReason.TARGET_LOST, Outcome.UNKNOWN, detail=_explain(end)),
+            Refusal(
+                RefusalReason.TARGET_LOST, Outcome.UNKNOWN, detail=_describe_end(end)
+            ),
         )
     return (
         AttemptReport(AttemptResult.CANCELLED, "deadline"),
@@ -224,7 +231,7 @@
     )
 
 
-def _explain(end: ExchangeEnd) -> str:
+def _describe_end(end: ExchangeEnd) -> str:
     if isinstance(end, Failed | Lost):
         return end.why
     if isinstance(end, NotStarted):
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -1,4 +1,4 @@
-"""Wire the table's fan-out into the connections of an entry."""
+"""Connect the distribution of the table to the connections of an entry."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -20,7 +20,7 @@
 from hyssopvane._internal.exceptions import HyssopvaneError
 from hyssopvane._internal.protocol.messages import Heartbeat
 from hyssopvane._internal.roles.entry_links import EntryLinks
-from hyssopvane._internal.roles.operators import ShowPage
+from hyssopvane._internal.roles.operators import PageHandler
 from hyssopvane._internal.roles.peer_pool import PeerPool
 from hyssopvane._internal.roles.topics import TopicRouter
 from hyssopvane._internal.state.columns import COLUMNS, RowKind
@@ -30,7 +30,7 @@
 
 
 class TableSharing:
-    """Hold an entry's table, and pass it on to entries and agents."""
+    """Follow the table at an entry and distribute it to entries and agents."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         links: EntryLinks,
         pool: PeerPool,
         topics: TopicRouter,
-        pages: dict[str, ShowPage],
+        pages: dict[str, PageHandler],
         *,
         own_vm: str,
         incarnation: int,
@@ -51,14 +51,14 @@
         self._pool = pool
         self._observe = observe
         self._services: dict[str, str] = {}
-        self._told: dict[str, tuple[OwnRow, ...]] = {}
+        self._sent_rows: dict[str, tuple[OwnRow, ...]] = {}
         self.spread = TableSpread(
             store,
             links,
             own_vm=own_vm,
             incarnation=incarnation,
             random=random,
-            observe=self._put_in_force,
+            observe=self._apply_table,
             report=_log_error,
             get_vms_digest=lambda: self._vms.digest,
             compare_vms=lambda digest: self._vms.compare(digest),
@@ -78,12 +78,12 @@
         topics.add_question(QUESTION_TOPIC, self._answer_question)
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Follow the table in a nursery."""
+        """Follow the table and the list of VMs in a nursery."""
         nursery.start_soon(self.spread.run)
         nursery.start_soon(self._vms.run)
 
     def _update_vms(self, records: tuple[VmRecord, ...]) -> None:
-        # The addresses come first: the duties may have something to tell at once.
+        # Addresses are updated first, since the spread may send messages at once.
         self._observe_vms(records)
         self.spread.update_entries(
             {
@@ -94,17 +94,17 @@
         )
 
     def connect_agent(self, vm: str, service: str) -> None:
-        """Tell an agent its rows."""
+        """Send an agent its rows after it connected."""
         self._services[vm] = service
-        self._told.pop(vm, None)
-        self._tell_agent(vm)
+        self._sent_rows.pop(vm, None)
+        self._send_rows(vm)
 
     def disconnect_agent(self, vm: str) -> None:
-        """Forget what an agent was told."""
+        """Stop sending rows to an agent that disconnected."""
         self._services.pop(vm, None)
 
     def receive_heartbeat(self, peer: PeerConnection, heartbeat: Heartbeat) -> None:
-        """Notice that another entry has a newer table."""
+        """Compare the table position of another entry with the own one."""
         if peer.peer is not None:
             self.spread.compare(peer.peer.vm, heartbeat.table_mark)
 
@@ -113,13 +113,13 @@
         rows = {f"{kind}s": _format_rows(table, kind) for kind in RowKind}
         return {"revision": table.revision, **rows}
 
-    def _put_in_force(self, table: Table) -> None:
+    def _apply_table(self, table: Table) -> None:
         self._observe(table)
         for vm in self._services:
-            self._tell_agent(vm)
+            self._send_rows(vm)
         log_event("info", "table-in-force", revision=table.revision)
 
-    def _tell_agent(self, vm: str) -> None:
+    def _send_rows(self, vm: str) -> None:
         connection = self._pool.get_connection(vm)
         if connection is None or not self.spread.table.revision:
             return
@@ -129,10 +129,10 @@
             vm=vm,
             service=self._services[vm],
         )
-        # The page's revision rises with every edit of another row of it; the agent
-        # needs only what differs.
-        if self._told.get(vm) is None or _differ(self._told[vm], rows.rows):
-            self._told[vm] = rows.rows
+        # The page's revision also rises with edits of other rows on the page. Rows are
+        # sent only when their cells differ.
+        if self._sent_rows.get(vm) is None or _differ(self._sent_rows[vm], rows.rows):
+            self._sent_rows[vm] = rows.rows
             connection.notify(OWN_ROWS_TOPIC, encode_own_rows(rows))
 
     def _receive_pages(self, peer: PeerConnection, body: bytes) -> None:
@@ -157,8 +157,8 @@
     }
 
 
-def _differ(told: tuple[OwnRow, ...], rows: tuple[OwnRow, ...]) -> bool:
-    return [row.cells for row in told] != [row.cells for row in rows]
+def _differ(sent: tuple[OwnRow, ...], rows: tuple[OwnRow, ...]) -> bool:
+    return [row.cells for row in sent] != [row.cells for row in rows]
 
 
 def _log_vms_error(error: HyssopvaneError) -> None:
