--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -17,12 +17,12 @@
 from hyssopvane._internal.policy.store_watch import choose_watch_s
 from hyssopvane._internal.protocol.group_messages import GroupMessage
 from hyssopvane._internal.protocol.replica_headers import ReplicaHeaders
-from hyssopvane._internal.roles.belief_exchange import BeliefExchange
 from hyssopvane._internal.roles.direct_app import DirectApp
 from hyssopvane._internal.roles.direct_call import Tools
 from hyssopvane._internal.roles.gate_keeper import GateKeeper
 from hyssopvane._internal.roles.metrics_app import MetricsApp
 from hyssopvane._internal.roles.process import Role
+from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.state.limits import ReplicaLimits
 from hyssopvane._internal.state.loads import GroupLoad, Roster
@@ -96,7 +96,7 @@
             observe=self._update,
             count=self.metrics.count_event,
         )
-        self.exchange = BeliefExchange(self.feed, seeds=settings.seeds)
+        self.exchange = SnapshotExchange(self.feed, seeds=settings.seeds)
         self._client = ReplicaClient()
         self._nursery: trio.Nursery | None = None
         self._port = DatagramPort(settings.messages, count=self.metrics.count_event)
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -49,7 +49,7 @@
 from hyssopvane._internal.roles.peer_pool import PeerAddress, PeerObserver, PeerPool
 from hyssopvane._internal.roles.read_back import ReadBack
 from hyssopvane._internal.roles.refusing_app import (
-    MalformedNotes,
+    MalformedRequestHandler,
     RefusingApp,
     describe_late_request,
 )
@@ -373,7 +373,7 @@
             app_when_late=RefusingApp(
                 RefusalReason.ENTRY_LEAVING, metrics=self.metrics
             ),
-            note_malformed=MalformedNotes(self.metrics),
+            note_malformed=MalformedRequestHandler(self.metrics),
             describe_late=describe_late_request,
         )
 
--- a/src/hyssopvane/_internal/roles/metrics_app.py
+++ b/src/hyssopvane/_internal/roles/metrics_app.py
@@ -11,7 +11,7 @@
 METRICS_PATH = "/metrics"
 
 
-class Rendered(Protocol):
+class RenderableMetrics(Protocol):
     """Tell what metrics say."""
 
     def render(self) -> bytes:
@@ -21,7 +21,7 @@
 class MetricsApp:
     """Serve the metrics address."""
 
-    def __init__(self, metrics: Rendered) -> None:
+    def __init__(self, metrics: RenderableMetrics) -> None:
         self._metrics = metrics
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -39,8 +39,8 @@
     get_poll_interval_s,
 )
 from hyssopvane._internal.protocol.group_messages import GroupMessage
-from hyssopvane._internal.roles.belief_exchange import BeliefExchange
 from hyssopvane._internal.roles.process import Role
+from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
 from hyssopvane._internal.state.group import (
     Counts,
     EntryState,
@@ -144,7 +144,7 @@
             observe=self._update,
             count=self._metrics.count_event,
         )
-        self._exchange = BeliefExchange(self.feed, seeds=())
+        self._exchange = SnapshotExchange(self.feed, seeds=())
         self._passes = PassMeter()
         self._coordinator = MapCoordinator(nonce=secrets.randbits(31))
         self._publisher = LoadPublisher(
--- a/src/hyssopvane/_internal/roles/refusing_app.py
+++ b/src/hyssopvane/_internal/roles/refusing_app.py
@@ -48,7 +48,7 @@
     return b"%b: %b\r\n" % (headers.REASON, CONNECTION_ENDED)
 
 
-class MalformedNotes:
+class MalformedRequestHandler:
     """Count bytes that are no HTTP request, and mark their answer as not run."""
 
     def __init__(self, metrics: Metrics) -> None:
@@ -58,8 +58,8 @@
         """Return the header lines of the answer."""
         reason = RefusalReason.MALFORMED.value
         self._metrics.count_refusal(reason)
-        marks = {
+        fields = {
             headers.OUTCOME: Outcome.NOT_RUN.value.encode(),
             headers.REASON: reason.encode(),
         }
-        return b"".join(b"%b: %b\r\n" % pair for pair in marks.items())
+        return b"".join(b"%b: %b\r\n" % pair for pair in fields.items())
--- a/src/hyssopvane/_internal/roles/belief_exchange.py
+++ b/src/hyssopvane/_internal/roles/snapshot_exchange.py
@@ -26,9 +26,9 @@
 )
 from hyssopvane._internal.utils.logs import log_event
 
-BELIEFS_PATH = "/beliefs"
+SNAPSHOT_PATH = "/beliefs"
 
-SETTLE_S = 0.25
+FETCH_DELAY_S = 0.25
 """Time that the store's own news get before a peer is asked: they come within
 milliseconds, and asking costs bytes between zones."""
 
@@ -39,7 +39,7 @@
 _OK = 200
 
 
-class BeliefExchange:
+class SnapshotExchange:
     """Ask peers for what is newer, and answer them."""
 
     def __init__(self, feed: RoutingFeed, *, seeds: tuple[str, ...]) -> None:
@@ -47,13 +47,13 @@
         self._seeds = seeds
         self._client = ReplicaClient()
         self._nursery: trio.Nursery | None = None
-        self._asking: set[str] = set()
+        self._fetching: set[str] = set()
 
     def start(self, nursery: trio.Nursery) -> None:
         """Ask the seeds until something is known."""
         self._nursery = nursery
         if self._seeds:
-            nursery.start_soon(self._ask_seeds)
+            nursery.start_soon(self._fetch_from_seeds)
 
     async def close(self) -> None:
         """Close the connections to peers."""
@@ -61,17 +61,17 @@
 
     def observe(self, peer: EntryState) -> None:
         """Take note of how new a peer's beliefs are."""
-        if self._is_newer(peer) and peer.beliefs not in self._asking:
+        if self._is_newer(peer) and peer.beliefs not in self._fetching:
             assert self._nursery is not None
-            self._asking.add(peer.beliefs)
-            self._nursery.start_soon(self._ask_later, peer)
+            self._fetching.add(peer.beliefs)
+            self._nursery.start_soon(self._fetch_later, peer)
 
     async def answer(self, scope: Any, receive: Any, send: Any) -> None:
         """Answer a peer."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
-        known = scope["path"] == BELIEFS_PATH
+        known = scope["path"] == SNAPSHOT_PATH
         body = encode_beliefs(self._feed.export()) if known else b""
         await send_response(send, status=_OK if known else 404, headers=(), body=body)
 
@@ -83,15 +83,15 @@
             or known > feed.replicas_position
         )
 
-    async def _ask_later(self, peer: EntryState) -> None:
+    async def _fetch_later(self, peer: EntryState) -> None:
         try:
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(FETCH_DELAY_S)
             if self._is_newer(peer):
                 await self._fetch(peer.beliefs)
         finally:
-            self._asking.discard(peer.beliefs)
+            self._fetching.discard(peer.beliefs)
 
-    async def _ask_seeds(self) -> None:
+    async def _fetch_from_seeds(self) -> None:
         # After a restart during an outage of the store, only peers know anything.
         await trio.sleep(SEED_INTERVAL_S)
         while not self._feed.is_ready():
@@ -105,12 +105,12 @@
                 async with self._client.call(
                     address,
                     method="GET",
-                    target=BELIEFS_PATH.encode(),
+                    target=SNAPSHOT_PATH.encode(),
                     headers=((b"host", b"peer"),),
                 ) as response:
                     limit = PartLimit(scope, part_s=FETCH_TIMEOUT_S)
                     body = await response.read(max_bytes=MAX_BYTES, limit=limit)
-            beliefs = decode_beliefs(body)
+            snapshot = decode_beliefs(body)
         except (
             ReplicaUnreachable,
             ReplicaFailed,
@@ -119,12 +119,12 @@
         ) as error:
             log_event("info", "beliefs-unavailable", peer=address, why=repr(error))
             return
-        self._feed.merge(beliefs)
+        self._feed.merge(snapshot)
         log_event(
             "info",
             "beliefs-merged",
             peer=address,
-            configuration_revision=beliefs.configuration_revision,
-            replicas_revision=beliefs.replicas_revision,
-            era=beliefs.replicas_era,
+            configuration_revision=snapshot.configuration_revision,
+            replicas_revision=snapshot.replicas_revision,
+            era=snapshot.replicas_era,
         )
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -19,7 +19,7 @@
     encode_message,
 )
 from hyssopvane._internal.protocol.headers import join_headers
-from hyssopvane._internal.roles.belief_exchange import BeliefExchange
+from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.transport.replica_client import (
     ReplicaFailed,
@@ -102,7 +102,7 @@
 
     feed: RoutingFeed
     client: DirectStoreClient
-    exchange: BeliefExchange
+    exchange: SnapshotExchange
     scope: trio.CancelScope
     in_touch_from: float
     version: int = 0
@@ -262,7 +262,7 @@
         assert self._nursery is not None
         self._nursery.start_soon(self._run_feed, feed, scope)
         touch = trio.current_time() + CONTACT_S
-        return Process(feed, client, BeliefExchange(feed, seeds=()), scope, touch)
+        return Process(feed, client, SnapshotExchange(feed, seeds=()), scope, touch)
 
     async def _run_feed(self, feed: RoutingFeed, scope: trio.CancelScope) -> None:
         with scope:
