--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -34,7 +34,7 @@
 )
 from hyssopvane._internal.roles.peer_listener import serve_peers
 from hyssopvane._internal.roles.read_back import add_explain_topic
-from hyssopvane._internal.roles.resting_target import find_refusal, make_refused
+from hyssopvane._internal.roles.target_refusal import find_refusal, make_refused
 from hyssopvane._internal.roles.topics import TopicRouter
 from hyssopvane._internal.state.attempts import AttemptRegister
 from hyssopvane._internal.transport.asgi_server import serve_until_cancelled
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -17,7 +17,7 @@
     Open,
     Refused,
 )
-from hyssopvane._internal.roles.resting_target import observe_rest
+from hyssopvane._internal.roles.target_refusal import observe_backoff
 from hyssopvane._internal.state.attempts import AttemptRegister
 from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
 from hyssopvane._internal.transport.peer_connection import PeerStream
@@ -72,7 +72,7 @@
             self._record("answered", "the target's answer is whole")
 
     async def _relay(self, response: httpcore.Response) -> None:
-        observe_rest(self._rest, response)
+        observe_backoff(self._rest, response)
         self._stream.send(
             Head(response.status, headers.select_for_caller(tuple(response.headers)))
         )
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -240,7 +240,7 @@
             prompt_tokens=request.prompt_tokens,
             avoid=frozenset(request.tried),
         )
-        return await self._tools.gates.wait_for_place(
+        return await self._tools.gates.wait_for_assignment(
             request.service, waiting, weight=1.0
         )
 
@@ -371,7 +371,7 @@
             log_event("warning", "rest-unreadable", replica=replica.id, why=error)
             return
         if rest_s is not None:
-            self._tools.gates.observe_rest(self._request.service, replica, rest_s)
+            self._tools.gates.observe_backoff(self._request.service, replica, rest_s)
 
     def _note_refusal(self, replica: Replica, response: ReplicaResponse) -> None:
         gate = self._tools.gates.get_gate(self._request.service)
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -25,7 +25,7 @@
 from hyssopvane._internal.state.routing import Replica, RoutingTable
 from hyssopvane._internal.utils.logs import log_event
 
-SETTLE_INTERVAL_S = 0.01
+DISPATCH_INTERVAL_S = 0.01
 """Pause between looks at what has waited too long."""
 
 EXPIRE_INTERVAL_S = 0.5
@@ -68,7 +68,7 @@
 
     def start(self, nursery: trio.Nursery) -> None:
         """Look at what waits from time to time."""
-        nursery.start_soon(self._run)
+        nursery.start_soon(self._dispatch_regularly)
         nursery.start_soon(self._expire_notices)
 
     def update(self, table: RoutingTable | None, replicas: dict[str, Replica]) -> None:
@@ -96,7 +96,7 @@
             if route.pause_s:
                 for part in route.split:
                     self.get_gate(part.service).set_pause(route.pause_s)
-        self.settle()
+        self.dispatch()
 
     def get_gate(self, service: str) -> ServiceGate:
         """Return the gate of a service."""
@@ -119,10 +119,10 @@
             for restarted in self._gates[service].observe_loads(members):
                 self._observe_restart(restarted)
 
-    def observe_entries(self, own: str, near: Iterable[str]) -> None:
+    def observe_entries(self, own: str, local: Iterable[str]) -> None:
         """Learn the entries of the own zone by their addresses."""
-        self.homes.update(own, near)
-        self.entry_counter.update(own, near)
+        self.homes.update(own, local)
+        self.entry_counter.update(own, local)
 
     def observe_answer(
         self, service: str, replica: Replica, per_s: float | None
@@ -134,15 +134,15 @@
         if gate.note_limit(replica, per_s, now=trio.current_time()):
             _log_limit(replica.address, per_s, gate, source="answer")
 
-    def observe_rest(self, service: str, replica: Replica, rest_s: float) -> None:
+    def observe_backoff(self, service: str, replica: Replica, backoff_s: float) -> None:
         """Take the time without requests that an answer of a replica asks for."""
         gate = self.get_gate(service)
-        if gate.note_rest(replica, rest_s, now=trio.current_time()):
+        if gate.note_rest(replica, backoff_s, now=trio.current_time()):
             log_event(
                 "info",
                 "replica-resting",
                 replica=replica.id,
-                rest_s=rest_s,
+                rest_s=backoff_s,
                 resting=self._notices.count_paused(trio.current_time()),
             )
 
@@ -152,30 +152,34 @@
         if gate.note_leaving(replica, now=trio.current_time()):
             log_event("info", "replica-leaving", replica=replica.id)
 
-    def observe_limits(self, told: ReplicaLimits) -> None:
+    def observe_limits(self, message: ReplicaLimits) -> None:
         """Take what another entry tells of request limits."""
         now = trio.current_time()
-        for news in told.reports:
-            service = self._services.get(news.replica)
+        for report in message.reports:
+            service = self._services.get(report.replica)
             if service is None:
                 continue
             gate = self._gates[service]
-            if gate.observe_peer_limit(news, now=now):
+            if gate.observe_peer_limit(report, now=now):
                 _log_limit(
-                    news.replica, news.per_s, gate, source="entry", age_s=news.age_s
+                    report.replica,
+                    report.per_s,
+                    gate,
+                    source="entry",
+                    age_s=report.age_s,
                 )
 
     def list_limits(self) -> ReplicaLimits:
         """Return what other entries are told of request limits now."""
         now = trio.current_time()
-        news: list[LimitReport] = []
+        reports: list[LimitReport] = []
         for gate in self._gates.values():
             for address in gate.limits.expire(now):
                 log_event("info", "limit-expired", replica=address)
-            news += gate.limits.list_updates(now)
-        return ReplicaLimits(tuple(news))
+            reports += gate.limits.list_updates(now)
+        return ReplicaLimits(tuple(reports))
 
-    async def wait_for_place(
+    async def wait_for_assignment(
         self, service: str, waiting: QueuedRequest, *, weight: float
     ) -> Assignment | Rejection:
         """Wait until a request is placed or refused."""
@@ -183,7 +187,7 @@
         request_id = waiting.item.request_id
         waiter = self._waiters[request_id] = _Waiter()
         gate.add(waiting, weight=weight)
-        self._settle(gate)
+        self._dispatch(gate)
         try:
             await waiter.event.wait()
         except trio.Cancelled:
@@ -201,29 +205,29 @@
         """Give a place back."""
         gate = self.get_gate(service)
         gate.finish(replica, failed=failed, now=trio.current_time())
-        self._settle(gate)
+        self._dispatch(gate)
 
-    def settle(self) -> None:
+    def dispatch(self) -> None:
         """Decide on everything that waits."""
         for gate in self._gates.values():
-            self._settle(gate)
+            self._dispatch(gate)
 
-    def _settle(self, gate: ServiceGate) -> None:
+    def _dispatch(self, gate: ServiceGate) -> None:
         if not gate.count_waiting():
             return
-        was_closed = gate.outages.in_outage
+        was_in_outage = gate.outages.in_outage
         decisions = gate.dispatch(trio.current_time())
-        if gate.outages.in_outage != was_closed:
-            _log_opening(gate, decided=len(decisions))
+        if gate.outages.in_outage != was_in_outage:
+            _log_outage(gate, decided=len(decisions))
         for decision in decisions:
             waiter = self._waiters[decision.request_id]
             waiter.decision = decision
             waiter.event.set()
 
-    async def _run(self) -> None:
+    async def _dispatch_regularly(self) -> None:
         while True:
-            await trio.sleep(SETTLE_INTERVAL_S)
-            self.settle()
+            await trio.sleep(DISPATCH_INTERVAL_S)
+            self.dispatch()
 
     async def _expire_notices(self) -> None:
         while True:
@@ -232,7 +236,7 @@
                 log_event("info", "replica-rested", replica=replica_id)
 
 
-def _log_opening(gate: ServiceGate, *, decided: int) -> None:
+def _log_outage(gate: ServiceGate, *, decided: int) -> None:
     closed = gate.outages.in_outage
     log_event(
         "warning" if closed else "info",
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -20,10 +20,10 @@
     Refused,
 )
 from hyssopvane._internal.roles.kept_answer import AnswerBudget, KeptAnswer
-from hyssopvane._internal.roles.resting_target import (
+from hyssopvane._internal.roles.target_refusal import (
     find_refusal,
     make_refused,
-    observe_rest,
+    observe_backoff,
 )
 from hyssopvane._internal.state.attempts import AttemptRegister, CustomerKey
 from hyssopvane._internal.state.decisions import DecisionLog, DecisionRecord
@@ -181,7 +181,7 @@
             headers=opening.headers,
             body=body,
         ) as response:
-            observe_rest(self._rest, response)
+            observe_backoff(self._rest, response)
             fields = headers.select_for_caller(tuple(response.headers))
             answer.begin(Head(response.status, fields))
             async for data in response.aiter_stream():
