--- a/src/hyssopvane/_internal/roles/direct_app.py
+++ b/src/hyssopvane/_internal/roles/direct_app.py
@@ -14,9 +14,9 @@
 from hyssopvane._internal.roles.call import AnswerCut, run_until_disconnect
 from hyssopvane._internal.roles.direct_answer import send_answer
 from hyssopvane._internal.roles.direct_call import (
+    CallDependencies,
     DirectCall,
     DirectRequest,
-    Tools,
 )
 from hyssopvane._internal.state.routing import Customer, Route, RoutingTable
 from hyssopvane._internal.transport.asgi_messages import (
@@ -33,23 +33,25 @@
 _DEFAULT_TOKENS = 1
 _MAX_TOKENS = 10**9
 """Largest number of tokens that is believed; no engine holds as many."""
-_NOT_READY_RETRY_S = 0.5
+_NOT_READY_RETRY_AFTER_S = 0.5
 _STARTING_S = 0.5
 """Time that a request waits for the first configuration after the entry's start.
 
 It is there within some tenths of a second. After a loss of power a caller's first try
 has met a machine without power; refused now, it may have no other one left.
 """
-_LEAVING_RETRY_S = 0.05
+_LEAVING_RETRY_AFTER_S = 0.05
 """Other entries are at hand at once; a new connection reaches one of them."""
 
 
 class DirectApp:
     """Serve the callers' listener."""
 
-    def __init__(self, *, feed: RoutingFeed, tools: Tools, random: Random) -> None:
+    def __init__(
+        self, *, feed: RoutingFeed, dependencies: CallDependencies, random: Random
+    ) -> None:
         self._feed = feed
-        self._tools = tools
+        self._dependencies = dependencies
         self._random = random
         self._numbers = count()
         self.running = 0
@@ -72,7 +74,9 @@
     async def _serve(self, scope: Any, receive: Any, send: Any) -> None:
         arrived_at = trio.current_time()
         fields = join_headers(scope["headers"])
-        request_id = fields.get(self._tools.names.request_id, b"").decode("latin1")
+        request_id = fields.get(self._dependencies.names.request_id, b"").decode(
+            "latin1"
+        )
         try:
             found = await self._read_request(
                 scope, receive, fields, request_id, arrived_at
@@ -81,7 +85,7 @@
             self._log_end(request_id, "caller-gone", arrived_at)
             return
         if isinstance(found, DirectAnswer):
-            self._tools.metrics.count_refusal(found.reason.value)
+            self._dependencies.metrics.count_refusal(found.reason.value)
             self._log_end(
                 request_id,
                 found.reason.value,
@@ -92,8 +96,8 @@
             )
             await send_answer(send, found, request_id=request_id)
             return
-        self._tools.budget.add_fresh(found.service, now=arrived_at)
-        call = DirectCall(found, self._tools, send)
+        self._dependencies.budget.add_fresh(found.service, now=arrived_at)
+        call = DirectCall(found, self._dependencies, send)
         await self._run(found, call, receive)
 
     async def _run(
@@ -115,18 +119,18 @@
             cut = True
         finally:
             # Also when the process ends and takes the request with it.
-            self._note_end(request, call)
+            self._record_end(request, call)
         if cut:
             raise AnswerCut(request.request_id)
 
-    def _note_end(self, request: DirectRequest, call: DirectCall) -> None:
+    def _record_end(self, request: DirectRequest, call: DirectCall) -> None:
         now = trio.current_time()
-        metrics = self._tools.metrics
+        metrics = self._dependencies.metrics
         metrics.count_request(service=request.service, outcome=call.outcome)
         metrics.record_duration(
             service=request.service, seconds=now - request.arrived_at
         )
-        gate = self._tools.gates.get_gate(request.service)
+        gate = self._dependencies.gates.get_gate(request.service)
         log_event(
             "info",
             "request",
@@ -159,16 +163,16 @@
         request_id: str,
         arrived_at: float,
     ) -> DirectRequest | DirectAnswer:
-        deadline_s = _read_deadline_s(fields.get(self._tools.names.deadline_ms))
+        deadline_s = _read_deadline_s(fields.get(self._dependencies.names.deadline_ms))
         with trio.move_on_after(min(_STARTING_S, deadline_s or _STARTING_S)):
             await self._feed.wait_until_ready()
         table = self._feed.table
         if table is None or not self._feed.is_ready():
-            return DirectAnswer(DirectRefusal.NOT_READY, _NOT_READY_RETRY_S)
+            return DirectAnswer(DirectRefusal.NOT_READY, _NOT_READY_RETRY_AFTER_S)
         if not request_id:
             return DirectAnswer(DirectRefusal.MALFORMED)
         if self.refusing:
-            return DirectAnswer(DirectRefusal.LEAVING, _LEAVING_RETRY_S)
+            return DirectAnswer(DirectRefusal.LEAVING, _LEAVING_RETRY_AFTER_S)
         headers: Headers = tuple(
             (bytes(name).lower(), bytes(value)) for name, value in scope["headers"]
         )
@@ -220,7 +224,7 @@
         query: bytes = scope.get("query_string", b"")
         target = path + (b"?" + query if query else b"")
         name = "" if customer is None else customer.name
-        tokens = _read_tokens(fields.get(self._tools.names.token_counts))
+        tokens = _read_tokens(fields.get(self._dependencies.names.token_counts))
         return DirectRequest(
             request_id=request_id,
             number=next(self._numbers),
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -51,13 +51,13 @@
 MAX_PLAIN_ANSWER_BYTES = 16 * 1024 * 1024
 """Largest answer of a plain service; it is held whole before it is passed on."""
 
-IN_TIME_SHARE = 0.4
+ON_TIME_WAIT_SHARE = 0.4
 """Part of the objective that a request may wait and still be answered in time.
 
 The rest is for reading the prompt and for the first pass: about 0.2 s of 0.5.
 """
 
-HOLD_SHARE = 2.4
+MAX_WAIT_SHARE = 2.4
 """Part of the objective after which a request that found no place is refused.
 
 The map of the experts follows a change of demand within about a second; meanwhile a
@@ -74,17 +74,17 @@
 MIN_SEND_S = 0.02
 """Time that must be left for sending a request to make sense."""
 
-NOT_RUN_RETRY_S = 0.3
+NOT_RUN_RETRY_AFTER_S = 0.3
 """Time until a caller is asked back whose request no replica would run."""
 
-BANNED_RETRY_S = 5.0
+BANNED_RETRY_AFTER_S = 5.0
 """Time until a caller is asked back whose request has crashed replicas."""
 
 _METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 _OK = range(200, 300)
 _SERVER_ERROR = 500
 _MISDIRECTED = 421
-_SHOWN_BYTES = 20
+_MAX_LOGGED_BYTES = 20
 """Part of a header's value that a log line shows."""
 
 
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
+class CallDependencies:
     """Hold what the calls of one entry share."""
 
     names: ReplicaHeaders
@@ -137,7 +137,7 @@
     budget: RepeatBudget
 
 
-class _TryAgain(Exception):
+class _AttemptFailed(Exception):
     """Tell that an attempt brought nothing, and whether another one may."""
 
     def __init__(
@@ -158,9 +158,11 @@
 class DirectCall:
     """Run one request to its end."""
 
-    def __init__(self, request: DirectRequest, tools: Tools, send: Any) -> None:
+    def __init__(
+        self, request: DirectRequest, dependencies: CallDependencies, send: Any
+    ) -> None:
         self._request = request
-        self._tools = tools
+        self._dependencies = dependencies
         self._send = send
         self._stream_started = False
         self._last_event_id: bytes | None = None
@@ -183,22 +185,22 @@
     async def _run(self) -> None:
         request = self._request
         while True:
-            decision = await self._wait_for_place()
+            decision = await self._wait_for_assignment()
             if isinstance(decision, Rejection):
-                await self._give_up(self._describe_turn(decision))
+                await self._give_up(self._describe_rejection(decision))
                 return
             try:
                 await self._attempt(decision.replica)
                 return
             except _Withdrawn:
-                self._tools.metrics.count_event("request-withdrawn")
+                self._dependencies.metrics.count_event("request-withdrawn")
                 log_event(
                     "info",
                     "request-withdrawn",
                     request=request.request_id,
                     replica=decision.replica.id,
                 )
-            except _TryAgain as failure:
+            except _AttemptFailed as failure:
                 log_event(
                     "info",
                     "attempt-failed",
@@ -213,16 +215,18 @@
                 if not self._may_repeat(failure):
                     await self._give_up(self._describe_failure())
                     return
-                self._tools.metrics.count_retry(str(failure).split(":")[0])
+                self._dependencies.metrics.count_retry(str(failure).split(":")[0])
 
-    async def _wait_for_place(self) -> Assignment | Rejection:
+    async def _wait_for_assignment(self) -> Assignment | Rejection:
         request = self._request
         now = trio.current_time()
-        if self._tools.suspects.is_banned(request.fingerprint, now=now):
-            return Rejection(request.request_id, DirectRefusal.CRASHING, BANNED_RETRY_S)
+        if self._dependencies.suspects.is_banned(request.fingerprint, now=now):
+            return Rejection(
+                request.request_id, DirectRefusal.CRASHING, BANNED_RETRY_AFTER_S
+            )
         objective_s = request.route.objective_s
-        late_at = request.arrived_at + objective_s * IN_TIME_SHARE
-        refuse_at = request.arrived_at + objective_s * HOLD_SHARE
+        late_at = request.arrived_at + objective_s * ON_TIME_WAIT_SHARE
+        refuse_at = request.arrived_at + objective_s * MAX_WAIT_SHARE
         if request.attempts or self._stream_started:
             refuse_at = max(refuse_at, now + RESUME_WAIT_S)
         item = QueuedItem(
@@ -240,7 +244,7 @@
             prompt_tokens=request.prompt_tokens,
             avoid=frozenset(request.tried),
         )
-        return await self._tools.gates.wait_for_assignment(
+        return await self._dependencies.gates.wait_for_assignment(
             request.service, waiting, weight=1.0
         )
 
@@ -252,7 +256,7 @@
         try:
             await self._exchange(replica)
             failed = False
-        except _TryAgain as failure:
+        except _AttemptFailed as failure:
             request.tried.add(replica.incarnation)
             failed = failure.failed
             raise
@@ -264,16 +268,16 @@
             failed = False
             raise
         finally:
-            self._tools.gates.finish(request.service, replica, failed=failed)
+            self._dependencies.gates.finish(request.service, replica, failed=failed)
 
     async def _exchange(self, replica: Replica) -> None:
         request = self._request
         if request.deadline - trio.current_time() < MIN_SEND_S:
-            raise _TryAgain("too-late", not_run=True, failed=False)
+            raise _AttemptFailed("too-late", not_run=True, failed=False)
         request.attempts += 1
-        gate = self._tools.gates.get_gate(request.service)
+        gate = self._dependencies.gates.get_gate(request.service)
         try:
-            async with self._tools.client.call(
+            async with self._dependencies.client.call(
                 replica.address,
                 method=request.method,
                 target=request.target,
@@ -282,22 +286,22 @@
                 # Opening a connection takes up to a second, and the replica may have
                 # answered another request meanwhile.
                 may_send=lambda: gate.may_send(replica, trio.current_time()),
-                observe_late=partial(self._note_late, replica),
+                observe_late=partial(self._record_late_answer, replica),
             ) as response:
                 await self._relay(replica, response)
         except CallWithdrawn as error:
             request.attempts -= 1
             raise _Withdrawn from error
         except ReplicaUnreachable as error:
-            raise _TryAgain(f"unreachable: {error}", not_run=True) from error
+            raise _AttemptFailed(f"unreachable: {error}", not_run=True) from error
         except ReplicaFailed as error:
-            self._tools.suspects.record_loss(
+            self._dependencies.suspects.record_loss(
                 request.fingerprint, replica.incarnation, now=trio.current_time()
             )
-            raise _TryAgain(f"failed: {error}", not_run=False) from error
+            raise _AttemptFailed(f"failed: {error}", not_run=False) from error
 
     def _make_headers(self, replica: Replica) -> Headers:
-        request, names = self._request, self._tools.names
+        request, names = self._request, self._dependencies.names
         left_ms = int((request.caller_deadline - trio.current_time()) * 1_000)
         replaced: list[tuple[bytes, bytes]] = [
             (names.deadline_ms, str(max(1, left_ms)).encode()),
@@ -313,13 +317,13 @@
         return headers
 
     async def _relay(self, replica: Replica, response: ReplicaResponse) -> None:
-        names = self._tools.names
+        names = self._dependencies.names
         echoed = response.fields.get(names.request_id, b"").decode("latin1")
         if echoed and echoed != self._request.request_id:
             raise ReplicaFailed("the answer belongs to another request")
-        self._note_replica_state(replica, response)
+        self._record_replica_state(replica, response)
         if names.not_executed in response.fields or response.status == _MISDIRECTED:
-            self._note_refusal(replica, response)
+            self._handle_refusal(replica, response)
         if not echoed:
             raise ReplicaFailed("the answer names no request")
         signed = names.signature in response.fields
@@ -327,64 +331,68 @@
             raise ReplicaFailed("a success without a signature")
         if b"content-encoding" in response.fields:
             raise ReplicaFailed("an encoded body is not the replica's")
-        self._tools.gates.get_gate(self._request.service).note_served(replica)
+        self._dependencies.gates.get_gate(self._request.service).note_served(replica)
         streamed = self._request.route.kind is RequestKind.STREAM
         if streamed and response.status in _OK:
             await self._relay_stream(response)
         else:
             await self._relay_whole(response)
 
-    def _note_late(self, replica: Replica, head: AnswerHead) -> None:
+    def _record_late_answer(self, replica: Replica, head: AnswerHead) -> None:
         # What an answer says of its replica holds from the moment it was sent, also
         # where the caller has left meanwhile.
-        echoed = head.fields.get(self._tools.names.request_id, b"")
+        echoed = head.fields.get(self._dependencies.names.request_id, b"")
         if echoed.decode("latin1") == self._request.request_id:
-            self._note_replica_state(replica, head)
+            self._record_replica_state(replica, head)
 
-    def _note_replica_state(self, replica: Replica, response: AnswerHead) -> None:
+    def _record_replica_state(self, replica: Replica, response: AnswerHead) -> None:
         """Take what an answer says of the replica that made it."""
         if response.status == _MISDIRECTED:
             # Another replica has the address now.
             return
-        self._note_limit(replica, response)
-        self._note_rest(replica, response)
-        if says_leaving(response.fields, self._tools.names):
-            self._tools.gates.observe_leaving(self._request.service, replica)
+        self._record_limit(replica, response)
+        self._record_backoff(replica, response)
+        if says_leaving(response.fields, self._dependencies.names):
+            self._dependencies.gates.observe_leaving(self._request.service, replica)
 
-    def _note_limit(self, replica: Replica, response: AnswerHead) -> None:
-        names = self._tools.names
+    def _record_limit(self, replica: Replica, response: AnswerHead) -> None:
+        names = self._dependencies.names
         try:
             per_s = read_request_limit(response.fields, names)
         except ProtocolError as error:
             # What was said before still holds; the caller gets its answer all the same.
-            self._tools.metrics.count_event("limit-unreadable")
+            self._dependencies.metrics.count_event("limit-unreadable")
             log_event("warning", "limit-unreadable", replica=replica.id, why=error)
             return
         if per_s is not None or names.signature in response.fields:
-            self._tools.gates.observe_answer(self._request.service, replica, per_s)
+            self._dependencies.gates.observe_answer(
+                self._request.service, replica, per_s
+            )
 
-    def _note_rest(self, replica: Replica, response: AnswerHead) -> None:
+    def _record_backoff(self, replica: Replica, response: AnswerHead) -> None:
         try:
-            rest_s = read_rest(response.status, response.fields)
+            backoff_s = read_rest(response.status, response.fields)
         except ProtocolError as error:
-            self._tools.metrics.count_event("rest-unreadable")
+            self._dependencies.metrics.count_event("rest-unreadable")
             log_event("warning", "rest-unreadable", replica=replica.id, why=error)
             return
-        if rest_s is not None:
-            self._tools.gates.observe_backoff(self._request.service, replica, rest_s)
+        if backoff_s is not None:
+            self._dependencies.gates.observe_backoff(
+                self._request.service, replica, backoff_s
+            )
 
-    def _note_refusal(self, replica: Replica, response: ReplicaResponse) -> None:
-        gate = self._tools.gates.get_gate(self._request.service)
+    def _handle_refusal(self, replica: Replica, response: ReplicaResponse) -> None:
+        gate = self._dependencies.gates.get_gate(self._request.service)
         now = trio.current_time()
         if response.status == _MISDIRECTED:
             gate.mark_replaced(replica)
         elif gate.may_send(replica, now):
             gate.note_full(replica, now=now, until=now + FULL_REST_S)
-        raise _TryAgain(
+        raise _AttemptFailed(
             f"refused-{response.status}",
             not_run=True,
             failed=False,
-            retry_after=_show_retry_after(response),
+            retry_after=_format_retry_after(response),
         )
 
     async def _relay_whole(self, response: ReplicaResponse) -> None:
@@ -393,10 +401,10 @@
         self._last_answer = (response.status, headers, body)
         if response.status >= _SERVER_ERROR:
             self._request.may_have_run = True
-            raise _TryAgain(
+            raise _AttemptFailed(
                 f"status-{response.status}",
                 not_run=False,
-                retry_after=_show_retry_after(response),
+                retry_after=_format_retry_after(response),
             )
         await self._send_last_answer()
 
@@ -422,7 +430,7 @@
         cutter = EventCutter()
         async for part in response.iterate():
             for event in cutter.feed(part):
-                self._note_event(event)
+                self._check_event(event)
                 self.pauses.observe(trio.current_time())
                 await self._start_stream(response)
                 await self._send_part(event.data)
@@ -433,12 +441,12 @@
         self.outcome = "answered"
         await self._send({"type": "http.response.body", "body": b""})
 
-    def _note_event(self, event: StreamEvent) -> None:
+    def _check_event(self, event: StreamEvent) -> None:
         if event.id is None:
             return
         # A replica that begins anew instead of going on would give the caller the same
         # events twice.
-        if self._last_event_id is not None and _is_behind(
+        if self._last_event_id is not None and _is_already_sent(
             event.id, self._last_event_id
         ):
             raise ReplicaFailed("the events go back")
@@ -466,7 +474,7 @@
             {"type": "http.response.body", "body": data, "more_body": True}
         )
 
-    def _may_repeat(self, failure: _TryAgain) -> bool:
+    def _may_repeat(self, failure: _AttemptFailed) -> bool:
         request = self._request
         if not failure.not_run and not request.route.repeatable:
             return False
@@ -474,26 +482,28 @@
             return False
         if trio.current_time() + MIN_SEND_S >= request.deadline:
             return False
-        return self._tools.budget.take(request.service, now=trio.current_time())
+        return self._dependencies.budget.take(request.service, now=trio.current_time())
 
-    def _describe_turn(self, turned: Rejection) -> DirectAnswer:
+    def _describe_rejection(self, rejection: Rejection) -> DirectAnswer:
         if self._request.may_have_run:
             return self._describe_failure()
-        return DirectAnswer(DirectRefusal(turned.reason), turned.retry_after_s)
+        return DirectAnswer(DirectRefusal(rejection.reason), rejection.retry_after_s)
 
     def _describe_failure(self) -> DirectAnswer:
         if self._request.may_have_run:
             return DirectAnswer(DirectRefusal.REPLICA_FAILED)
-        gate = self._tools.gates.get_gate(self._request.service)
-        rest_s = gate.measure_rest_s(trio.current_time())
-        return DirectAnswer(DirectRefusal.REPLICA_REFUSED, max(NOT_RUN_RETRY_S, rest_s))
+        gate = self._dependencies.gates.get_gate(self._request.service)
+        backoff_s = gate.measure_rest_s(trio.current_time())
+        return DirectAnswer(
+            DirectRefusal.REPLICA_REFUSED, max(NOT_RUN_RETRY_AFTER_S, backoff_s)
+        )
 
     def _decide_timeout(self) -> DirectAnswer:
         request = self._request
         if request.attempts:
             # What was sent may be running: nothing can be promised.
             return DirectAnswer(DirectRefusal.TIMED_OUT)
-        return DirectAnswer(DirectRefusal.TIMED_OUT_UNSENT, NOT_RUN_RETRY_S)
+        return DirectAnswer(DirectRefusal.TIMED_OUT_UNSENT, NOT_RUN_RETRY_AFTER_S)
 
     async def _give_up(self, answer: DirectAnswer) -> None:
         if self._stream_started:
@@ -506,16 +516,16 @@
         self.outcome = answer.reason.value
         self.status = answer.status
         self.ended = True
-        self._tools.metrics.count_refusal(answer.reason.value)
+        self._dependencies.metrics.count_refusal(answer.reason.value)
         await send_answer(self._send, answer, request_id=self._request.request_id)
 
 
-def _show_retry_after(response: ReplicaResponse) -> str:
+def _format_retry_after(response: ReplicaResponse) -> str:
     value = response.fields.get(RETRY_AFTER)
-    return "-" if value is None else value[:_SHOWN_BYTES].decode("latin1")
+    return "-" if value is None else value[:_MAX_LOGGED_BYTES].decode("latin1")
 
 
-def _is_behind(event_id: bytes, last: bytes) -> bool:
+def _is_already_sent(event_id: bytes, last: bytes) -> bool:
     if not (event_id.isdigit() and last.isdigit()):
         return event_id == last
     return int(event_id) <= int(last)
