--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -38,21 +38,21 @@
 from hyssopvane._internal.utils.deferred_metrics import DeferredMetrics
 from hyssopvane._internal.utils.logs import log_event
 
-RETURN_TOLD_S = 3.0
+RETURN_REPORT_S = 3.0
 """Time for which other entries are told that the store has come back: what lapsed
 meanwhile is back within two seconds."""
 
-LOOK_S = 0.25
+REPORT_INTERVAL_S = 0.25
 """Pause between two looks for groups whose load no longer comes."""
 
-TELL_PEERS_EVERY = 2
+PEER_REPORT_EVERY = 2
 """Looks between two words to other entries on how new this one's beliefs are."""
 
-TELL_LEADERS_EVERY = 4
+LEADER_REPORT_EVERY = 4
 """Looks between two words to the agents that lead groups or lead them next: they tell
 loads to whoever has spoken in the last seconds."""
 
-_LISTEN_SHARE = 0.36
+_ACCEPT_SHARE = 0.36
 """Part of the grace period in which new requests still come in.
 
 The balancer takes an entry out after two missed readiness checks, a second apart.
@@ -87,7 +87,7 @@
         self.gates = GateKeeper(
             random=random,
             availability_zone=settings.availability_zone,
-            observe_restart=self._forget_connections,
+            observe_restart=self._close_idle_connections,
         )
         self.feed = RoutingFeed(
             store,
@@ -133,7 +133,7 @@
             )
             self.exchange.start(nursery)
             await self._port.start(nursery, self._receive)
-            nursery.start_soon(self._tell_state)
+            nursery.start_soon(self._send_state)
             self.readiness_address = await nursery.start(
                 serve_until_cancelled, self._answer_balancer, self.settings.readiness
             )
@@ -160,7 +160,7 @@
         self.leaving = True
         self._leaving_event.set()
         log_event("info", "draining", running=self.app.running)
-        await trio.sleep(self.settings.grace_s * _LISTEN_SHARE)
+        await trio.sleep(self.settings.grace_s * _ACCEPT_SHARE)
         self.app.refusing = True
         self._shutdown.set()
         await self._callers_closed.wait()
@@ -182,7 +182,7 @@
             self.metrics.set_level(level, value)
         self.gates.update(self.feed.table, self.feed.replicas)
 
-    def _forget_connections(self, address: str) -> None:
+    def _close_idle_connections(self, address: str) -> None:
         """Close the connections that wait for a replica that is gone.
 
         They lead to its earlier start, and a request sent on one of them may hang until
@@ -204,36 +204,36 @@
             case Roster():
                 self._inbox.add_roster(message, now=trio.current_time())
                 if message.relay:
-                    self._pass_on(message, message)
+                    self._forward(message, message)
             case GroupLoad():
-                self._take_load(message)
+                self._handle_load(message)
             case ReplicaLimits():
                 self.gates.observe_limits(message)
             case _:
                 log_event("debug", "datagram-unexpected", sender=sender)
 
-    def _take_load(self, load: GroupLoad) -> None:
+    def _handle_load(self, load: GroupLoad) -> None:
         roster = self._inbox.accept(load, now=trio.current_time())
         if roster is None:
             self.metrics.count_event("load-unused")
             return
         self.gates.observe_load(load, roster)
         if load.relay:
-            self._pass_on(load, roster)
+            self._forward(load, roster)
 
-    def _pass_on(self, message: GroupLoad | Roster, roster: Roster) -> None:
+    def _forward(self, message: GroupLoad | Roster, roster: Roster) -> None:
         """Send what a leader tells to the other entries of the zone."""
-        near = [
+        local = [
             one.address
             for one in roster.entries
             if one.availability_zone == self.settings.availability_zone
             and one.address != self._port.address
         ]
-        if near and self._nursery is not None:
-            passed_on = replace(message, relay=False)
-            self._nursery.start_soon(self._port.send, passed_on, *near)
+        if local and self._nursery is not None:
+            forwarded = replace(message, relay=False)
+            self._nursery.start_soon(self._port.send, forwarded, *local)
 
-    async def _tell_state(self) -> None:
+    async def _send_state(self) -> None:
         for number in count():
             now = trio.current_time()
             state = EntryState(
@@ -243,23 +243,25 @@
                 replicas_revision=self.feed.replicas_revision,
                 replicas_era=self.feed.replicas_position.era,
                 availability_zone=self.settings.availability_zone,
-                store_returned_s=self._measure_return(now),
+                store_returned_s=self._get_return_age_s(now),
             )
-            told = set()
-            if number % TELL_PEERS_EVERY == 0:
+            receivers = set()
+            if number % PEER_REPORT_EVERY == 0:
                 peers = self._choose_peers()
-                told.update(peers)
+                receivers.update(peers)
                 limits = self.gates.list_limits()
                 if limits.reports and peers:
                     await self._port.send(limits, *peers)
-            if number % TELL_LEADERS_EVERY == 0:
-                told.update(map(self._find_agent, self._inbox.list_contacts()))
-            await self._port.send(state, *told)
-            self._note_silence(now)
-            await self._complain(replace(state, lacks_load=True), now)
-            await trio.sleep(LOOK_S)
-
-    def _note_silence(self, now: float) -> None:
+            if number % LEADER_REPORT_EVERY == 0:
+                receivers.update(
+                    map(self._get_agent_address, self._inbox.list_contacts())
+                )
+            await self._port.send(state, *receivers)
+            self._log_silent_groups(now)
+            await self._query_loads(replace(state, lacks_load=True), now)
+            await trio.sleep(REPORT_INTERVAL_S)
+
+    def _log_silent_groups(self, now: float) -> None:
         silent = self._inbox.list_silent(now)
         for group in silent - self._silent:
             log_event("warning", "group-silent", group=group)
@@ -267,8 +269,11 @@
             log_event("info", "group-heard", group=group)
         self._silent = silent
 
-    def _measure_return(self, now: float) -> float | None:
-        if self.feed.returned_at is None or now - self.feed.returned_at > RETURN_TOLD_S:
+    def _get_return_age_s(self, now: float) -> float | None:
+        if (
+            self.feed.returned_at is None
+            or now - self.feed.returned_at > RETURN_REPORT_S
+        ):
             return None
         return now - self.feed.returned_at
 
@@ -284,13 +289,13 @@
             if one.address != self._port.address
         ]
         zone = self.settings.availability_zone
-        near = [one.address for one in others if one.availability_zone == zone]
-        far = [one.address for one in others if one.availability_zone != zone]
-        self.gates.observe_entries(self._port.address, near)
-        self._store.watch_s = choose_watch_s(self._port.address, near)
-        return near + self._random.sample(sorted(far), min(1, len(far)))
+        local = [one.address for one in others if one.availability_zone == zone]
+        remote = [one.address for one in others if one.availability_zone != zone]
+        self.gates.observe_entries(self._port.address, local)
+        self._store.watch_s = choose_watch_s(self._port.address, local)
+        return local + self._random.sample(sorted(remote), min(1, len(remote)))
 
-    async def _complain(self, state: EntryState, now: float) -> None:
+    async def _query_loads(self, state: EntryState, now: float) -> None:
         """Tell agents that the load of their replicas does not come.
 
         Without this a relay that has died, or a leader that is cut off from this entry
@@ -303,12 +308,12 @@
             for replica in self.feed.replicas.values()
             if replica.service in ranked
         ]
-        asked = silent + self._inbox.choose_replica_queries(replicas, now)
-        if asked:
-            self.metrics.count_event("load-missing", len(asked))
-            await self._port.send(state, *map(self._find_agent, asked))
+        queried = silent + self._inbox.choose_replica_queries(replicas, now)
+        if queried:
+            self.metrics.count_event("load-missing", len(queried))
+            await self._port.send(state, *map(self._get_agent_address, queried))
 
-    def _find_agent(self, replica: str) -> str:
+    def _get_agent_address(self, replica: str) -> str:
         return replace_port(replica, self.settings.agent_port)
 
     def _list_ranked(self) -> set[str]:
