--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -72,44 +72,44 @@
 IDLE_POLL_S = 0.2
 """Pause between two looks at a rank that has nothing to do."""
 
-COUNTED_RANKS = 12
+SAMPLED_RANKS = 12
 """Ranks of a group that read and tell their counts, spread evenly over the group.
 
 Their requests are a fair sample of the group's.
 """
 
-COMPLAINTS_PER_S = 4.0
+LOAD_QUERIES_PER_S = 4.0
 """Complaints of entries that an agent passes on to its leader: each of them is about
 the whole group, and the leader answers it once in a zone."""
 
 LOG_INTERVAL_S = 1.0
 """Pause between two lines on the state of the group, written by its leader."""
 
-NEWS_S = 0.002
+STATE_BATCH_S = 0.002
 """Time for which words of ranks are gathered before a leader decides on them.
 
 All ranks answer an arming in the same few milliseconds. To look at each of 64 ranks at
 each of 64 words takes a leader with a third of a core longer than that.
 """
 
-HOLDING_LOOK_S = 0.02
+HOLD_DECISION_INTERVAL_S = 0.02
 """Pause between two decisions of a leader while a pass may be held: what was lost is
 told again then, and not at the next look at the own rank."""
 
-_RETRY_S = 0.08
-_COPYING_S = 1.0
+_ORDER_RETRY_S = 0.08
+_PREPARE_RETRY_S = 1.0
 """Time after which a rank that has taken an order to copy experts is asked again."""
-STANDSTILL_S = 0.1
+MIN_SUSPENSION_S = 0.1
 """Time of suspension that counts: the clocks themselves differ by far less."""
 
-PAUSE_S = 1.0
+MAX_POLL_GAP_S = 1.0
 """Time without a look after which the process counts as having stood still.
 
 A process may be stopped while its machine and its clocks go on. Looks come every 0.2 s
 at most; one that was only slow loses no more than the change it was about.
 """
 
-_DUE_SHARE = 0.9
+_REPORT_DUE_SHARE = 0.9
 """Part of the pause between two looks after which the next word is due.
 
 A change makes agents look more often. Were each look told, a thousand messages a second
@@ -151,7 +151,9 @@
             source=secrets.randbits(32), key=settings.replica
         )
         self._presence = GroupPresence()
-        self._complaints = TokenBucket(per_s=COMPLAINTS_PER_S, burst=COMPLAINTS_PER_S)
+        self._load_queries = TokenBucket(
+            per_s=LOAD_QUERIES_PER_S, burst=LOAD_QUERIES_PER_S
+        )
         self._counts = CountMeter()
         self._counted_at = float("-inf")
         """Time of the last look at the counts."""
@@ -166,23 +168,23 @@
         self._group = ""
         """Group that the rank was last seen in."""
         self._experts: ExpertsBySet = ()
-        self._experts_of = (-1, -1, -1)
+        self._experts_version = (-1, -1, -1)
         """Start of the rank, epoch and map version that the experts belong to."""
         self._change: MapChange | None = None
         self._ordered: tuple[RankOrder | None, float] = (None, float("-inf"))
-        self._told_at = float("-inf")
+        self._reported_at = float("-inf")
         """Time of the last regular word to the leader or the entries."""
         self._logged_relays = ""
-        self._told_progress: tuple[int, ...] = ()
+        self._reported_progress: tuple[int, ...] = ()
         """Progress of the change that the leader was told last."""
         self._changed = trio.Event()
-        self._news = trio.Event()
+        self._states_changed = trio.Event()
         """Set when a rank has come further with a change."""
-        self._watches_hold = False
+        self._is_hold_task_running = False
         """Whether a task decides again and again while a pass may be held."""
         self._nursery: trio.Nursery | None = None
-        self._slept_s = self._measure_sleep()
-        self._looked_at = float("inf")
+        self._suspended_s = self._measure_suspension()
+        self._polled_at = float("inf")
         """Time of the last look, which has no bound before the first one."""
 
     async def run(
@@ -193,9 +195,9 @@
             self._nursery = nursery
             self._exchange.start(nursery)
             await self._port.start(nursery, self._receive)
-            nursery.start_soon(self._watch_rank)
-            nursery.start_soon(self._lead_on_news)
-            nursery.start_soon(self._tell_presence)
+            nursery.start_soon(self._poll_rank)
+            nursery.start_soon(self._lead_on_state_changes)
+            nursery.start_soon(self._send_presence)
             nursery.start_soon(self._log_group)
             await nursery.start(self._serve_metrics)
             log_event("info", "started", replica=self._settings.replica)
@@ -255,9 +257,9 @@
         now = trio.current_time()
         match message:
             case EntryState():
-                self._take_entry(message, now)
+                self._handle_entry_state(message, now)
             case Roster() | GroupLoad():
-                self._pass_load_on(message, sender, now)
+                self._forward_load(message, sender, now)
             case Presence() if message.group != self._group:
                 # A service may have several groups, which have nothing to do with
                 # each other: the lowest rank of another one leads nothing here.
@@ -268,20 +270,20 @@
                 )
                 self._coordinator.note_agent(message.rank, now=now)
             case RankState():
-                self._take_state(message, sender, now)
+                self._handle_rank_state(message, sender, now)
             case OrderRequest():
-                self._take_order(message)
+                self._handle_order_request(message)
             case MapChange() if message.group != self._group:
                 log_event("debug", "map-of-another-group", sender=sender)
             case MapChange():
                 self._coordinator.note_map(message)
                 self._change = message
                 self._changed.set()
-                self._spread_map(message, split_among(message.forward))
+                self._spread_change(message, split_among(message.forward))
             case _:
                 log_event("debug", "datagram-unexpected", sender=sender)
 
-    def _take_entry(self, state: EntryState, now: float) -> None:
+    def _handle_entry_state(self, state: EntryState, now: float) -> None:
         report = self._report
         if self._publisher.observe(state, now=now):
             log_event("info", "entry-found", entry=state.address, via=state.via)
@@ -293,12 +295,12 @@
         if not state.lacks_load or state.via or report is None or not report.group:
             return
         leader = self._presence.find_leader(report.rank, now)
-        if leader is not None and self._complaints.take(now):
+        if leader is not None and self._load_queries.take(now):
             # The leader may be cut off from the entry and from nobody else.
-            told = replace(state, via=self._settings.messages)
-            self._send_soon(told, leader)
+            query = replace(state, via=self._settings.messages)
+            self._send_soon(query, leader)
 
-    def _pass_load_on(
+    def _forward_load(
         self, message: GroupLoad | Roster, sender: str, now: float
     ) -> None:
         report = self._report
@@ -307,21 +309,21 @@
         if sender == self._presence.find_leader(report.rank, now):
             self._send_soon(replace(message, forward=""), message.forward)
 
-    def _take_state(self, state: RankState, sender: str, now: float) -> None:
+    def _handle_rank_state(self, state: RankState, sender: str, now: float) -> None:
         if state.group and state.group != self._group:
             self._presence.remove(state.messages)
             return
-        whole = self._presence.complete_state(state, sender, now=now)
-        if whole is None:
+        complete = self._presence.complete_state(state, sender, now=now)
+        if complete is None:
             self._metrics.count_event("state-incomplete")
             return
-        is_news = self._coordinator.observe(whole, now=now)
-        if is_news and self._coordinator.waits_for_ranks:
+        has_progress = self._coordinator.observe(complete, now=now)
+        if has_progress and self._coordinator.waits_for_ranks:
             # Until the last rank has told that it is armed, a pass is held:
             # waiting for the next look at the own rank would cost a pass.
-            self._news.set()
+            self._states_changed.set()
 
-    def _take_order(self, request: OrderRequest) -> None:
+    def _handle_order_request(self, request: OrderRequest) -> None:
         if request.group != self._group or self._nursery is None:
             return
         if not request.step:
@@ -331,26 +333,26 @@
         order = kind(request.epoch, request.step)
         self._nursery.start_soon(self._give_order, self._settings.replica, order)
 
-    async def _lead_on_news(self) -> None:
+    async def _lead_on_state_changes(self) -> None:
         while True:
-            await self._news.wait()
-            await trio.sleep(NEWS_S)
-            self._news = trio.Event()
+            await self._states_changed.wait()
+            await trio.sleep(STATE_BATCH_S)
+            self._states_changed = trio.Event()
             await self._lead(trio.current_time())
 
     async def _lead_while_holding(self) -> None:
         try:
             while self._coordinator.is_holding:
-                await trio.sleep(HOLDING_LOOK_S)
+                await trio.sleep(HOLD_DECISION_INTERVAL_S)
                 await self._lead(trio.current_time())
         finally:
-            self._watches_hold = False
+            self._is_hold_task_running = False
 
     def _send_soon(self, message: GroupMessage, to: str) -> None:
         if self._nursery is not None:
             self._nursery.start_soon(self._port.send, message, to)
 
-    async def _watch_rank(self) -> None:
+    async def _poll_rank(self) -> None:
         lost = False
         while True:
             counts: Counts = ()
@@ -374,7 +376,7 @@
             if report.group and report.group != self._group:
                 self._presence.clear()
                 self._group = report.group
-            await self._use_report(report, counts)
+            await self._handle_report(report, counts)
             idle = not (report.active or report.queued or report.held_step)
             pause_s = get_poll_interval_s(report.ranks)
             if self._is_changing(report):
@@ -388,15 +390,18 @@
     def _is_counting_due(self, report: RankReport) -> bool:
         now = trio.current_time()
         # Counts that are read and not told would be missing from the demand.
-        told = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
+        is_report_due = (
+            now - self._reported_at
+            >= _REPORT_DUE_SHARE * get_poll_interval_s(report.ranks)
+        )
         pause_s = self._counts.compute_interval_s(
-            senders=min(report.ranks, COUNTED_RANKS),
+            senders=min(report.ranks, SAMPLED_RANKS),
             link_bytes_per_s=self._settings.link_bits_per_s / _BITS,
         )
         # Looks are about as far apart as counts are due. Without the share every other
         # look would come a moment too early, and demand would be seen half as often.
-        counted = now - self._counted_at >= _DUE_SHARE * pause_s
-        return told and counted and _tells_counts(report)
+        is_count_due = now - self._counted_at >= _REPORT_DUE_SHARE * pause_s
+        return is_report_due and is_count_due and _is_sampled(report)
 
     async def _read_counts(self, report: RankReport) -> Counts:
         counts = await self._ranks.read_counts(self._settings.replica)
@@ -407,9 +412,9 @@
 
     async def _refresh_experts(self, report: RankReport) -> None:
         wanted = (report.started_ms, report.epoch, report.map_version)
-        if report.group and wanted != self._experts_of:
+        if report.group and wanted != self._experts_version:
             self._experts = await self._ranks.read_experts(self._settings.replica)
-            self._experts_of = wanted
+            self._experts_version = wanted
             self._metrics.count_event("map-in-force")
             log_event(
                 "info",
@@ -421,47 +426,49 @@
                 step=report.step,
             )
 
-    async def _use_report(self, report: RankReport, counts: Counts) -> None:
+    async def _handle_report(self, report: RankReport, counts: Counts) -> None:
         now = trio.current_time()
-        self._notice_standstill()
+        self._detect_stall()
         if report.active or report.queued or self._coordinator.has_work():
             self._passes.observe(report.step, now=now)
         else:
             self._passes.reset()
         state = self._make_state(report, counts)
-        is_due = now - self._told_at >= _DUE_SHARE * get_poll_interval_s(report.ranks)
+        is_due = now - self._reported_at >= _REPORT_DUE_SHARE * get_poll_interval_s(
+            report.ranks
+        )
         if is_due:
-            self._told_at = now
+            self._reported_at = now
         if not report.group:
             if is_due:
-                await self._tell_load(report, [(state, 0.0)], now)
+                await self._publish_load(report, [(state, 0.0)], now)
             return
         self._coordinator.observe(state, now=now, own=True)
         if self._coordinator.leads(now):
             if is_due:
                 states = self._coordinator.list_states(now)
-                await self._tell_load(report, states, now)
+                await self._publish_load(report, states, now)
         progress = get_progress(state)
-        if is_due or progress != self._told_progress:
-            await self._tell_leaders(state, now)
-            self._told_progress = progress
+        if is_due or progress != self._reported_progress:
+            await self._send_state(state, now)
+            self._reported_progress = progress
         await self._follow_change(report, now)
         await self._lead(now)
 
-    async def _tell_leaders(self, state: RankState, now: float) -> None:
+    async def _send_state(self, state: RankState, now: float) -> None:
         to, is_full = self._presence.choose_state_receivers(state, state.rank, now)
         if not is_full:
             # What hardly ever changes is left out: most of a state are addresses.
             state = replace(state, messages="", replica="", group="", experts=())
         await self._port.send(state, *to)
 
-    async def _tell_load(
-        self, report: RankReport, heard: list[tuple[RankState, float]], now: float
+    async def _publish_load(
+        self, report: RankReport, states: list[tuple[RankState, float]], now: float
     ) -> None:
         """Tell the entries the load of ranks, by way of one entry in each zone."""
         pass_s = self._passes.measure(now=now)
         for outgoing in self._publisher.build_messages(
-            report, heard, pass_s=pass_s, now=now
+            report, states, pass_s=pass_s, now=now
         ):
             await self._port.send(outgoing.message, *outgoing.to)
         relays = self._publisher.relays.describe()
@@ -512,50 +519,52 @@
         order = _choose_order(change, report)
         if order is None or (order == self._ordered[0] and now < self._ordered[1]):
             return
-        repeat_s = _COPYING_S if isinstance(order, Prepare) else _RETRY_S
+        repeat_s = _PREPARE_RETRY_S if isinstance(order, Prepare) else _ORDER_RETRY_S
         self._ordered = (order, now + repeat_s)
         assert self._nursery is not None
         self._nursery.start_soon(self._give_order, self._settings.replica, order)
 
-    def _notice_standstill(self) -> None:
+    def _detect_stall(self) -> None:
         """Forget what was going on when the machine has stood still meanwhile."""
         now = trio.current_time()
-        slept_s = self._measure_sleep() - self._slept_s
-        self._slept_s += slept_s
-        paused_s, self._looked_at = now - self._looked_at, now
-        if slept_s > STANDSTILL_S or paused_s > PAUSE_S:
+        suspended_s = self._measure_suspension() - self._suspended_s
+        self._suspended_s += suspended_s
+        paused_s, self._polled_at = now - self._polled_at, now
+        if suspended_s > MIN_SUSPENSION_S or paused_s > MAX_POLL_GAP_S:
             self._coordinator.discard_state()
             self._change = None
-            log_event("warning", "stood-still", seconds=round(slept_s + paused_s, 2))
+            log_event(
+                "warning", "stood-still", seconds=round(suspended_s + paused_s, 2)
+            )
 
-    def _measure_sleep(self) -> float:
+    def _measure_suspension(self) -> float:
         # The steady clock does not count the time in which a machine is suspended.
         boot = time.clock_gettime(time.CLOCK_BOOTTIME)
         return boot - time.clock_gettime(time.CLOCK_MONOTONIC)
 
     async def _lead(self, now: float) -> None:
-        self._notice_standstill()
+        self._detect_stall()
         for action in self._coordinator.decide(now):
             if isinstance(action, SendMapChange):
                 if not action.change.step:
                     # The leader's own rank is armed after all others.
                     self._change = action.change
                     self._changed.set()
-                await self._announce(action)
+                await self._send_change(action)
             elif isinstance(action, QueryAgent):
                 request = OrderRequest(self._group, self._coordinator.epoch)
                 await self._port.send(request, action.agent)
             elif isinstance(action, QueryRank):
                 assert self._nursery is not None
-                self._nursery.start_soon(self._ask_rank, action.replica)
+                self._nursery.start_soon(self._query_rank, action.replica)
             elif isinstance(action, DelegateOrder):
                 await self._delegate(action)
             elif isinstance(action, SendOrder):
                 assert self._nursery is not None
                 self._nursery.start_soon(self._give_order, action.replica, action.order)
-        if self._coordinator.is_holding and not self._watches_hold:
+        if self._coordinator.is_holding and not self._is_hold_task_running:
             assert self._nursery is not None
-            self._watches_hold = True
+            self._is_hold_task_running = True
             self._nursery.start_soon(self._lead_while_holding)
 
     async def _delegate(self, action: DelegateOrder) -> None:
@@ -563,11 +572,11 @@
         is_release = isinstance(order, Release)
         request = OrderRequest(self._group, order.epoch, order.step, is_release)
         if action.agent == self._settings.messages:
-            self._take_order(request)
+            self._handle_order_request(request)
         else:
             await self._port.send(request, action.agent)
 
-    async def _announce(self, action: SendMapChange) -> None:
+    async def _send_change(self, action: SendMapChange) -> None:
         """Tell agents of a change, a large one by way of a few of them."""
         # The leader's own rank must not be armed before all others, so its agent is
         # never told by message.
@@ -578,9 +587,9 @@
         # Another order each time: who is told by way of an agent that has died is told
         # by way of another one the next time.
         self._random.shuffle(to)
-        self._spread_map(action.change, split_by_zone(to, self._zones))
+        self._spread_change(action.change, split_by_zone(to, self._zones))
 
-    def _spread_map(
+    def _spread_change(
         self, change: MapChange, parts: list[tuple[str, tuple[str, ...]]]
     ) -> None:
         if parts and self._nursery is not None:
@@ -594,7 +603,7 @@
             size = await self._port.send(replace(change, forward=others), agent)
             await trio.sleep(size * _BITS / self._settings.link_bits_per_s)
 
-    async def _ask_rank(self, replica: str) -> None:
+    async def _query_rank(self, replica: str) -> None:
         try:
             report = await self._ranks.read_report(replica)
         except RankError as error:
@@ -643,7 +652,7 @@
                     **self._coordinator.describe(now),
                 )
 
-    async def _tell_presence(self) -> None:
+    async def _send_presence(self) -> None:
         """Tell others that this agent lives, and at once when they become known.
 
         After a loss of power no map follows the demand, and a pass that was held by a
@@ -661,13 +670,13 @@
                 continue
             self._follow_store()
             leads = self._coordinator.leads(now)
-            told = self._presence.choose_presence_receivers(
+            receivers = self._presence.choose_presence_receivers(
                 report.rank, report.ranks, self._agents, now, leads=leads
             )
             presence = Presence(
                 self._settings.messages, report.group, report.epoch, report.rank, leads
             )
-            await self._port.send(presence, *told)
+            await self._port.send(presence, *receivers)
 
     def _follow_store(self) -> None:
         """Learn the other agents and the experts' layout.
@@ -681,8 +690,8 @@
             log_event("info", "store-followed")
 
 
-def _tells_counts(report: RankReport) -> bool:
-    stride = ceil(report.ranks / COUNTED_RANKS)
+def _is_sampled(report: RankReport) -> bool:
+    stride = ceil(report.ranks / SAMPLED_RANKS)
     return bool(report.group) and report.rank % stride == 0
 
 
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -11,7 +11,7 @@
 from hyssopvane._internal.models.settings import RankAgentSettings
 from hyssopvane._internal.policy import map_spread
 from hyssopvane._internal.policy.map_actions import SendMapChange
-from hyssopvane._internal.roles.rank_agent import PAUSE_S
+from hyssopvane._internal.roles.rank_agent import MAX_POLL_GAP_S
 from hyssopvane._internal.state.group import EntryState, MapChange
 from hyssopvane._internal.state.loads import GroupLoad, Roster
 from hyssopvane._internal.transport.asgi_server import serve_asgi
@@ -188,7 +188,7 @@
         agent._port.send = send
         own = agent._settings.messages
         change = MapChange("g", 1, 7, (), 12)
-        await agent._announce(SendMapChange(change, ("127.0.0.9:1", own)))
+        await agent._send_change(SendMapChange(change, ("127.0.0.9:1", own)))
         assert sent == ["127.0.0.9:1"]
         await agent.close()
 
@@ -231,13 +231,13 @@
 
     async def main():
         agent = make_agent(0, replica="127.0.0.1:9", store="127.0.0.1:9", port=0)
-        agent._notice_standstill()
+        agent._detect_stall()
         agent._change = MapChange("g", 1, 7, (), 12)
-        clock.jump(0.9 * PAUSE_S)
-        agent._notice_standstill()
+        clock.jump(0.9 * MAX_POLL_GAP_S)
+        agent._detect_stall()
         assert agent._change is not None
-        clock.jump(1.1 * PAUSE_S)
-        agent._notice_standstill()
+        clock.jump(1.1 * MAX_POLL_GAP_S)
+        agent._detect_stall()
         assert agent._change is None
         await agent.close()
 
