--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -171,7 +171,7 @@
         self._experts_version = (-1, -1, -1)
         """Start of the rank, epoch and map version that the experts belong to."""
         self._change: MapChange | None = None
-        self._ordered: tuple[RankOrder | None, float] = (None, float("-inf"))
+        self._last_order: tuple[RankOrder | None, float] = (None, float("-inf"))
         self._reported_at = float("-inf")
         """Time of the last regular word to the leader or the entries."""
         self._logged_relays = ""
@@ -517,10 +517,12 @@
         if change.group != report.group or report.map_version >= change.version:
             return
         order = _choose_order(change, report)
-        if order is None or (order == self._ordered[0] and now < self._ordered[1]):
+        if order is None or (
+            order == self._last_order[0] and now < self._last_order[1]
+        ):
             return
         repeat_s = _PREPARE_RETRY_S if isinstance(order, Prepare) else _ORDER_RETRY_S
-        self._ordered = (order, now + repeat_s)
+        self._last_order = (order, now + repeat_s)
         assert self._nursery is not None
         self._nursery.start_soon(self._give_order, self._settings.replica, order)
 
@@ -635,7 +637,7 @@
             self._coordinator.note_confirmed(replica, order, started_ms=start)
             await self._lead(trio.current_time())
         if outcome is OrderOutcome.UNKNOWN:
-            self._ordered = (None, float("-inf"))
+            self._last_order = (None, float("-inf"))
 
     async def _log_group(self) -> None:
         while True:
--- a/tests/functional/test_direct_path.py
+++ b/tests/functional/test_direct_path.py
@@ -31,7 +31,7 @@
     trio.run(main)
 
 
-def test_request_reaches_its_replica_unchanged_and_its_answer_the_caller():
+def test_request_and_answer_are_passed_on_unchanged():
     async def test(site):
         replica = await site.add_replica("i-1", answer_whole)
         answer = await site.call(
@@ -66,7 +66,7 @@
     ],
     ids=["path", "host", "no-key", "wrong-key", "public", "body", "head"],
 )
-def test_requests_that_do_not_fit_are_answered_at_once(path, options, status):
+def test_invalid_requests_are_refused_at_once(path, options, status):
     async def test(site):
         replica = await site.add_replica("i-1", answer_whole)
         answer = await site.call(path, **options)
@@ -76,7 +76,7 @@
     run(test)
 
 
-async def answer_behind_another(replica, stream, request):
+async def answer_for_other_request(replica, stream, request):
     await stream.send_all(make_answer(request, request_id="somebody-else"))
     return True
 
@@ -86,7 +86,7 @@
     return True
 
 
-async def answer_half(replica, stream, request):
+async def answer_truncated(replica, stream, request):
     await stream.send_all(make_answer(request, length=500))
     return False
 
@@ -107,9 +107,9 @@
 
 
 FAULTS = [
-    answer_behind_another,
+    answer_for_other_request,
     answer_unsigned,
-    answer_half,
+    answer_truncated,
     answer_nonsense,
     answer_nothing,
     answer_encoded,
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("behave", FAULTS)
-def test_faulty_answer_is_never_passed_on_and_never_repeated(behave):
+def test_faulty_answer_is_neither_forwarded_nor_retried(behave):
     """A replica breaks its answer off, or sends one that belongs to another request.
 
     A bidder would get half of a confirmation, or somebody else's. The bid may have
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("behave", FAULTS)
-def test_repeatable_request_goes_to_another_replica(behave):
+def test_repeatable_request_is_retried_at_another_replica(behave):
     async def test(site):
         faulty = await site.add_replica("i-1", behave)
         answers = [await site.call("/status/7", request_id=f"r{n}") for n in range(2)]
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("status", [503, 429, 421])
 @pytest.mark.parametrize("path", ["/status/7", "/bids/7"])
-def test_refusal_of_the_only_replica_is_told_as_not_run(status, path):
+def test_refusal_of_the_only_replica_is_reported_as_not_run(status, path):
     async def refuse(replica, stream, request):
         headers = (("X-Not-Executed", "1"),) if status != 421 else ()
         await stream.send_all(
@@ -168,7 +168,7 @@
     run(test)
 
 
-def test_replicas_own_failure_is_passed_on_with_its_signature():
+def test_failure_of_a_replica_is_forwarded_with_its_signature():
     async def fail(replica, stream, request):
         await stream.send_all(make_answer(request, status=500, body=b"broken"))
         return True
@@ -182,7 +182,7 @@
     run(test)
 
 
-def test_surplus_answer_is_never_read_as_the_next_one():
+def test_surplus_answer_is_not_read_as_the_next_answer():
     """A replica sends a second answer behind the first on a kept connection.
 
     Without a check the next caller on that connection would get it.
@@ -221,7 +221,7 @@
     return behave
 
 
-def break_off_first(broken, *, then=None):
+def fail_first_request(broken, *, then=None):
     """Let the first request break off, and the next one go on, at either replica."""
     behaviours = iter((broken, then or stream_events(range(1, 6))))
 
@@ -231,13 +231,13 @@
     return behave
 
 
-def test_events_reach_the_caller_as_they_come():
+def test_events_are_forwarded_as_they_arrive():
     async def test(site):
-        go_on = trio.Event()
+        resume = trio.Event()
 
         async def gate(number):
             if number == 1:
-                await go_on.wait()
+                await resume.wait()
 
         await site.add_replica(
             "i-1", stream_events((1, 2), gate=gate), service="drafting"
@@ -256,20 +256,20 @@
         ) as response:
             parts = response.iterate()
             assert await anext(parts) == make_event(1)
-            go_on.set()
+            resume.set()
             assert b"".join([part async for part in parts]) == make_event(2)
 
     run(test)
 
 
 @pytest.mark.parametrize("tail", [b"", b"id: 3\ndata: to"], ids=["between", "within"])
-def test_broken_stream_goes_on_at_another_replica(tail):
+def test_broken_stream_is_resumed_at_another_replica(tail):
     """A replica crashes in the middle of a draft, even of an event.
 
     The clerk sees one whole draft: nothing twice, nothing missing.
     """
 
-    behave = break_off_first(stream_events((1, 2), end=b"", tail=tail))
+    behave = fail_first_request(stream_events((1, 2), end=b"", tail=tail))
 
     async def test(site):
         first = await site.add_replica("i-1", behave, service="drafting")
@@ -281,7 +281,7 @@
     run(test)
 
 
-def test_stream_that_may_not_be_resumed_is_cut_visibly():
+def test_stream_that_is_not_resumable_is_cut_visibly():
     async def test(site):
         await site.add_replica(
             "i-1", stream_events((1, 2), end=b""), service="drafting"
@@ -292,7 +292,7 @@
     run(test)
 
 
-def test_work_ends_at_the_replica_when_its_caller_leaves():
+def test_replica_request_is_cancelled_when_the_caller_disconnects():
     async def hang(replica, stream, request):
         await trio.sleep_forever()
 
@@ -306,7 +306,7 @@
 
 
 @pytest.mark.parametrize("path", ["/brief/7"])
-def test_answer_comes_at_the_routes_timeout(path):
+def test_request_is_answered_at_the_timeout_of_its_route(path):
     async def hang(replica, stream, request):
         await trio.sleep_forever()
 
@@ -335,7 +335,7 @@
     run(test, configured=False)
 
 
-def test_draining_replica_gets_nothing_new():
+def test_draining_replica_gets_no_new_requests():
     async def test(site):
         leaving = await site.add_replica("i-1", answer_whole)
         await site.add_replica("i-2", answer_whole)
@@ -349,7 +349,7 @@
     run(test)
 
 
-def test_removed_key_and_route_are_refused_while_the_store_is_back():
+def test_removed_key_is_refused_after_a_configuration_update():
     async def test(site):
         await site.add_replica("i-1", answer_whole)
         assert (await site.call("/status/7")).status == 200
@@ -360,7 +360,7 @@
     run(test)
 
 
-def test_beliefs_of_a_peer_replace_what_a_store_that_refuses_would_tell():
+def test_snapshot_of_a_peer_is_used_while_the_store_refuses():
     """The store turns one machine away while the operators take a key away.
 
     The entry would go on taking the key. Its peers pass the newer configuration on.
@@ -376,14 +376,14 @@
             await nursery.start(other.run)
             await site.wait_until(other.feed.is_ready)
             site.store.answer_status = 503
-            beliefs = other.feed.export()
+            snapshot = other.feed.export()
             newer = make_configuration(9, tenants=[])
             import json
             from dataclasses import replace
 
             other.feed.merge(
                 replace(
-                    beliefs,
+                    snapshot,
                     configuration=json.dumps(newer).encode(),
                     configuration_revision=site.store.revision + 5,
                 )
@@ -391,7 +391,7 @@
             site.entry.exchange.observe(
                 EntryState(
                     address="",
-                    beliefs=other.beliefs_address,
+                    snapshot=other.beliefs_address,
                     configuration_version=other.feed.configuration_version,
                     replicas_revision=0,
                 )
@@ -404,13 +404,13 @@
     run(test)
 
 
-def test_shutdown_ends_what_is_in_progress_whole():
+def test_shutdown_completes_requests_in_progress():
     async def test(site):
-        go_on = trio.Event()
+        resume = trio.Event()
 
         async def gate(number):
             if number == 1:
-                await go_on.wait()
+                await resume.wait()
 
         await site.add_replica(
             "i-1", stream_events((1, 2), gate=gate), service="drafting"
@@ -426,13 +426,13 @@
             nursery.start_soon(site.entry.drain)
             await site.wait_until(lambda: site.entry.leaving)
             assert not site.entry.is_ready()
-            go_on.set()
+            resume.set()
         assert answers[0].body == make_event(1) + make_event(2)
 
     run(test, grace_s=10.0)
 
 
-def test_requests_with_one_id_or_none_disturb_nobody():
+def test_duplicate_or_missing_request_id_does_not_affect_other_requests():
     """A careless caller uses the same id for two requests at once, or sends none."""
 
     async def answer_slowly(replica, stream, request):
@@ -455,21 +455,21 @@
     run(test)
 
 
-def test_resumed_stream_that_begins_anew_is_cut():
+def test_resumed_stream_that_restarts_is_cut():
     """The second replica starts the draft again; the clerk would read it twice."""
 
-    async def begin_anew(replica, stream, request):
+    async def restart_stream(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
         await stream.send_all(head + chunk(make_event(1)) + b"0\r\n\r\n")
         return True
 
-    async def break_off(replica, stream, request):
+    async def fail_after_two_events(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
         await stream.send_all(head + chunk(make_event(1)) + chunk(make_event(2)))
         return False
 
     async def test(site):
-        behave = break_off_first(break_off, then=begin_anew)
+        behave = fail_first_request(fail_after_two_events, then=restart_stream)
         for replica_id in ("i-1", "i-2"):
             await site.add_replica(replica_id, behave, service="drafting")
         with pytest.raises(ReplicaFailed):
@@ -498,7 +498,7 @@
     run(test)
 
 
-def test_stranger_in_the_place_of_a_replica_gets_no_request():
+def test_replica_with_an_invalid_registration_gets_no_request():
     """Another program writes nonsense over the registration of the only replica.
 
     Callers are told that nothing has run and when to come back; they are served again
@@ -520,7 +520,7 @@
     run(test)
 
 
-def test_caller_that_comes_before_the_first_configuration_is_served_a_moment_later(
+def test_request_waits_for_the_first_configuration(
     monkeypatch,
 ):
     """All machines have lost power, and an entry listens before it has read the store.
--- a/tests/functional/test_operations.py
+++ b/tests/functional/test_operations.py
@@ -83,13 +83,13 @@
 def test_cut_stream_shows_the_replica_that_broke_off(tmp_path):
     """A clerk's draft ended in the middle, and nobody knows which machine it was."""
 
-    async def break_off(replica, stream, request):
+    async def fail_after_two_events(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
         await stream.send_all(head + chunk(make_event(1)))
         return False
 
     async def test(site):
-        await site.add_replica("i-broken", break_off, service="drafting")
+        await site.add_replica("i-broken", fail_after_two_events, service="drafting")
         with pytest.raises(ReplicaFailed):
             await site.call("/once/7", request_id="the-one")
 
--- a/tests/unit/test_asgi_server.py
+++ b/tests/unit/test_asgi_server.py
@@ -74,7 +74,7 @@
         parse_address(address)
 
 
-async def answer_half(scope, receive, send):
+async def answer_truncated(scope, receive, send):
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b"half", "more_body": True})
     raise RuntimeError("the rest is lost")
@@ -93,7 +93,7 @@
 
             async def start(task_status):
                 await serve_asgi(
-                    answer_half,
+                    answer_truncated,
                     bind="127.0.0.1:0",
                     graceful_timeout_s=5,
                     shutdown=shutdown,
