--- a/tests/functional/test_agent_metrics.py
+++ b/tests/functional/test_agent_metrics.py
@@ -6,7 +6,7 @@
 from tests.functional.test_rank_agent import make_agent
 
 
-def test_agent_answers_with_what_it_counted_before_it_was_first_asked():
+def test_metrics_include_counts_from_before_the_first_scrape():
     async def main():
         agent = make_agent(0, replica="127.0.0.1:9", store="127.0.0.1:9", port=0)
         client = ReplicaClient()
--- a/tests/functional/test_direct_promises.py
+++ b/tests/functional/test_direct_promises.py
@@ -103,7 +103,7 @@
         assert "x-response-signature" in answer.headers
 
 
-async def play(plan, paths):
+async def run_plan(plan, paths):
     journal = Journal(plan)
     async with open_direct() as site:
         for number in range(REPLICAS):
@@ -134,46 +134,46 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(PLANS, CALLS)
-def test_promises_hold_whatever_replicas_do(plan, paths):
+def test_guarantees_hold_with_any_replica_faults(plan, paths):
     """Replicas lose, double, spoil and delay their answers in any order.
 
     A bid must not run twice, a refused one must not have run, and nobody may get the
     answer to somebody else's request.
     """
-    trio.run(play, plan, paths)
+    trio.run(run_plan, plan, paths)
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_refusal_of_another_request_proves_nothing_of_this_one(path):
+def test_refusal_of_another_request_does_not_allow_a_retry(path):
     """Guards against a request that runs twice by a refusal of another one."""
-    trio.run(play, ["another-refusal"] * 4, [path] * 4)
+    trio.run(run_plan, ["another-refusal"] * 4, [path] * 4)
 
 
-def find_split(plan, paths):
-    broken = False
+def find_violation(plan, paths):
+    is_violated = False
     try:
-        trio.run(play, plan, paths)
+        trio.run(run_plan, plan, paths)
     except* AssertionError:
-        broken = True
-    return broken
+        is_violated = True
+    return is_violated
 
 
-def test_check_sees_a_request_that_is_repeated_without_proof(monkeypatch):
+def test_check_detects_a_retry_without_proof(monkeypatch):
     monkeypatch.setattr(
         direct_call.DirectCall, "_may_repeat", lambda self, failure: True
     )
-    assert find_split(["nothing"] * 4, ["/bids/7"] * 4)
+    assert find_violation(["nothing"] * 4, ["/bids/7"] * 4)
 
 
-def test_check_sees_a_failure_that_is_told_as_not_run(monkeypatch):
+def test_check_detects_a_failure_reported_as_not_run(monkeypatch):
     def describe(self):
         return direct_call.DirectAnswer(direct_call.DirectRefusal.REPLICA_REFUSED, 0.1)
 
     monkeypatch.setattr(direct_call.DirectCall, "_describe_failure", describe)
-    assert find_split(["nothing"] * 4, ["/bids/7"] * 4)
+    assert find_violation(["nothing"] * 4, ["/bids/7"] * 4)
 
 
-def test_check_sees_an_answer_that_belongs_to_another_request(monkeypatch):
+def test_check_detects_an_answer_to_another_request(monkeypatch):
     monkeypatch.setattr(replica_client, "_has_surplus", lambda kept: False)
     monkeypatch.setattr(
         replica_client.httpcore.AsyncHTTP11Connection, "has_expired", lambda self: False
@@ -183,10 +183,10 @@
         await self._relay_whole(response)
 
     monkeypatch.setattr(direct_call.DirectCall, "_relay", relay)
-    assert find_split(["twice"] * 12, ["/status/7"] * 8)
+    assert find_violation(["twice"] * 12, ["/status/7"] * 8)
 
 
 @pytest.mark.parametrize("share", [0.0])
-def test_no_repeat_goes_beyond_the_budget(share, monkeypatch):
+def test_retries_do_not_exceed_the_budget(share, monkeypatch):
     monkeypatch.setattr(repeat_budget.RepeatBudget, "take", lambda self, *_, now: False)
-    trio.run(play, ["nothing"] * 8, ["/status/7"] * 4)
+    trio.run(run_plan, ["nothing"] * 8, ["/status/7"] * 4)
--- a/tests/functional/test_random_faults.py
+++ b/tests/functional/test_random_faults.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_random_faults_break_no_promise(tmp_path, seed):
+def test_random_faults_violate_no_guarantee(tmp_path, seed):
     """Processes are killed and frozen, and the key-value service fails, under load.
 
     A caller might see its bid confirmed twice, be told that it did not run when it
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_random_faults_and_returns_break_no_promise(tmp_path, seed):
+def test_random_faults_and_store_returns_violate_no_guarantee(tmp_path, seed):
     """Guards against promises broken as the key-value service loses what it had."""
     report = run_faults(tmp_path, seed=seed, seconds=SECONDS, returns=True)
     assert report.violations == []
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -30,7 +30,7 @@
 """Address at which no store answers."""
 
 
-def list_whole_loads(told):
+def list_complete_loads(told):
     """Return the loads of all ranks among messages."""
     loads = [one for one in told if isinstance(one, GroupLoad)]
     return [one for one in loads if len(one.members) == RANKS]
@@ -114,7 +114,7 @@
         await trio.sleep(0.01)
 
 
-def test_agents_bring_all_ranks_to_maps_that_follow_the_demand():
+def test_agents_change_maps_as_demand_changes():
     async def test(group, agents, port, nursery):
         await wait_until(lambda: group.model.ranks[0].map_version > 0)
         first = group.model.ranks[0].map_version
@@ -123,7 +123,7 @@
     run(test)
 
 
-def test_entry_that_says_it_lives_is_told_the_load():
+def test_entry_that_reports_its_state_receives_the_load():
     async def test(group, agents, port, nursery):
         told = []
         entry = DatagramPort("127.0.0.1:0")
@@ -132,8 +132,8 @@
         await wait_until(lambda: agents[0]._coordinator.leads(trio.current_time()))
         for number in range(RANKS):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
-        await wait_until(lambda: list_whole_loads(told))
-        load = list_whole_loads(told)[0]
+        await wait_until(lambda: list_complete_loads(told))
+        load = list_complete_loads(told)[0]
         assert (load.ranks, load.open, load.entries, load.relay) == (4, True, 1, True)
         assert {one.active for one in load.members} == {3}
         rosters = [one for one in told if isinstance(one, Roster)]
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("number", range(RANKS))
-def test_entry_that_hears_no_leader_hears_it_by_way_of_any_agent(number):
+def test_entry_that_misses_loads_receives_them_through_any_agent(number):
     """The leader's machine is cut off from an entry, and leads its group all the same.
 
     The entry would have to guess the load of all ranks, and refuse callers or overload
@@ -163,15 +163,15 @@
 
         await entry.start(nursery, receive)
         state = EntryState(entry.address, "", 0, 0, "zone-a", lacks_load=True)
-        while not list_whole_loads(told):
+        while not list_complete_loads(told):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
             await trio.sleep(0.1)
-        assert {one.active for one in list_whole_loads(told)[0].members} == {3}
+        assert {one.active for one in list_complete_loads(told)[0].members} == {3}
 
     run(test)
 
 
-def test_leader_tells_its_own_agent_no_arming():
+def test_leader_sends_no_arming_to_its_own_agent():
     """The leader asked a silent rank, whose state then bears the leader's own address.
 
     Its own rank would be armed before the others, and a leader that dies just then
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("fan_out", [1, 2, 5])
-def test_new_maps_reach_all_ranks_by_way_of_a_few(fan_out, monkeypatch):
+def test_new_maps_reach_all_ranks_through_a_few_agents(fan_out, monkeypatch):
     """A map is too large for the leader's link when it goes to all agents at once.
 
     Most of them would never hear of it, and the group would keep a map that demand has
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"nonsense", b"\x00" * 2_000])
-def test_malformed_datagrams_are_counted_and_disturb_nobody(data):
+def test_malformed_datagrams_do_not_stop_map_changes(data):
     async def test(group, agents, port, nursery):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             sender.sendto(data, ("127.0.0.1", port))
@@ -222,7 +222,7 @@
     run(test)
 
 
-def test_agent_that_was_stopped_forgets_the_change_it_was_about():
+def test_agent_discards_its_change_after_a_stall():
     """Somebody stops the process for seconds, while its machine and clocks go on.
 
     Others have taken the change of maps over and let it go. An order that still
@@ -245,7 +245,7 @@
     trio.run(main, clock=clock)
 
 
-def test_leader_that_the_store_turns_away_learns_the_layout_from_an_entry():
+def test_leader_refused_by_the_store_gets_the_layout_from_an_entry():
     """All processes start anew, and the store turns away the machine of the first rank.
 
     Its agent leads the group and knows no layout, so no map follows the demand. Passes
--- a/tests/functional/test_replica_notices.py
+++ b/tests/functional/test_replica_notices.py
@@ -18,7 +18,7 @@
 NOT_RUN = (("X-Not-Executed", "1"),)
 
 
-def ask_for_rest(value, *, headers=NOT_RUN):
+def request_backoff(value, *, headers=NOT_RUN):
     async def behave(replica, stream, request):
         fields = (*headers, ("Retry-After", value))
         await stream.send_all(
@@ -39,26 +39,26 @@
 
 
 @pytest.mark.parametrize("headers", [NOT_RUN, ()], ids=["not run", "may have run"])
-def test_replica_that_asks_for_rest_gets_no_more_requests(headers, monkeypatch):
+def test_replica_that_requests_a_pause_gets_no_more_requests(headers, monkeypatch):
     """Guards against requests to a replica within the time that it asked for."""
     monkeypatch.setattr(direct_call, "FULL_REST_S", 0.0)
 
     async def test(site):
-        resting = await site.add_replica("i-1", ask_for_rest("60", headers=headers))
+        paused = await site.add_replica("i-1", request_backoff("60", headers=headers))
         await site.add_replica("i-2", answer_whole)
         for number in range(CALLS):
             assert (await site.call(f"/status/{number}")).status == 200
-        assert len(resting.received) <= 1
+        assert len(paused.received) <= 1
 
     run(test)
 
 
 @pytest.mark.parametrize("value", ["", "-1", "soon", "Fri, 04 Dec 2026 10:00:00 GMT"])
-def test_rest_that_can_not_be_read_harms_no_caller(value, monkeypatch):
+def test_unreadable_retry_after_does_not_fail_requests(value, monkeypatch):
     monkeypatch.setattr(direct_call, "FULL_REST_S", 0.0)
 
     async def test(site):
-        refusing = await site.add_replica("i-1", ask_for_rest(value))
+        refusing = await site.add_replica("i-1", request_backoff(value))
         await site.add_replica("i-2", answer_whole)
         for number in range(CALLS):
             assert (await site.call(f"/status/{number}")).status == 200
@@ -68,11 +68,11 @@
     run(test)
 
 
-def test_callers_hear_when_the_only_replica_takes_requests_again():
+def test_refusals_name_the_end_of_the_pause_of_the_only_replica():
     """Guards against callers that are asked back before the rest is over."""
 
     async def test(site):
-        replica = await site.add_replica("i-1", ask_for_rest("60"))
+        replica = await site.add_replica("i-1", request_backoff("60"))
         answers = [await site.call(f"/status/{number}") for number in range(CALLS)]
         assert {one.status for one in answers} == {503}
         assert min(float(one.headers["retry-after"]) for one in answers) > 50
@@ -86,7 +86,7 @@
     open_stream = replica_client.open_stream
 
     async def test(site):
-        replica = await site.add_replica("i-1", ask_for_rest("60"))
+        replica = await site.add_replica("i-1", request_backoff("60"))
         notices = site.entry.gates.get_gate("checks").notices
         opened = []
         answers = []
@@ -115,14 +115,14 @@
 @pytest.mark.parametrize(
     ("request_id", "heard"), [("request-1", True), ("other", False)]
 )
-def test_rest_is_kept_where_the_caller_left_before_the_answer(
+def test_pause_is_recorded_when_the_caller_left_before_the_answer(
     request_id, heard, monkeypatch
 ):
     """Guards against a replica's word that is lost with its caller."""
     monkeypatch.setattr(raw_stream, "LATE_ANSWER_S", HANG_S)
     left = trio.Event()
 
-    async def ask_late(replica, stream, request):
+    async def request_backoff_late(replica, stream, request):
         await left.wait()
         fields = (*NOT_RUN, ("Retry-After", "60"))
         answer = make_answer(
@@ -132,7 +132,7 @@
         return True
 
     async def test(site):
-        replica = await site.add_replica("i-1", ask_late)
+        replica = await site.add_replica("i-1", request_backoff_late)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(site.call, "/patient/1")
             await site.wait_until(lambda: replica.received)
@@ -153,7 +153,7 @@
     return True
 
 
-def say_leaving(status, *, headers=(), stream=False):
+def report_leaving(status, *, headers=(), stream=False):
     async def behave(replica, stream_, request):
         fields = (*headers, *LEAVING)
         if stream:
@@ -170,14 +170,14 @@
 @pytest.mark.parametrize(
     ("path", "behave"),
     [
-        ("/status/1", say_leaving(200)),
-        ("/status/1", say_leaving(500)),
-        ("/status/1", say_leaving(503, headers=NOT_RUN)),
-        ("/drafts/1", say_leaving(200, stream=True)),
+        ("/status/1", report_leaving(200)),
+        ("/status/1", report_leaving(500)),
+        ("/status/1", report_leaving(503, headers=NOT_RUN)),
+        ("/drafts/1", report_leaving(200, stream=True)),
     ],
     ids=["answer", "error", "refusal", "stream"],
 )
-def test_replica_that_says_that_it_leaves_gets_no_more_requests(
+def test_replica_that_reports_leaving_gets_no_more_requests(
     path, behave, again, monkeypatch
 ):
     """Guards against requests to a leaving replica whose registration says ready."""
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("value", ["0", "", "yes"])
-def test_only_the_agreed_word_says_that_a_replica_leaves(value):
+def test_only_the_agreed_header_value_reports_leaving(value):
     async def behave(replica, stream, request):
         headers = (("Server-Leaving", value),)
         await stream.send_all(make_answer(request, headers=headers))
--- a/tests/functional/test_request_limits.py
+++ b/tests/functional/test_request_limits.py
@@ -12,7 +12,7 @@
 CALLS = 12
 
 
-def name_limit(value):
+def answer_with_limit(value):
     async def behave(replica, stream, request):
         await stream.send_all(make_answer(request, headers=(("Server-Limit", value),)))
         return True
@@ -29,7 +29,7 @@
     trio.run(main)
 
 
-def test_callers_of_a_replica_that_takes_none_are_refused_at_once_with_a_time():
+def test_callers_are_refused_at_once_with_retry_after_when_the_limit_is_zero():
     """The only replica of a service is in need and takes no more requests.
 
     Callers that waited for it would use up their time, and each one that was sent to it
@@ -37,7 +37,7 @@
     """
 
     async def test(site):
-        replica = await site.add_replica("i-1", name_limit("0"))
+        replica = await site.add_replica("i-1", answer_with_limit("0"))
         start = time.monotonic()
         assert (await site.call("/status/1")).status == 200
         answers = [await site.call(f"/status/{number}") for number in range(CALLS)]
@@ -50,9 +50,9 @@
     run(test)
 
 
-def test_other_replica_takes_what_the_limited_one_can_not():
+def test_other_replica_serves_requests_above_the_limit():
     async def test(site):
-        limited = await site.add_replica("i-1", name_limit("0"))
+        limited = await site.add_replica("i-1", answer_with_limit("0"))
         sound = await site.add_replica("i-2", answer_whole)
         start = time.monotonic()
         for number in range(4 * CALLS):
@@ -65,9 +65,9 @@
 
 
 @pytest.mark.parametrize("value", ["", "-1", "many", "nan", "1, 2"])
-def test_limit_that_can_not_be_read_harms_no_caller(value):
+def test_unreadable_limit_does_not_fail_requests(value):
     async def test(site):
-        replica = await site.add_replica("i-1", name_limit(value))
+        replica = await site.add_replica("i-1", answer_with_limit(value))
         for number in range(CALLS):
             assert (await site.call(f"/status/{number}")).status == 200
         assert len(replica.received) == CALLS
--- a/tests/lib/rank_standin.py
+++ b/tests/lib/rank_standin.py
@@ -58,7 +58,7 @@
         if scope["path"] == "/api/report":
             return 200, self._report(number)
         if scope["path"] == "/api/order":
-            return self._take(number, json.loads(body))
+            return self._handle_order(number, json.loads(body))
         if scope["query_string"]:
             experts = {"version": rank.map_version, "experts": [list(rank.experts)]}
             return 200, {"epoch": self.model.epoch, "expert-map": experts}
@@ -89,14 +89,14 @@
             "held": rank.held or None,
         }
 
-    def _take(self, number: int, document: Any) -> tuple[int, object]:
-        taken = self.model.ranks[number].take(
+    def _handle_order(self, number: int, document: Any) -> tuple[int, object]:
+        accepted = self.model.ranks[number].take(
             _read_order(document),
             step=self.model.step,
             epoch=self.model.epoch,
             now=trio.current_time(),
         )
-        return (202, {}) if taken else (409, {})
+        return (202, {}) if accepted else (409, {})
 
 
 def _read_order(document: Any) -> RankOrder:
