--- a/src/hyssopvane/_internal/roles/direct_answer.py
+++ b/src/hyssopvane/_internal/roles/direct_answer.py
@@ -1,4 +1,4 @@
-"""Send an entry's own answers on the direct path."""
+"""Send the refusals and failures that a direct entry answers itself."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 async def send_answer(send: Any, answer: DirectAnswer, *, request_id: str) -> None:
-    """Send an entry's own answer."""
+    """Send an answer of the entry as plain text, with its reason as the body."""
     body = answer.reason.value.encode() + b"\n"
     headers: list[tuple[bytes, bytes]] = [(b"content-type", b"text/plain")]
     if request_id:
--- a/src/hyssopvane/_internal/roles/direct_app.py
+++ b/src/hyssopvane/_internal/roles/direct_app.py
@@ -1,4 +1,4 @@
-"""Answer callers on the direct path: find route and customer, then run the request."""
+"""Serve callers on the direct path: find route and customer, then run the request."""
 
 import zlib
 from itertools import count
@@ -32,20 +32,21 @@
 _MAX_DEADLINE_MS = 86_400_000
 _DEFAULT_TOKENS = 1
 _MAX_TOKENS = 10**9
-"""Largest number of tokens that is believed; no engine holds as many."""
+"""Upper bound for a reported number of tokens; no engine holds as many."""
 _NOT_READY_RETRY_AFTER_S = 0.5
 _STARTING_S = 0.5
-"""Time that a request waits for the first configuration after the entry's start.
+"""Maximum wait of a request for the first configuration after the entry's start.
 
-It is there within some tenths of a second. After a loss of power a caller's first try
-has met a machine without power; refused now, it may have no other one left.
+The configuration arrives within a few tenths of a second. After a power loss the first
+attempt of a caller has failed at a machine without power; if the second one is refused,
+the caller may have no attempt left.
 """
 _LEAVING_RETRY_AFTER_S = 0.05
-"""Other entries are at hand at once; a new connection reaches one of them."""
+"""Short, since a new connection reaches another entry at once."""
 
 
 class DirectApp:
-    """Serve the callers' listener."""
+    """Answer the HTTP requests of callers."""
 
     def __init__(
         self, *, feed: RoutingFeed, dependencies: CallDependencies, random: Random
@@ -56,10 +57,10 @@
         self._numbers = count()
         self.running = 0
         self.refusing = False
-        """Whether new requests are sent to other entries, since this one is ending."""
+        """Whether new requests are refused because this entry shuts down."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one caller's request."""
+        """Handle one ASGI scope; answer the request if it is HTTP."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -106,8 +107,8 @@
         async def wait() -> None:
             await wait_for_disconnect(receive)
             if call.ended:
-                # The server reports a caller gone from within the sending of the last
-                # part; cancelling that would cut the answer.
+                # The server reports the caller as disconnected while the last part is
+                # being sent; cancelling then would truncate the answer.
                 await trio.sleep_forever()
 
         cut = False
@@ -118,7 +119,7 @@
         except* AnswerCut:
             cut = True
         finally:
-            # Also when the process ends and takes the request with it.
+            # Also record requests that are cancelled when the process ends.
             self._record_end(request, call)
         if cut:
             raise AnswerCut(request.request_id)
@@ -290,7 +291,7 @@
 
 
 def _read_tokens(value: bytes | None) -> tuple[int, ...]:
-    """Return prompt tokens and the most output tokens, as far as they are told."""
+    """Return the prompt tokens and the maximum output tokens that are given."""
     parts = (value or b"").split(b",")
     if not all(part.strip().isdigit() for part in parts):
         return (0,)
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -1,4 +1,4 @@
-"""Carry one caller's request to a replica, and its answer back."""
+"""Forward one request to a replica and its answer to the caller."""
 
 from dataclasses import dataclass, field
 from functools import partial
@@ -49,51 +49,51 @@
 from hyssopvane._internal.utils.logs import log_event
 
 MAX_PLAIN_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer of a plain service; it is held whole before it is passed on."""
+"""Maximum size of an answer that is not streamed; it is buffered before forwarding."""
 
 ON_TIME_WAIT_SHARE = 0.4
-"""Part of the objective that a request may wait and still be answered in time.
+"""Share of the objective that a request may wait and still be answered in time.
 
-The rest is for reading the prompt and for the first pass: about 0.2 s of 0.5.
+The remainder is for prompt processing and the first pass: about 0.2 s of 0.5 s.
 """
 
 MAX_WAIT_SHARE = 2.4
-"""Part of the objective after which a request that found no place is refused.
+"""Multiple of the objective after which a request that is not assigned is refused.
 
-The map of the experts follows a change of demand within about a second; meanwhile a
-group takes a third less. Who waits that long is served late. Who is refused at once
-comes back in the same second, and may be refused again.
+The expert map follows a change of demand within about a second; until then a group
+accepts a third less. A request that waits that long is answered late. A caller that is
+refused at once retries in the same second and may be refused again.
 """
 
 RESUME_WAIT_S = 1.0
-"""Time that a broken stream waits for a place at another replica."""
+"""Minimum time that a broken stream waits for another replica."""
 
 FULL_REST_S = 0.1
-"""Time that nothing is sent to a replica that has just said that it is full."""
+"""Time for which a replica that reported being full gets no request."""
 
 MIN_SEND_S = 0.02
-"""Time that must be left for sending a request to make sense."""
+"""Minimum time before the deadline at which a request is still sent."""
 
 NOT_RUN_RETRY_AFTER_S = 0.3
-"""Time until a caller is asked back whose request no replica would run."""
+"""Retry-After for a request that no replica accepted."""
 
 BANNED_RETRY_AFTER_S = 5.0
-"""Time until a caller is asked back whose request has crashed replicas."""
+"""Retry-After for a request that has crashed replicas."""
 
 _METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 _OK = range(200, 300)
 _SERVER_ERROR = 500
 _MISDIRECTED = 421
 _MAX_LOGGED_BYTES = 20
-"""Part of a header's value that a log line shows."""
+"""Maximum length of a header value in a log line."""
 
 
 @dataclass(slots=True)
 class DirectRequest:
-    """Hold a request whose body is whole and whose route and customer are known."""
+    """Hold a request whose body is complete and whose route and customer are known."""
 
     request_id: str
-    """The caller's own; two requests may bear the same one."""
+    """Set by the caller; not unique."""
     number: int
     """Unique in this process."""
     method: str
@@ -105,11 +105,11 @@
     customer: Customer | None
     arrived_at: float
     deadline: float
-    """Time by which the caller gets its last byte."""
+    """Time by which the answer must end."""
     caller_deadline: float
-    """Time until which the caller itself waits."""
+    """Time until which the caller waits."""
     tokens: int
-    """Prompt tokens and the most output tokens."""
+    """Prompt tokens plus maximum output tokens."""
     prompt_tokens: int
     fingerprint: int
     """Equal for requests with the same path, customer and body."""
@@ -119,7 +119,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the rank of the request, 0 first."""
+        """Return the priority of the request; 0 is the highest."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDependencies:
-    """Hold what the calls of one entry share."""
+    """Hold the objects that all calls of one entry share."""
 
     names: ReplicaHeaders
     gates: GateKeeper
@@ -138,7 +138,7 @@
 
 
 class _AttemptFailed(Exception):
-    """Tell that an attempt brought nothing, and whether another one may."""
+    """Report that an attempt failed, and whether the request may have run."""
 
     def __init__(
         self, why: str, *, not_run: bool, failed: bool = True, retry_after: str = "-"
@@ -146,17 +146,17 @@
         super().__init__(why)
         self.not_run = not_run
         self.failed = failed
-        """Whether the replica is to blame."""
+        """Whether the failure counts against the replica."""
         self.retry_after = retry_after
-        """What its answer says of when to come back, as received."""
+        """Value of the Retry-After header of the answer, as received."""
 
 
 class _Withdrawn(Exception):
-    """Tell that a request was not sent, as its replica takes none any more."""
+    """Report that a request was not sent since its replica accepts no more."""
 
 
 class DirectCall:
-    """Run one request to its end."""
+    """Run one request with its retries until the caller has an answer."""
 
     def __init__(
         self, request: DirectRequest, dependencies: CallDependencies, send: Any
@@ -176,7 +176,7 @@
         self.ended = False
 
     async def run(self) -> None:
-        """Answer the caller; raise `AnswerCut` when a begun answer can't be ended."""
+        """Answer the caller; raise `AnswerCut` if a started answer breaks off."""
         with trio.move_on_at(self._request.deadline):
             await self._run()
             return
@@ -264,7 +264,7 @@
             failed = False
             raise
         except trio.Cancelled:
-            # The caller left or the time is up: no fault of the replica.
+            # The caller left or the deadline passed; the replica did not fail.
             failed = False
             raise
         finally:
@@ -283,8 +283,8 @@
                 target=request.target,
                 headers=self._make_headers(replica),
                 body=request.body,
-                # Opening a connection takes up to a second, and the replica may have
-                # answered another request meanwhile.
+                # Opening a connection takes up to a second. Another answer of the
+                # replica may have asked for a pause in that time.
                 may_send=lambda: gate.may_send(replica, trio.current_time()),
                 observe_late=partial(self._record_late_answer, replica),
             ) as response:
@@ -325,12 +325,12 @@
         if names.not_executed in response.fields or response.status == _MISDIRECTED:
             self._handle_refusal(replica, response)
         if not echoed:
-            raise ReplicaFailed("the answer names no request")
+            raise ReplicaFailed("the answer has no request ID")
         signed = names.signature in response.fields
         if response.status in _OK and not signed:
-            raise ReplicaFailed("a success without a signature")
+            raise ReplicaFailed("the successful answer has no signature")
         if b"content-encoding" in response.fields:
-            raise ReplicaFailed("an encoded body is not the replica's")
+            raise ReplicaFailed("the body is encoded, but replicas encode none")
         self._dependencies.gates.get_gate(self._request.service).note_served(replica)
         streamed = self._request.route.kind is RequestKind.STREAM
         if streamed and response.status in _OK:
@@ -339,16 +339,16 @@
             await self._relay_whole(response)
 
     def _record_late_answer(self, replica: Replica, head: AnswerHead) -> None:
-        # What an answer says of its replica holds from the moment it was sent, also
-        # where the caller has left meanwhile.
+        # The state that a replica reports in an answer is valid even if the caller has
+        # left in the meantime.
         echoed = head.fields.get(self._dependencies.names.request_id, b"")
         if echoed.decode("latin1") == self._request.request_id:
             self._record_replica_state(replica, head)
 
     def _record_replica_state(self, replica: Replica, response: AnswerHead) -> None:
-        """Take what an answer says of the replica that made it."""
+        """Record limit, pause and leaving that an answer reports of its replica."""
         if response.status == _MISDIRECTED:
-            # Another replica has the address now.
+            # The address now belongs to another replica.
             return
         self._record_limit(replica, response)
         self._record_backoff(replica, response)
@@ -360,7 +360,7 @@
         try:
             per_s = read_request_limit(response.fields, names)
         except ProtocolError as error:
-            # What was said before still holds; the caller gets its answer all the same.
+            # The previous limit stays; the caller still gets its answer.
             self._dependencies.metrics.count_event("limit-unreadable")
             log_event("warning", "limit-unreadable", replica=replica.id, why=error)
             return
@@ -444,12 +444,12 @@
     def _check_event(self, event: StreamEvent) -> None:
         if event.id is None:
             return
-        # A replica that begins anew instead of going on would give the caller the same
-        # events twice.
+        # A replica that restarts the stream instead of resuming it would send the
+        # caller the same events twice.
         if self._last_event_id is not None and _is_already_sent(
             event.id, self._last_event_id
         ):
-            raise ReplicaFailed("the events go back")
+            raise ReplicaFailed("the resumed stream repeats an event ID")
         self._last_event_id = event.id
 
     async def _start_stream(self, response: ReplicaResponse) -> None:
@@ -459,7 +459,7 @@
         self.first_byte_at = trio.current_time()
         self.status = response.status
         headers = select_for_caller(response.headers)
-        # A resumed stream may be cut into other pieces: its length is not known.
+        # A resumed stream may be split into different chunks; its length is unknown.
         kept = [(name, value) for name, value in headers if name != b"content-length"]
         await self._send(
             {
@@ -501,7 +501,7 @@
     def _decide_timeout(self) -> DirectAnswer:
         request = self._request
         if request.attempts:
-            # What was sent may be running: nothing can be promised.
+            # A request that was sent may have run, so the outcome is unknown.
             return DirectAnswer(DirectRefusal.TIMED_OUT)
         return DirectAnswer(DirectRefusal.TIMED_OUT_UNSENT, NOT_RUN_RETRY_AFTER_S)
 
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -1,4 +1,4 @@
-"""Run the entry of the direct path: callers in front, replicas behind."""
+"""Run the entry of the direct path, which forwards callers' requests to replicas."""
 
 import secrets
 from dataclasses import replace
@@ -39,28 +39,32 @@
 from hyssopvane._internal.utils.logs import log_event
 
 RETURN_REPORT_S = 3.0
-"""Time for which other entries are told that the store has come back: what lapsed
-meanwhile is back within two seconds."""
+"""Time for which the store's return is reported to other entries.
+
+Registrations that expired during the outage are restored within two seconds.
+"""
 
 REPORT_INTERVAL_S = 0.25
-"""Pause between two looks for groups whose load no longer comes."""
+"""Pause between two reports of the entry's state, and checks for missing loads."""
 
 PEER_REPORT_EVERY = 2
-"""Looks between two words to other entries on how new this one's beliefs are."""
+"""Number of report intervals between two state reports to other entries."""
 
 LEADER_REPORT_EVERY = 4
-"""Looks between two words to the agents that lead groups or lead them next: they tell
-loads to whoever has spoken in the last seconds."""
+"""Number of report intervals between two state reports to leading and next agents.
+
+Agents publish loads to the entries that sent a report within the last seconds.
+"""
 
 _ACCEPT_SHARE = 0.36
-"""Part of the grace period in which new requests still come in.
+"""Share of the grace period in which new requests are still accepted.
 
-The balancer takes an entry out after two missed readiness checks, a second apart.
+The balancer removes an entry after two failed readiness checks, one second apart.
 """
 
 
 class DirectEntry(Role):
-    """Serve callers straight from the replicas."""
+    """Serve callers by forwarding their requests directly to replicas."""
 
     def __init__(
         self,
@@ -103,7 +107,7 @@
         self._random = random
         self._inbox = LoadInbox(random=random)
         self._silent: frozenset[str] = frozenset()
-        """Groups whose load did not come at the last look."""
+        """Groups whose load was missing at the last check."""
         self.app = DirectApp(
             feed=self.feed,
             random=random,
@@ -156,7 +160,7 @@
             await trio.sleep_forever()
 
     async def drain(self) -> None:
-        """Leave the balancer, then let every request in progress end whole."""
+        """Fail readiness checks, then complete all requests in progress."""
         self.leaving = True
         self._leaving_event.set()
         log_event("info", "draining", running=self.app.running)
@@ -174,7 +178,7 @@
         self.metrics.close()
 
     def is_ready(self) -> bool:
-        """Tell whether the entry takes new requests."""
+        """Return whether the entry accepts new requests."""
         return not self.leaving and self.feed.is_ready()
 
     def _update(self) -> None:
@@ -183,10 +187,10 @@
         self.gates.update(self.feed.table, self.feed.replicas)
 
     def _close_idle_connections(self, address: str) -> None:
-        """Close the connections that wait for a replica that is gone.
+        """Close the idle connections to a replica that has restarted.
 
-        They lead to its earlier start, and a request sent on one of them may hang until
-        the connection times out.
+        They belong to its previous process. A request sent on one of them may hang
+        until the connection times out.
         """
         self.metrics.count_event("replica-restarted")
         log_event("info", "replica-restarted", address=address)
@@ -222,7 +226,7 @@
             self._forward(load, roster)
 
     def _forward(self, message: GroupLoad | Roster, roster: Roster) -> None:
-        """Send what a leader tells to the other entries of the zone."""
+        """Forward a message of a leader to the other entries of the zone."""
         local = [
             one.address
             for one in roster.entries
@@ -278,10 +282,11 @@
         return now - self.feed.returned_at
 
     def _choose_peers(self) -> list[str]:
-        """Return the entries that are told how new this one's beliefs are.
+        """Return the entries that receive this one's state.
 
-        Those of the zone, and one of another: from zone to zone news then take about
-        as long as inside one, and what an entry sends grows with its zone only.
+        They are those of the zone and one of another zone. Updates then take about as
+        long between zones as within one, and an entry's traffic grows only with the
+        size of its zone.
         """
         others = [
             one
@@ -296,10 +301,10 @@
         return local + self._random.sample(sorted(remote), min(1, len(remote)))
 
     async def _query_loads(self, state: EntryState, now: float) -> None:
-        """Tell agents that the load of their replicas does not come.
+        """Tell agents that the load of their replicas is missing.
 
-        Without this a relay that has died, or a leader that is cut off from this entry
-        alone, would leave the entry to guess the load of all ranks.
+        Otherwise the entry would have to estimate the load of all ranks after a relay
+        failed or the leader's link to this entry alone broke.
         """
         silent = self._inbox.choose_load_queries(now)
         ranked = self._list_ranked()
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -1,4 +1,4 @@
-"""Let requests wait for the decisions of a service's gate."""
+"""Queue requests at the gate of their service until it assigns or rejects them."""
 
 from collections.abc import Callable, Iterable
 from functools import partial
@@ -26,10 +26,10 @@
 from hyssopvane._internal.utils.logs import log_event
 
 DISPATCH_INTERVAL_S = 0.01
-"""Pause between looks at what has waited too long."""
+"""Pause between two checks for requests that have waited too long."""
 
 EXPIRE_INTERVAL_S = 0.5
-"""Pause between looks for what replicas said that no longer holds."""
+"""Pause between two checks for expired notices of replicas."""
 
 
 class _Waiter:
@@ -39,7 +39,7 @@
 
 
 class GateKeeper:
-    """Hold one gate for each service."""
+    """Hold one gate for each service, and wake the requests that they decide on."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         observe_restart: Callable[[str], None] = lambda address: None,
     ) -> None:
         self._observe_restart = observe_restart
-        """Takes the address of a replica that has started anew under its id."""
+        """Callback with the address of a replica that restarted under its ID."""
         self.homes = HomeReplicas()
         self.entry_counter = EntryCounter(availability_zone=availability_zone)
         self._notices = ReplicaNotices()
@@ -67,14 +67,14 @@
         """Service by the address of its replica."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Look at what waits from time to time."""
+        """Start the regular dispatch and the expiry of notices."""
         nursery.start_soon(self._dispatch_regularly)
         nursery.start_soon(self._expire_notices)
 
     def update(self, table: RoutingTable | None, replicas: dict[str, Replica]) -> None:
-        """Learn the services and their replicas."""
-        # Whoever names a service that the operators don't know serves nobody. A gate
-        # for each name would also let a stranger fill the memory.
+        """Apply a new routing table and a new list of replicas."""
+        # Ignore replicas that name a service which is not configured. A gate for each
+        # name would also let an outsider exhaust the memory.
         services = {} if table is None else table.services
         by_service: dict[str, list[Replica]] = {}
         for replica in replicas.values():
@@ -105,7 +105,7 @@
         return self._gates[service]
 
     def observe_load(self, load: GroupLoad, roster: Roster) -> None:
-        """Take what the leading agent of a group tells."""
+        """Apply the load that the leading agent of a group publishes."""
         now = trio.current_time()
         self.entry_counter.observe(load.entries, now=now)
         by_service: dict[str, list[tuple[RankLoad, float]]] = {}
@@ -120,14 +120,14 @@
                 self._observe_restart(restarted)
 
     def observe_entries(self, own: str, local: Iterable[str]) -> None:
-        """Learn the entries of the own zone by their addresses."""
+        """Set the addresses of the entries in the own zone."""
         self.homes.update(own, local)
         self.entry_counter.update(own, local)
 
     def observe_answer(
         self, service: str, replica: Replica, per_s: float | None
     ) -> None:
-        """Take the request limit that an answer of a replica names, None for none."""
+        """Apply the request limit in an answer of a replica; None ends the limit."""
         gate = self.get_gate(service)
         if per_s is None and not len(gate.limits):
             return
@@ -135,7 +135,7 @@
             _log_limit(replica.address, per_s, gate, source="answer")
 
     def observe_backoff(self, service: str, replica: Replica, backoff_s: float) -> None:
-        """Take the time without requests that an answer of a replica asks for."""
+        """Apply the pause that an answer of a replica asks for."""
         gate = self.get_gate(service)
         if gate.note_rest(replica, backoff_s, now=trio.current_time()):
             log_event(
@@ -147,13 +147,13 @@
             )
 
     def observe_leaving(self, service: str, replica: Replica) -> None:
-        """Take note that an answer of a replica says that it leaves."""
+        """Record that an answer of a replica reports leaving."""
         gate = self.get_gate(service)
         if gate.note_leaving(replica, now=trio.current_time()):
             log_event("info", "replica-leaving", replica=replica.id)
 
     def observe_limits(self, message: ReplicaLimits) -> None:
-        """Take what another entry tells of request limits."""
+        """Apply the request limits that another entry reports."""
         now = trio.current_time()
         for report in message.reports:
             service = self._services.get(report.replica)
@@ -170,7 +170,7 @@
                 )
 
     def list_limits(self) -> ReplicaLimits:
-        """Return what other entries are told of request limits now."""
+        """Return the request limits to report to other entries; expire old ones."""
         now = trio.current_time()
         reports: list[LimitReport] = []
         for gate in self._gates.values():
@@ -182,7 +182,7 @@
     async def wait_for_assignment(
         self, service: str, waiting: QueuedRequest, *, weight: float
     ) -> Assignment | Rejection:
-        """Wait until a request is placed or refused."""
+        """Wait until a request is assigned or rejected."""
         gate = self.get_gate(service)
         request_id = waiting.item.request_id
         waiter = self._waiters[request_id] = _Waiter()
@@ -193,7 +193,7 @@
         except trio.Cancelled:
             gate.remove(request_id)
             if isinstance(waiter.decision, Assignment):
-                # Placed and given up in the same moment: nobody else gives it back.
+                # Assigned and cancelled at the same time; only this call can release it.
                 self.finish(service, waiter.decision.replica, failed=False)
             raise
         finally:
@@ -202,13 +202,13 @@
         return waiter.decision
 
     def finish(self, service: str, replica: Replica, *, failed: bool) -> None:
-        """Give a place back."""
+        """Release the place of a request at a replica."""
         gate = self.get_gate(service)
         gate.finish(replica, failed=failed, now=trio.current_time())
         self._dispatch(gate)
 
     def dispatch(self) -> None:
-        """Decide on everything that waits."""
+        """Decide on all waiting requests."""
         for gate in self._gates.values():
             self._dispatch(gate)
 
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -1,4 +1,4 @@
-"""Run the agent beside a rank: tell its load, and change its group's expert map."""
+"""Run the agent of a rank: publish its load, and change its group's expert map."""
 
 import secrets
 import time
@@ -70,57 +70,62 @@
 from hyssopvane._internal.utils.token_bucket import TokenBucket
 
 IDLE_POLL_S = 0.2
-"""Pause between two looks at a rank that has nothing to do."""
+"""Pause between two polls of an idle rank."""
 
 SAMPLED_RANKS = 12
-"""Ranks of a group that read and tell their counts, spread evenly over the group.
+"""Number of ranks whose counts are read and sent, spread evenly over the group.
 
-Their requests are a fair sample of the group's.
+Their requests are a representative sample of the group's.
 """
 
 LOAD_QUERIES_PER_S = 4.0
-"""Complaints of entries that an agent passes on to its leader: each of them is about
-the whole group, and the leader answers it once in a zone."""
+"""Load queries of entries per second that an agent forwards to its leader.
+
+Each query is about the whole group, and the leader answers it once per zone.
+"""
 
 LOG_INTERVAL_S = 1.0
-"""Pause between two lines on the state of the group, written by its leader."""
+"""Pause between two log lines in which a leader describes its group."""
 
 STATE_BATCH_S = 0.002
-"""Time for which words of ranks are gathered before a leader decides on them.
+"""Time for which a leader collects states of ranks before it decides on them.
 
-All ranks answer an arming in the same few milliseconds. To look at each of 64 ranks at
-each of 64 words takes a leader with a third of a core longer than that.
+All ranks confirm an arming within the same few milliseconds. Checking each of 64 ranks
+for each of 64 states takes a leader with a third of a core longer than that.
 """
 
 HOLD_DECISION_INTERVAL_S = 0.02
-"""Pause between two decisions of a leader while a pass may be held: what was lost is
-told again then, and not at the next look at the own rank."""
+"""Pause between two decisions of a leader while a pass may be held.
+
+Lost messages are sent again then, without waiting for the next poll of the own rank.
+"""
 
 _ORDER_RETRY_S = 0.08
 _PREPARE_RETRY_S = 1.0
-"""Time after which a rank that has taken an order to copy experts is asked again."""
+"""Time after which an order to prepare a map is sent again to a rank."""
 MIN_SUSPENSION_S = 0.1
-"""Time of suspension that counts: the clocks themselves differ by far less."""
+"""Minimum suspension of the machine that is detected; clocks differ by far less."""
 
 MAX_POLL_GAP_S = 1.0
-"""Time without a look after which the process counts as having stood still.
+"""Time without a poll after which the process counts as stalled.
 
-A process may be stopped while its machine and its clocks go on. Looks come every 0.2 s
-at most; one that was only slow loses no more than the change it was about.
+A process may be stopped while its machine and clocks continue. Polls are at most 0.2 s
+apart. A process that was only slow loses no more than the map change in progress.
 """
 
 _REPORT_DUE_SHARE = 0.9
-"""Part of the pause between two looks after which the next word is due.
+"""Share of the poll interval after which the next report is due.
 
-A change makes agents look more often. Were each look told, a thousand messages a second
-would reach the leader of 63 ranks, and its loads would fill its link to the entries.
+Agents poll more often during a map change. If each poll were reported, the leader would
+receive a thousand messages per second from 63 ranks, and its loads would saturate its
+link to the entries.
 """
 
 _BITS = 8
 
 
 class RankAgent(Role):
-    """Stand beside one rank."""
+    """Poll one rank, report its state, and take part in its group's map changes."""
 
     def __init__(
         self,
@@ -156,41 +161,41 @@
         )
         self._counts = CountMeter()
         self._counted_at = float("-inf")
-        """Time of the last look at the counts."""
+        """Time at which the counts were last read."""
         self._follows_store = False
         self._zones: dict[str, str] = {}
         """Availability zone of each agent of the service."""
         self._agents: tuple[str, ...] = ()
         """Addresses of the service's other agents."""
         self._found_agents = trio.Event()
-        """Set when the first other agents are known."""
+        """Set when other agents become known for the first time."""
         self._report: RankReport | None = None
         self._group = ""
-        """Group that the rank was last seen in."""
+        """Last known group of the rank."""
         self._experts: ExpertsBySet = ()
         self._experts_version = (-1, -1, -1)
         """Start of the rank, epoch and map version that the experts belong to."""
         self._change: MapChange | None = None
         self._last_order: tuple[RankOrder | None, float] = (None, float("-inf"))
         self._reported_at = float("-inf")
-        """Time of the last regular word to the leader or the entries."""
+        """Time of the last regular report to the leader or the entries."""
         self._logged_relays = ""
         self._reported_progress: tuple[int, ...] = ()
-        """Progress of the change that the leader was told last."""
+        """Progress of the change that was last sent to the leader."""
         self._changed = trio.Event()
         self._states_changed = trio.Event()
-        """Set when a rank has come further with a change."""
+        """Set when a rank has made progress with a change."""
         self._is_hold_task_running = False
-        """Whether a task decides again and again while a pass may be held."""
+        """Whether the task that repeats decisions while a pass may be held is running."""
         self._nursery: trio.Nursery | None = None
         self._suspended_s = self._measure_suspension()
         self._polled_at = float("inf")
-        """Time of the last look, which has no bound before the first one."""
+        """Time of the last poll; infinite before the first one, so that no gap counts."""
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled."""
+        """Poll the rank and exchange messages until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self._exchange.start(nursery)
@@ -207,9 +212,9 @@
     async def _serve_metrics(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Load the HTTP server when somebody asks for the metrics for the first time.
+        """Load the HTTP server at the first connection to the metrics address.
 
-        It takes 3 MB and 100 ms, and hardly any agent is ever asked.
+        Loading takes 3 MB and 100 ms, and the metrics of few agents are ever queried.
         """
         with bind_listener(self._settings.metrics) as listener:
             listener.listen()
@@ -223,7 +228,7 @@
             await serve_listener(MetricsApp(self._metrics), listener)
 
     async def drain(self) -> None:
-        """End at once: nothing runs through the agent."""
+        """Return at once, since no requests pass through the agent."""
         log_event("info", "draining", phase=self._coordinator.phase.name)
 
     async def close(self) -> None:
@@ -261,8 +266,8 @@
             case Roster() | GroupLoad():
                 self._forward_load(message, sender, now)
             case Presence() if message.group != self._group:
-                # A service may have several groups, which have nothing to do with
-                # each other: the lowest rank of another one leads nothing here.
+                # A service may have several independent groups. The lowest rank of
+                # another group does not lead this one.
                 self._presence.remove(message.messages)
             case Presence():
                 self._presence.observe(
@@ -289,14 +294,14 @@
             log_event("info", "entry-found", entry=state.address, via=state.via)
         self.feed.note_era(state.replicas_era)
         if self._follows_store and self.feed.table is None and state.beliefs:
-            # The store may turn away this machine alone. Without the layout of the
-            # experts an agent that leads changes no map, and all passes stay long.
+            # The store may refuse only this machine. A leading agent without the
+            # layout of the experts changes no map, and all passes stay long.
             self._exchange.observe(state)
         if not state.lacks_load or state.via or report is None or not report.group:
             return
         leader = self._presence.find_leader(report.rank, now)
         if leader is not None and self._load_queries.take(now):
-            # The leader may be cut off from the entry and from nobody else.
+            # The leader may be cut off from this entry only.
             query = replace(state, via=self._settings.messages)
             self._send_soon(query, leader)
 
@@ -319,8 +324,8 @@
             return
         has_progress = self._coordinator.observe(complete, now=now)
         if has_progress and self._coordinator.waits_for_ranks:
-            # Until the last rank has told that it is armed, a pass is held:
-            # waiting for the next look at the own rank would cost a pass.
+            # A pass is held until the last rank has reported that it is armed.
+            # Waiting for the next poll of the own rank would cost a pass.
             self._states_changed.set()
 
     def _handle_order_request(self, request: OrderRequest) -> None:
@@ -380,8 +385,8 @@
             idle = not (report.active or report.queued or report.held_step)
             pause_s = get_poll_interval_s(report.ranks)
             if self._is_changing(report):
-                # What the rank has copied or is armed for shows at the next look, and
-                # the whole group waits for the last rank to tell it.
+                # The next poll shows what the rank has copied or is armed for, and the
+                # whole group waits until the last rank has reported it.
                 pause_s = POLL_INTERVAL_S
             with trio.move_on_after(IDLE_POLL_S if idle else pause_s):
                 await self._changed.wait()
@@ -389,7 +394,7 @@
 
     def _is_counting_due(self, report: RankReport) -> bool:
         now = trio.current_time()
-        # Counts that are read and not told would be missing from the demand.
+        # Counts that are read but not sent would be missing from the demand.
         is_report_due = (
             now - self._reported_at
             >= _REPORT_DUE_SHARE * get_poll_interval_s(report.ranks)
@@ -398,8 +403,8 @@
             senders=min(report.ranks, SAMPLED_RANKS),
             link_bytes_per_s=self._settings.link_bits_per_s / _BITS,
         )
-        # Looks are about as far apart as counts are due. Without the share every other
-        # look would come a moment too early, and demand would be seen half as often.
+        # The poll interval is about the interval of counts. Without the share every
+        # other poll would be slightly early, and demand would be read half as often.
         is_count_due = now - self._counted_at >= _REPORT_DUE_SHARE * pause_s
         return is_report_due and is_count_due and _is_sampled(report)
 
@@ -458,14 +463,14 @@
     async def _send_state(self, state: RankState, now: float) -> None:
         to, is_full = self._presence.choose_state_receivers(state, state.rank, now)
         if not is_full:
-            # What hardly ever changes is left out: most of a state are addresses.
+            # Omit what hardly ever changes; addresses are the largest part of a state.
             state = replace(state, messages="", replica="", group="", experts=())
         await self._port.send(state, *to)
 
     async def _publish_load(
         self, report: RankReport, states: list[tuple[RankState, float]], now: float
     ) -> None:
-        """Tell the entries the load of ranks, by way of one entry in each zone."""
+        """Publish the load of ranks to the entries through one entry in each zone."""
         pass_s = self._passes.measure(now=now)
         for outgoing in self._publisher.build_messages(
             report, states, pass_s=pass_s, now=now
@@ -510,7 +515,7 @@
         )
 
     async def _follow_change(self, report: RankReport, now: float) -> None:
-        """Bring the own rank to what the leader asks for."""
+        """Order the own rank to take the next step of the leader's map change."""
         change = self._change
         if change is None or change.epoch != report.epoch:
             return
@@ -527,7 +532,7 @@
         self._nursery.start_soon(self._give_order, self._settings.replica, order)
 
     def _detect_stall(self) -> None:
-        """Forget what was going on when the machine has stood still meanwhile."""
+        """Discard the state of map changes if machine or process was stalled."""
         now = trio.current_time()
         suspended_s = self._measure_suspension() - self._suspended_s
         self._suspended_s += suspended_s
@@ -540,7 +545,7 @@
             )
 
     def _measure_suspension(self) -> float:
-        # The steady clock does not count the time in which a machine is suspended.
+        # The monotonic clock does not count the time in which a machine is suspended.
         boot = time.clock_gettime(time.CLOCK_BOOTTIME)
         return boot - time.clock_gettime(time.CLOCK_MONOTONIC)
 
@@ -579,15 +584,15 @@
             await self._port.send(request, action.agent)
 
     async def _send_change(self, action: SendMapChange) -> None:
-        """Tell agents of a change, a large one by way of a few of them."""
-        # The leader's own rank must not be armed before all others, so its agent is
-        # never told by message.
+        """Send a change to agents; a change with maps is forwarded by a few of them."""
+        # The leader's own rank must not be armed before all others, so its agent never
+        # gets the change as a message.
         to = [one for one in action.to if one != self._settings.messages]
         if not action.change.experts:
             await self._port.send(action.change, *to)
             return
-        # Another order each time: who is told by way of an agent that has died is told
-        # by way of another one the next time.
+        # Shuffle each time, so that an agent whose forwarding agent has failed gets the
+        # next message through another one.
         self._random.shuffle(to)
         self._spread_change(action.change, split_by_zone(to, self._zones))
 
@@ -600,7 +605,7 @@
     async def _send_paced(
         self, change: MapChange, parts: list[tuple[str, tuple[str, ...]]]
     ) -> None:
-        """Send a large message to one agent after the other, as the link takes them."""
+        """Send a large message to agents in turn, paced to the bandwidth of the link."""
         for agent, others in parts:
             size = await self._port.send(replace(change, forward=others), agent)
             await trio.sleep(size * _BITS / self._settings.link_bits_per_s)
@@ -655,10 +660,10 @@
                 )
 
     async def _send_presence(self) -> None:
-        """Tell others that this agent lives, and at once when they become known.
+        """Send presence regularly, and at once when other agents become known.
 
-        After a loss of power no map follows the demand, and a pass that was held by a
-        killed leader stands still, until a group has found its members.
+        After a power loss, until a group has found its members, no map follows the
+        demand, and a pass that was held by a killed leader does not continue.
         """
         while True:
             with trio.move_on_after(PRESENCE_INTERVAL_S):
@@ -681,10 +686,10 @@
             await self._port.send(presence, *receivers)
 
     def _follow_store(self) -> None:
-        """Learn the other agents and the experts' layout.
+        """Start to watch the store for the other agents and the layout of experts.
 
-        Only agents that lead, or lead next, need them. Were all 192 agents of a service
-        to watch the store, each registration would cost a call of each.
+        Only agents that lead, or lead next, need them. If all 192 agents of a service
+        watched the store, each registration would cost one call per agent.
         """
         if not self._follows_store and self._nursery is not None:
             self._follows_store = True
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -30,9 +30,9 @@
 """Address at which no store answers."""
 
 
-def list_complete_loads(told):
+def list_complete_loads(received):
     """Return the loads of all ranks among messages."""
-    loads = [one for one in told if isinstance(one, GroupLoad)]
+    loads = [one for one in received if isinstance(one, GroupLoad)]
     return [one for one in loads if len(one.members) == RANKS]
 
 
@@ -125,18 +125,18 @@
 
 def test_entry_that_reports_its_state_receives_the_load():
     async def test(group, agents, port, nursery):
-        told = []
+        received = []
         entry = DatagramPort("127.0.0.1:0")
-        await entry.start(nursery, lambda message, sender: told.append(message))
+        await entry.start(nursery, lambda message, sender: received.append(message))
         state = EntryState(entry.address, "", 0, 0, "zone-a")
         await wait_until(lambda: agents[0]._coordinator.leads(trio.current_time()))
         for number in range(RANKS):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
-        await wait_until(lambda: list_complete_loads(told))
-        load = list_complete_loads(told)[0]
+        await wait_until(lambda: list_complete_loads(received))
+        load = list_complete_loads(received)[0]
         assert (load.ranks, load.open, load.entries, load.relay) == (4, True, 1, True)
         assert {one.active for one in load.members} == {3}
-        rosters = [one for one in told if isinstance(one, Roster)]
+        rosters = [one for one in received if isinstance(one, Roster)]
         named = next(one for one in rosters if one.number == load.roster)
         assert named.group == "g"
         assert [one.address for one in named.entries] == [entry.address]
@@ -154,19 +154,19 @@
     """
 
     async def test(group, agents, port, nursery):
-        told = []
+        received = []
         entry = DatagramPort("127.0.0.1:0")
 
         def receive(message, sender):
             if number == 0 or sender.startswith(f"127.0.0.{number + 1}:"):
-                told.append(message)
+                received.append(message)
 
         await entry.start(nursery, receive)
         state = EntryState(entry.address, "", 0, 0, "zone-a", lacks_load=True)
-        while not list_complete_loads(told):
+        while not list_complete_loads(received):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
             await trio.sleep(0.1)
-        assert {one.active for one in list_complete_loads(told)[0].members} == {3}
+        assert {one.active for one in list_complete_loads(received)[0].members} == {3}
 
     run(test)
 
