--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -48,7 +48,10 @@
 """Pause between two reports of the entry's state, and checks for missing loads."""
 
 PEER_REPORT_EVERY = 2
-"""Number of report intervals between two state reports to other entries."""
+"""Number of report intervals between two reports to other entries.
+
+The reports say how new this entry's snapshot of the store is.
+"""
 
 LEADER_REPORT_EVERY = 4
 """Number of report intervals between two state reports to leading and next agents.
@@ -282,7 +285,7 @@
         return now - self.feed.returned_at
 
     def _choose_peers(self) -> list[str]:
-        """Return the entries that receive this one's state.
+        """Return the entries that are informed how new this one's snapshot is.
 
         They are those of the zone and one of another zone. Updates then take about as
         long between zones as within one, and an entry's traffic grows only with the
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -193,7 +193,7 @@
         except trio.Cancelled:
             gate.remove(request_id)
             if isinstance(waiter.decision, Assignment):
-                # Assigned and cancelled at the same time; only this call can release it.
+                # Assigned and cancelled at the same time: only this call releases it.
                 self.finish(service, waiter.decision.replica, failed=False)
             raise
         finally:
--- a/src/hyssopvane/_internal/roles/metrics_app.py
+++ b/src/hyssopvane/_internal/roles/metrics_app.py
@@ -1,4 +1,4 @@
-"""Answer whoever collects the metrics of a process on the direct path."""
+"""Serve the metrics of a process on the direct path to collectors."""
 
 from typing import Any, Protocol
 
@@ -12,20 +12,20 @@
 
 
 class RenderableMetrics(Protocol):
-    """Tell what metrics say."""
+    """Represent metrics that can be rendered as text."""
 
     def render(self) -> bytes:
         """Return all instruments in the Prometheus text format."""
 
 
 class MetricsApp:
-    """Serve the metrics address."""
+    """Answer requests for the metrics in the Prometheus text format."""
 
     def __init__(self, metrics: RenderableMetrics) -> None:
         self._metrics = metrics
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Answer one request; any other path gets 404."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -186,11 +186,11 @@
         self._states_changed = trio.Event()
         """Set when a rank has made progress with a change."""
         self._is_hold_task_running = False
-        """Whether the task that repeats decisions while a pass may be held is running."""
+        """Whether a task repeats decisions while a pass may be held."""
         self._nursery: trio.Nursery | None = None
         self._suspended_s = self._measure_suspension()
         self._polled_at = float("inf")
-        """Time of the last poll; infinite before the first one, so that no gap counts."""
+        """Time of the last poll; infinite before the first one, so no gap counts."""
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -605,7 +605,7 @@
     async def _send_paced(
         self, change: MapChange, parts: list[tuple[str, tuple[str, ...]]]
     ) -> None:
-        """Send a large message to agents in turn, paced to the bandwidth of the link."""
+        """Send a large message to agents in turn, at the rate of the link."""
         for agent, others in parts:
             size = await self._port.send(replace(change, forward=others), agent)
             await trio.sleep(size * _BITS / self._settings.link_bits_per_s)
--- a/src/hyssopvane/_internal/roles/refusing_app.py
+++ b/src/hyssopvane/_internal/roles/refusing_app.py
@@ -1,4 +1,4 @@
-"""Refuse callers whom the entry can't serve, before anything of theirs is read."""
+"""Refuse requests that the entry can't serve, without interpreting their bodies."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 class RefusingApp:
-    """Answer every request with one refusal."""
+    """Answer every request with the same refusal."""
 
     def __init__(self, reason: RefusalReason, *, metrics: Metrics) -> None:
         self._reason = reason
@@ -25,8 +25,8 @@
         if scope["type"] != "http":
             return
         self._metrics.count_refusal(self._reason.value)
-        # The connection ends after this answer. A caller that still sends its body then
-        # would meet a closed connection and never read why.
+        # The connection closes after this answer. A caller that still sends its body
+        # would get a connection error and never read the reason.
         await discard_body(receive)
         keyed = any(name == headers.IDEMPOTENCY_KEY for name, _ in scope["headers"])
         # Another attempt of the same key may have run through another entry.
@@ -36,20 +36,20 @@
 
 
 CONNECTION_ENDED = b"connection-ended"
-"""Reason told to a request that comes as its idle connection ends.
+"""Reason for a request that arrives while its idle connection is closed.
 
-It has no outcome: the server does not know whether the request has an idempotency key,
-whose other attempts may have run.
+It has no outcome, since the server does not know whether the request has an idempotency
+key, whose other attempts may have run.
 """
 
 
 def describe_late_request() -> bytes:
-    """Return the header lines for a request that comes as its connection ends."""
+    """Return the header lines for a request that arrives as its connection closes."""
     return b"%b: %b\r\n" % (headers.REASON, CONNECTION_ENDED)
 
 
 class MalformedRequestHandler:
-    """Count bytes that are no HTTP request, and mark their answer as not run."""
+    """Count malformed requests, and mark their answers as not run."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
--- a/src/hyssopvane/_internal/roles/snapshot_exchange.py
+++ b/src/hyssopvane/_internal/roles/snapshot_exchange.py
@@ -1,8 +1,8 @@
-"""Pass what an entry has learnt from the store on to entries that can't read it.
+"""Share the state of the store with peers that can't read it.
 
-The store may turn away some machines while it serves the operators and all others.
-A machine that it turns away would go on with routes and keys that were removed, and
-nobody would see it but the callers. What its peers know reaches it within a second.
+The store may refuse some machines while it serves the operators and all others. A
+refused machine would continue with removed routes and keys, and only callers would
+notice. The snapshot of its peers reaches it within a second.
 """
 
 from typing import Any
@@ -29,8 +29,10 @@
 SNAPSHOT_PATH = "/beliefs"
 
 FETCH_DELAY_S = 0.25
-"""Time that the store's own news get before a peer is asked: they come within
-milliseconds, and asking costs bytes between zones."""
+"""Wait for an update from the store itself before a peer is queried.
+
+Such updates arrive within milliseconds, and a query costs traffic between zones.
+"""
 
 FETCH_TIMEOUT_S = 1.0
 MAX_BYTES = 16 * 1024 * 1024
@@ -40,7 +42,7 @@
 
 
 class SnapshotExchange:
-    """Ask peers for what is newer, and answer them."""
+    """Fetch newer snapshots of the store from peers, and serve the own one."""
 
     def __init__(self, feed: RoutingFeed, *, seeds: tuple[str, ...]) -> None:
         self._feed = feed
@@ -50,7 +52,7 @@
         self._fetching: set[str] = set()
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Ask the seeds until something is known."""
+        """Start to poll the seeds until a configuration is known."""
         self._nursery = nursery
         if self._seeds:
             nursery.start_soon(self._fetch_from_seeds)
@@ -60,14 +62,14 @@
         await self._client.close()
 
     def observe(self, peer: EntryState) -> None:
-        """Take note of how new a peer's beliefs are."""
+        """Fetch the snapshot of a peer if its state is newer than the own one."""
         if self._is_newer(peer) and peer.beliefs not in self._fetching:
             assert self._nursery is not None
             self._fetching.add(peer.beliefs)
             self._nursery.start_soon(self._fetch_later, peer)
 
     async def answer(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer a peer."""
+        """Answer a peer's request with the own snapshot."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
@@ -92,7 +94,7 @@
             self._fetching.discard(peer.beliefs)
 
     async def _fetch_from_seeds(self) -> None:
-        # After a restart during an outage of the store, only peers know anything.
+        # After a restart during a store outage only peers have the configuration.
         await trio.sleep(SEED_INTERVAL_S)
         while not self._feed.is_ready():
             for seed in self._seeds:
--- a/src/hyssopvane/_internal/roles/target_refusal.py
+++ b/src/hyssopvane/_internal/roles/target_refusal.py
@@ -1,4 +1,4 @@
-"""Refuse work at an agent whose target leaves or has asked for rest."""
+"""Refuse work at an agent that leaves or whose target has asked for a pause."""
 
 import math
 
@@ -16,7 +16,7 @@
 
 
 def observe_backoff(backoff: TargetBackoff, response: httpcore.Response) -> None:
-    """Take what an answer of the target says of when to come back."""
+    """Record the pause that an answer of the target asks for with Retry-After."""
     try:
         backoff_s = read_rest(response.status, join_headers(response.headers))
     except ProtocolError as error:
@@ -27,7 +27,7 @@
 
 
 def find_refusal(backoff: TargetBackoff, *, leaving: bool) -> AgentRefusal | None:
-    """Return why an agent takes no new work now, None where it does."""
+    """Return why an agent accepts no new work now; None if it does."""
     if leaving:
         return AgentRefusal.LEAVING
     if backoff.measure_remaining_s(trio.current_time()):
@@ -36,7 +36,7 @@
 
 
 def make_refused(refusal: AgentRefusal, backoff: TargetBackoff) -> Refused:
-    """Return the message of a refusal, with the time that a resting target asks for."""
+    """Return the message of a refusal; a paused target adds its remaining pause."""
     if refusal is not AgentRefusal.TARGET_FULL:
         return Refused(refusal.value)
     remaining_s = backoff.measure_remaining_s(trio.current_time())
