--- a/tests/lib/direct_installation.py
+++ b/tests/lib/direct_installation.py
@@ -1,4 +1,4 @@
-"""Run the direct path in one loop: a store, replicas and an entry on loopback."""
+"""Run a store, replicas and a direct entry in one event loop on loopback."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -16,7 +16,7 @@
 from tests.lib.direct_store import DirectStore
 
 HANG_S = 120.0
-"""Time after which a test counts as hanging, also on a busy machine."""
+"""Test timeout, long enough for a busy machine."""
 
 HOST = "portal.example"
 KEY = "key-of-the-registry"
@@ -40,7 +40,7 @@
     "expert-share": 0.85,
     "link-mbps": 1000.0,
 }
-"""What an engine says of its experts, as the ranks' model has them."""
+"""Expert layout of an engine; it matches the model of the ranks."""
 
 
 def make_route(name: str, **changes: object) -> dict[str, object]:
@@ -78,7 +78,7 @@
 
 
 def make_configuration(version: int, **changes: object) -> dict[str, object]:
-    """Return a configuration as operators write it."""
+    """Return a configuration in the format of operators."""
     configuration: dict[str, object] = {
         "version": version,
         "routes": list(ROUTES),
@@ -104,7 +104,7 @@
 
 @dataclass
 class Answer:
-    """Hold what a caller got."""
+    """Hold the answer that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -113,7 +113,7 @@
 
 @dataclass
 class DirectInstallation:
-    """Hold the parts of a running direct path."""
+    """Hold the running store and entry, and add replicas to them."""
 
     store: DirectStore
     store_address: str
@@ -141,7 +141,7 @@
         state: str = "ready",
         started_ms: int = 1,
     ) -> None:
-        """Write a replica's registration."""
+        """Write a replica's registration to the store."""
         self.store.put(
             f"servers/{replica.id}",
             {
@@ -195,7 +195,7 @@
 async def open_direct(
     *, configured: bool = True, **changes: object
 ) -> AsyncIterator[DirectInstallation]:
-    """Run a store and an entry; replicas are added by the test."""
+    """Run a store and an entry; the test adds replicas."""
     store = DirectStore()
     client = ReplicaClient()
     async with trio.open_nursery() as nursery:
--- a/tests/lib/direct_replica.py
+++ b/tests/lib/direct_replica.py
@@ -1,4 +1,4 @@
-"""Stand in for a replica of the direct path: raw HTTP, with the faults of real ones."""
+"""Simulate a replica of the direct path and its faults over raw HTTP."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
@@ -10,7 +10,7 @@
 
 @dataclass
 class Received:
-    """Hold a request as the replica got it."""
+    """Hold a request as the replica received it."""
 
     method: str
     target: str
@@ -19,12 +19,12 @@
 
 
 Behave = Callable[["DirectReplica", trio.SocketStream, Received], Awaitable[bool]]
-"""Answers a request; returns whether the connection goes on."""
+"""Answer a request; return whether the connection stays open."""
 
 
 @dataclass
 class DirectReplica:
-    """Take requests on loopback, and answer them as a test asks."""
+    """Receive requests on loopback, and answer them with the function of a test."""
 
     id: str
     behave: Behave
@@ -50,7 +50,7 @@
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except* h11.RemoteProtocolError:
-            # The peer left within a request.
+            # The peer disconnected within a request.
             await trio.aclose_forcefully(stream)
 
     async def _serve_requests(self, stream: trio.SocketStream) -> None:
@@ -122,7 +122,7 @@
     request_id: str | None = None,
     length: int | None = None,
 ) -> bytes:
-    """Return the bytes of an answer."""
+    """Return an HTTP answer as bytes."""
     lines = [f"HTTP/1.1 {status} Word"]
     echoed = (
         request.headers.get("x-request-id", "") if request_id is None else request_id
@@ -141,7 +141,7 @@
 async def answer_whole(
     replica: DirectReplica, stream: trio.SocketStream, request: Received
 ) -> bool:
-    """Answer as a sound replica does."""
+    """Send a complete and signed answer."""
     await stream.send_all(make_answer(request))
     return True
 
@@ -152,7 +152,7 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one chunk of a body without a length."""
+    """Return data as one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
--- a/tests/lib/rank_standin.py
+++ b/tests/lib/rank_standin.py
@@ -1,4 +1,4 @@
-"""Stand in for the ranks of a group: their reports, counts and orders over HTTP."""
+"""Simulate the ranks of a group: their reports, counts and orders over HTTP."""
 
 import json
 from random import Random
@@ -16,16 +16,16 @@
 
 
 class GroupStandIn:
-    """Let a group of ranks make passes, and answer for each of them."""
+    """Simulate the passes of a group, and answer HTTP calls for each of its ranks."""
 
     def __init__(self, name: str = "g") -> None:
         self.name = name
         self.model = GroupModel(Random(1), Faults())
         self.broken = False
-        """Whether the group serves nobody until it is formed anew."""
+        """Whether the group serves no requests until it is formed again."""
 
     async def make_passes(self) -> None:
-        """Begin a pass from time to time; raise `MapsDiffer` when the maps differ."""
+        """Begin passes regularly; raise `MapsDiffer` when the maps differ."""
         while True:
             await trio.sleep(PASS_S)
             self.model.now = trio.current_time()
@@ -34,13 +34,13 @@
                 self.model.begin_passes()
 
     def form(self) -> None:
-        """Begin a new epoch, with the first map."""
+        """Begin a new epoch with the initial map."""
         self.model.epoch += 1
         self.model.begin_epoch()
         self.broken = False
 
     def make_app(self, number: int) -> Any:
-        """Return the application of one rank."""
+        """Return the ASGI application of one rank."""
 
         async def app(scope: Any, receive: Any, send: Any) -> None:
             if scope["type"] == "lifespan":
@@ -53,7 +53,7 @@
         return app
 
     def answer(self, number: int, scope: Any, body: bytes) -> tuple[int, object]:
-        """Answer one call of a rank."""
+        """Return status and document for one call to a rank."""
         rank = self.model.ranks[number]
         if scope["path"] == "/api/report":
             return 200, self._report(number)
