--- a/tests/functional/test_agent_metrics.py
+++ b/tests/functional/test_agent_metrics.py
@@ -1,4 +1,4 @@
-"""Test that an agent's metrics are there when they are asked for."""
+"""Test that an agent serves its metrics, whose server starts at the first scrape."""
 
 import trio
 
--- a/tests/functional/test_direct_path.py
+++ b/tests/functional/test_direct_path.py
@@ -1,4 +1,4 @@
-"""Test what callers get on the direct path, over real sockets."""
+"""Test the answers to callers of the direct path over real sockets."""
 
 import pytest
 import trio
@@ -118,10 +118,11 @@
 
 @pytest.mark.parametrize("behave", FAULTS)
 def test_faulty_answer_is_neither_forwarded_nor_retried(behave):
-    """A replica breaks its answer off, or sends one that belongs to another request.
+    """Guard against truncated and foreign answers, and against retries of bids.
 
-    A bidder would get half of a confirmation, or somebody else's. The bid may have
-    been counted, so it must not be sent again, nor be called not run.
+    A replica breaks its answer off, or sends one that belongs to another request. The
+    bidder would get half of a confirmation or that of another bidder. The bid may have
+    been counted, so it must neither be retried nor be reported as not run.
     """
 
     async def test(site):
@@ -183,9 +184,9 @@
 
 
 def test_surplus_answer_is_not_read_as_the_next_answer():
-    """A replica sends a second answer behind the first on a kept connection.
+    """Guard against a second answer that a replica sends on a kept connection.
 
-    Without a check the next caller on that connection would get it.
+    Without a check the next caller on that connection would receive it.
     """
 
     async def answer_twice(replica, stream, request):
@@ -222,7 +223,7 @@
 
 
 def fail_first_request(broken, *, then=None):
-    """Let the first request break off, and the next one go on, at either replica."""
+    """Return a behavior that fails the first request and completes the next one."""
     behaviours = iter((broken, then or stream_events(range(1, 6))))
 
     async def behave(replica, stream, request):
@@ -264,9 +265,9 @@
 
 @pytest.mark.parametrize("tail", [b"", b"id: 3\ndata: to"], ids=["between", "within"])
 def test_broken_stream_is_resumed_at_another_replica(tail):
-    """A replica crashes in the middle of a draft, even of an event.
+    """Guard against duplicate or missing events when a replica crashes in a stream.
 
-    The clerk sees one whole draft: nothing twice, nothing missing.
+    The crash comes between two events or within one.
     """
 
     behave = fail_first_request(stream_events((1, 2), end=b"", tail=tail))
@@ -361,9 +362,10 @@
 
 
 def test_snapshot_of_a_peer_is_used_while_the_store_refuses():
-    """The store turns one machine away while the operators take a key away.
+    """Guard against an entry that accepts a removed key since the store refuses it.
 
-    The entry would go on taking the key. Its peers pass the newer configuration on.
+    The store refuses one machine while operators remove a key. The entry must get the
+    newer configuration from its peers.
     """
 
     async def test(site):
@@ -433,7 +435,7 @@
 
 
 def test_duplicate_or_missing_request_id_does_not_affect_other_requests():
-    """A careless caller uses the same id for two requests at once, or sends none."""
+    """Guard against failures when a caller repeats a request ID or sends none."""
 
     async def answer_slowly(replica, stream, request):
         await trio.sleep(0.05)
@@ -456,7 +458,7 @@
 
 
 def test_resumed_stream_that_restarts_is_cut():
-    """The second replica starts the draft again; the clerk would read it twice."""
+    """Guard against duplicate events when the second replica restarts the stream."""
 
     async def restart_stream(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
@@ -479,10 +481,10 @@
 
 
 def test_connections_to_an_earlier_start_of_a_replica_are_closed():
-    """A replica crashes and is back under its id and address a moment later.
+    """Guard against requests on idle connections to a process that has ended.
 
-    The connections that waited for it lead to the process that is gone. A bid that is
-    sent on one of them hangs, or is lost without anybody knowing whether it ran.
+    A replica crashes and soon restarts under its ID and address. A bid that is sent on
+    an old connection hangs, or is lost and its outcome is unknown.
     """
 
     async def test(site):
@@ -499,10 +501,11 @@
 
 
 def test_replica_with_an_invalid_registration_gets_no_request():
-    """Another program writes nonsense over the registration of the only replica.
+    """Guard against requests to a replica whose registration was overwritten.
 
-    Callers are told that nothing has run and when to come back; they are served again
-    as soon as the replica has registered itself.
+    Another program writes invalid data over the registration of the only replica.
+    Callers must get a refusal with Retry-After that proves that nothing has run, and
+    must be served again as soon as the replica has registered.
     """
 
     async def test(site):
@@ -523,10 +526,11 @@
 def test_request_waits_for_the_first_configuration(
     monkeypatch,
 ):
-    """All machines have lost power, and an entry listens before it has read the store.
+    """Guard against refusals while an entry has not yet read the store.
 
-    Callers whose first try met a machine without power have no third one. Refused in
-    that moment, they get no answer at all.
+    All machines lost power, and an entry listens before it has a configuration. Callers
+    whose first attempt failed at a machine without power have no third attempt, so a
+    refusal would leave them without an answer.
     """
     monkeypatch.setattr(direct_app, "_STARTING_S", HANG_S)
 
--- a/tests/functional/test_direct_promises.py
+++ b/tests/functional/test_direct_promises.py
@@ -1,4 +1,4 @@
-"""Test what an entry promises, whatever its replicas do with its requests."""
+"""Test the guarantees of an entry under any faults of its replicas."""
 
 from collections import Counter
 
@@ -34,7 +34,7 @@
 
 
 class Journal:
-    """Make replicas do what a plan says, and remember what they ran."""
+    """Let replicas follow a plan of faults, and record the requests that they ran."""
 
     def __init__(self, plan):
         self._plan = iter(plan)
@@ -96,8 +96,8 @@
     if path == "/bids/7":
         assert runs <= 1, "ran more than once"
         if answer is not None and answer.status in (429, 503, 408, 421):
-            assert runs == 0, "was said not to have run"
-    assert runs <= 2, "more replicas than the route allows"
+            assert runs == 0, "ran but was reported as not run"
+    assert runs <= 2, "ran more often than the route allows"
     if answer is not None and answer.status == 200:
         assert answer.body == b"for " + request_id.encode()
         assert "x-response-signature" in answer.headers
@@ -116,7 +116,7 @@
             except ReplicaFailed:
                 answer = None
             check_answer(path, request_id, answer, journal)
-        # A second later nothing of it runs after all.
+        # No request may run after its answer.
         before = journal.runs.copy()
         await trio.sleep(0.01)
         assert journal.runs == before
@@ -135,17 +135,17 @@
 )
 @given(PLANS, CALLS)
 def test_guarantees_hold_with_any_replica_faults(plan, paths):
-    """Replicas lose, double, spoil and delay their answers in any order.
+    """Guard against violations when answers are lost, doubled, malformed or late.
 
-    A bid must not run twice, a refused one must not have run, and nobody may get the
-    answer to somebody else's request.
+    A bid must not run twice, a refused bid must not have run, and no caller may get the
+    answer to another caller's request.
     """
     trio.run(run_plan, plan, paths)
 
 
 @pytest.mark.parametrize("path", PATHS)
 def test_refusal_of_another_request_does_not_allow_a_retry(path):
-    """Guards against a request that runs twice by a refusal of another one."""
+    """Guard against a second run of a request after the refusal of another one."""
     trio.run(run_plan, ["another-refusal"] * 4, [path] * 4)
 
 
--- a/tests/functional/test_random_faults.py
+++ b/tests/functional/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Test what must always hold under random faults, from fixed seeds."""
+"""Test the guarantees that hold under random faults, with fixed seeds."""
 
 import pytest
 
@@ -9,11 +9,12 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_random_faults_violate_no_guarantee(tmp_path, seed):
-    """Processes are killed and frozen, and the key-value service fails, under load.
+    """Guard against wrong answers when processes or the key-value service fail.
 
-    A caller might see its bid confirmed twice, be told that it did not run when it
-    did, get another caller's answer or a short one that looks whole; an operator might
-    see an accepted cell go back. `./dev bench faults` runs more seeds for longer.
+    Processes are killed and stopped under load. A bid could be confirmed twice or be
+    reported as not run although it ran, a caller could get another caller's answer or a
+    truncated one that looks complete, and an accepted cell could revert.
+    `./dev bench faults` runs more seeds for longer.
     """
     report = run_faults(tmp_path, seed=seed, seconds=SECONDS)
     assert report.violations == []
@@ -23,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_random_faults_and_store_returns_violate_no_guarantee(tmp_path, seed):
-    """Guards against promises broken as the key-value service loses what it had."""
+    """Guard against violations when the key-value service loses its data."""
     report = run_faults(tmp_path, seed=seed, seconds=SECONDS, returns=True)
     assert report.violations == []
     assert report.returns
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -1,4 +1,4 @@
-"""Test agents beside the ranks of one group, over real sockets."""
+"""Test the agents of the ranks of one group over real sockets."""
 
 import socket
 from functools import partial
@@ -31,13 +31,13 @@
 
 
 def list_complete_loads(received):
-    """Return the loads of all ranks among messages."""
+    """Return the load messages that contain all ranks."""
     loads = [one for one in received if isinstance(one, GroupLoad)]
     return [one for one in loads if len(one.members) == RANKS]
 
 
 def find_port():
-    """Return a port that is free for datagrams on loopback."""
+    """Return a free UDP port on loopback."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
@@ -74,7 +74,7 @@
 
 
 async def start_group(nursery, *, cut_off=()):
-    """Start a store, the ranks and their agents, some without it; return the group."""
+    """Start a store, ranks and agents; agents in `cut_off` can't reach the store."""
     group, store, port = GroupStandIn(), DirectStore(), find_port()
     store_address = await serve(nursery, store, "127.0.0.1")
     configuration = make_configuration(1)
@@ -146,11 +146,11 @@
 
 @pytest.mark.parametrize("number", range(RANKS))
 def test_entry_that_misses_loads_receives_them_through_any_agent(number):
-    """The leader's machine is cut off from an entry, and leads its group all the same.
+    """Guard against missing loads when only the link from leader to entry is broken.
 
-    The entry would have to guess the load of all ranks, and refuse callers or overload
-    the group. It reaches another agent, which passes the complaint on to the leader and
-    the leader's loads back.
+    The entry would have to estimate the load of all ranks, and would refuse callers or
+    overload the group. Any other agent that the entry reaches must forward the load
+    query to the leader and the leader's loads back.
     """
 
     async def test(group, agents, port, nursery):
@@ -172,10 +172,10 @@
 
 
 def test_leader_sends_no_arming_to_its_own_agent():
-    """The leader asked a silent rank, whose state then bears the leader's own address.
+    """Guard against a leader that arms its own rank before the others.
 
-    Its own rank would be armed before the others, and a leader that dies just then
-    leaves one rank that changes its map alone.
+    The leader queried a silent rank, whose state then has the leader's own address. If
+    the leader fails at that time, its rank alone would change its map.
     """
 
     async def main():
@@ -197,10 +197,10 @@
 
 @pytest.mark.parametrize("fan_out", [1, 2, 5])
 def test_new_maps_reach_all_ranks_through_a_few_agents(fan_out, monkeypatch):
-    """A map is too large for the leader's link when it goes to all agents at once.
+    """Guard against maps that are lost when the leader sends them to all agents.
 
-    Most of them would never hear of it, and the group would keep a map that demand has
-    left behind.
+    A map is too large for the leader's link if it goes to all agents at once. Most
+    would not receive it, and the group would keep a map that no longer fits the demand.
     """
     monkeypatch.setattr(map_spread, "FAN_OUT", fan_out)
 
@@ -223,10 +223,11 @@
 
 
 def test_agent_discards_its_change_after_a_stall():
-    """Somebody stops the process for seconds, while its machine and clocks go on.
+    """Guard against orders of an abandoned change after the process was stopped.
 
-    Others have taken the change of maps over and let it go. An order that still
-    follows from it could reach this rank alone, and its maps would fall apart.
+    The process is stopped for seconds while its machine and clocks continue. Others
+    have taken over the change of maps and abandoned it. A late order would reach only
+    this rank, and the maps of the group would differ.
     """
 
     async def main():
@@ -246,10 +247,11 @@
 
 
 def test_leader_refused_by_the_store_gets_the_layout_from_an_entry():
-    """All processes start anew, and the store turns away the machine of the first rank.
+    """Guard against a leading agent that has no layout since the store refuses it.
 
-    Its agent leads the group and knows no layout, so no map follows the demand. Passes
-    take twice as long, and a quarter of all streams is late until the store serves it.
+    All processes restart, and the store refuses the machine of the first rank. Without
+    the layout no map follows the demand. Passes take twice as long, and a quarter of
+    all streams is late until the store accepts the machine.
     """
 
     async def test(group, agents, port, nursery):
--- a/tests/functional/test_replica_notices.py
+++ b/tests/functional/test_replica_notices.py
@@ -1,4 +1,4 @@
-"""Test how replicas fare that ask for rest or say that they leave, over sockets."""
+"""Test replicas that ask for a pause or report leaving, over real sockets."""
 
 import pytest
 import trio
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("headers", [NOT_RUN, ()], ids=["not run", "may have run"])
 def test_replica_that_requests_a_pause_gets_no_more_requests(headers, monkeypatch):
-    """Guards against requests to a replica within the time that it asked for."""
+    """Guard against requests to a replica during the pause that it asked for."""
     monkeypatch.setattr(direct_call, "FULL_REST_S", 0.0)
 
     async def test(site):
@@ -69,7 +69,7 @@
 
 
 def test_refusals_name_the_end_of_the_pause_of_the_only_replica():
-    """Guards against callers that are asked back before the rest is over."""
+    """Guard against a Retry-After that ends before the pause of the replica."""
 
     async def test(site):
         replica = await site.add_replica("i-1", request_backoff("60"))
@@ -82,7 +82,7 @@
 
 
 def test_request_whose_connection_opens_after_the_answer_is_not_sent(monkeypatch):
-    """Guards against requests that were placed before a replica asked for rest."""
+    """Guard against sending requests assigned before a replica asked for a pause."""
     open_stream = replica_client.open_stream
 
     async def test(site):
@@ -118,7 +118,7 @@
 def test_pause_is_recorded_when_the_caller_left_before_the_answer(
     request_id, heard, monkeypatch
 ):
-    """Guards against a replica's word that is lost with its caller."""
+    """Guard against losing the pause a replica asks for once its caller has left."""
     monkeypatch.setattr(raw_stream, "LATE_ANSWER_S", HANG_S)
     left = trio.Event()
 
@@ -180,7 +180,7 @@
 def test_replica_that_reports_leaving_gets_no_more_requests(
     path, behave, again, monkeypatch
 ):
-    """Guards against requests to a leaving replica whose registration says ready."""
+    """Guard against requests to a leaving replica whose registration says ready."""
     monkeypatch.setattr(direct_call, "FULL_REST_S", 0.0)
 
     async def test(site):
--- a/tests/functional/test_request_limits.py
+++ b/tests/functional/test_request_limits.py
@@ -1,4 +1,4 @@
-"""Test how callers and a replica fare that names a request limit, over real sockets."""
+"""Test requests to a replica that reports a request limit, over real sockets."""
 
 import time
 
@@ -30,10 +30,10 @@
 
 
 def test_callers_are_refused_at_once_with_retry_after_when_the_limit_is_zero():
-    """The only replica of a service is in need and takes no more requests.
+    """Guard against waiting for, and requests to, an overloaded replica.
 
-    Callers that waited for it would use up their time, and each one that was sent to it
-    would make its need worse.
+    The only replica of a service is overloaded and accepts no requests. Callers that
+    wait would exceed their deadlines, and each request sent would add to the overload.
     """
 
     async def test(site):
