--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -283,8 +283,8 @@
                 target=request.target,
                 headers=self._make_headers(replica),
                 body=request.body,
-                # Opening a connection takes up to a second. Another answer of the
-                # replica may have asked for a pause in that time.
+                # Opening a connection takes up to a second. In that time an answer to
+                # another request may have changed whether the replica accepts any.
                 may_send=lambda: gate.may_send(replica, trio.current_time()),
                 observe_late=partial(self._record_late_answer, replica),
             ) as response:
