--- a/tests/functional/test_direct_path.py
+++ b/tests/functional/test_direct_path.py
@@ -393,7 +393,7 @@
             site.entry.exchange.observe(
                 EntryState(
                     address="",
-                    snapshot=other.beliefs_address,
+                    beliefs=other.beliefs_address,
                     configuration_version=other.feed.configuration_version,
                     replicas_revision=0,
                 )
