--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -1,4 +1,4 @@
-"""Run the entry of the direct path: callers in front, replicas behind."""
+"""Run the entry of the direct path, which forwards callers' requests to replicas."""
 
 import secrets
 from dataclasses import replace
@@ -17,12 +17,12 @@
 from hyssopvane._internal.policy.store_watch import choose_watch_s
 from hyssopvane._internal.protocol.group_messages import GroupMessage
 from hyssopvane._internal.protocol.replica_headers import ReplicaHeaders
-from hyssopvane._internal.roles.belief_exchange import BeliefExchange
 from hyssopvane._internal.roles.direct_app import DirectApp
-from hyssopvane._internal.roles.direct_call import Tools
+from hyssopvane._internal.roles.direct_call import CallDependencies
 from hyssopvane._internal.roles.gate_keeper import GateKeeper
 from hyssopvane._internal.roles.metrics_app import MetricsApp
 from hyssopvane._internal.roles.process import Role
+from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.state.limits import ReplicaLimits
 from hyssopvane._internal.state.loads import GroupLoad, Roster
@@ -38,29 +38,36 @@
 from hyssopvane._internal.utils.deferred_metrics import DeferredMetrics
 from hyssopvane._internal.utils.logs import log_event
 
-RETURN_TOLD_S = 3.0
-"""Time for which other entries are told that the store has come back: what lapsed
-meanwhile is back within two seconds."""
+RETURN_REPORT_S = 3.0
+"""Time for which the store's return is reported to other entries.
 
-LOOK_S = 0.25
-"""Pause between two looks for groups whose load no longer comes."""
+Registrations that expired during the outage are restored within two seconds.
+"""
+
+REPORT_INTERVAL_S = 0.25
+"""Pause between two reports of the entry's state, and checks for missing loads."""
+
+PEER_REPORT_EVERY = 2
+"""Number of report intervals between two reports to other entries.
 
-TELL_PEERS_EVERY = 2
-"""Looks between two words to other entries on how new this one's beliefs are."""
+The reports say how new this entry's snapshot of the store is.
+"""
+
+LEADER_REPORT_EVERY = 4
+"""Number of report intervals between two state reports to leading and next agents.
 
-TELL_LEADERS_EVERY = 4
-"""Looks between two words to the agents that lead groups or lead them next: they tell
-loads to whoever has spoken in the last seconds."""
+Agents publish loads to the entries that sent a report within the last seconds.
+"""
 
-_LISTEN_SHARE = 0.36
-"""Part of the grace period in which new requests still come in.
+_ACCEPT_SHARE = 0.36
+"""Share of the grace period in which new requests are still accepted.
 
-The balancer takes an entry out after two missed readiness checks, a second apart.
+The balancer removes an entry after two failed readiness checks, one second apart.
 """
 
 
 class DirectEntry(Role):
-    """Serve callers straight from the replicas."""
+    """Serve callers by forwarding their requests directly to replicas."""
 
     def __init__(
         self,
@@ -87,7 +94,7 @@
         self.gates = GateKeeper(
             random=random,
             availability_zone=settings.availability_zone,
-            observe_restart=self._forget_connections,
+            observe_restart=self._close_idle_connections,
         )
         self.feed = RoutingFeed(
             store,
@@ -96,18 +103,18 @@
             observe=self._update,
             count=self.metrics.count_event,
         )
-        self.exchange = BeliefExchange(self.feed, seeds=settings.seeds)
+        self.exchange = SnapshotExchange(self.feed, seeds=settings.seeds)
         self._client = ReplicaClient()
         self._nursery: trio.Nursery | None = None
         self._port = DatagramPort(settings.messages, count=self.metrics.count_event)
         self._random = random
         self._inbox = LoadInbox(random=random)
         self._silent: frozenset[str] = frozenset()
-        """Groups whose load did not come at the last look."""
+        """Groups whose load was missing at the last check."""
         self.app = DirectApp(
             feed=self.feed,
             random=random,
-            tools=Tools(
+            dependencies=CallDependencies(
                 names=names,
                 gates=self.gates,
                 client=self._client,
@@ -133,7 +140,7 @@
             )
             self.exchange.start(nursery)
             await self._port.start(nursery, self._receive)
-            nursery.start_soon(self._tell_state)
+            nursery.start_soon(self._send_state)
             self.readiness_address = await nursery.start(
                 serve_until_cancelled, self._answer_balancer, self.settings.readiness
             )
@@ -156,11 +163,11 @@
             await trio.sleep_forever()
 
     async def drain(self) -> None:
-        """Leave the balancer, then let every request in progress end whole."""
+        """Fail readiness checks, then complete all requests in progress."""
         self.leaving = True
         self._leaving_event.set()
         log_event("info", "draining", running=self.app.running)
-        await trio.sleep(self.settings.grace_s * _LISTEN_SHARE)
+        await trio.sleep(self.settings.grace_s * _ACCEPT_SHARE)
         self.app.refusing = True
         self._shutdown.set()
         await self._callers_closed.wait()
@@ -174,7 +181,7 @@
         self.metrics.close()
 
     def is_ready(self) -> bool:
-        """Tell whether the entry takes new requests."""
+        """Return whether the entry accepts new requests."""
         return not self.leaving and self.feed.is_ready()
 
     def _update(self) -> None:
@@ -182,11 +189,11 @@
             self.metrics.set_level(level, value)
         self.gates.update(self.feed.table, self.feed.replicas)
 
-    def _forget_connections(self, address: str) -> None:
-        """Close the connections that wait for a replica that is gone.
+    def _close_idle_connections(self, address: str) -> None:
+        """Close the idle connections to a replica that has restarted.
 
-        They lead to its earlier start, and a request sent on one of them may hang until
-        the connection times out.
+        They belong to its previous process. A request sent on one of them may hang
+        until the connection times out.
         """
         self.metrics.count_event("replica-restarted")
         log_event("info", "replica-restarted", address=address)
@@ -204,36 +211,36 @@
             case Roster():
                 self._inbox.add_roster(message, now=trio.current_time())
                 if message.relay:
-                    self._pass_on(message, message)
+                    self._forward(message, message)
             case GroupLoad():
-                self._take_load(message)
+                self._handle_load(message)
             case ReplicaLimits():
                 self.gates.observe_limits(message)
             case _:
                 log_event("debug", "datagram-unexpected", sender=sender)
 
-    def _take_load(self, load: GroupLoad) -> None:
+    def _handle_load(self, load: GroupLoad) -> None:
         roster = self._inbox.accept(load, now=trio.current_time())
         if roster is None:
             self.metrics.count_event("load-unused")
             return
         self.gates.observe_load(load, roster)
         if load.relay:
-            self._pass_on(load, roster)
+            self._forward(load, roster)
 
-    def _pass_on(self, message: GroupLoad | Roster, roster: Roster) -> None:
-        """Send what a leader tells to the other entries of the zone."""
-        near = [
+    def _forward(self, message: GroupLoad | Roster, roster: Roster) -> None:
+        """Forward a message of a leader to the other entries of the zone."""
+        local = [
             one.address
             for one in roster.entries
             if one.availability_zone == self.settings.availability_zone
             and one.address != self._port.address
         ]
-        if near and self._nursery is not None:
-            passed_on = replace(message, relay=False)
-            self._nursery.start_soon(self._port.send, passed_on, *near)
+        if local and self._nursery is not None:
+            forwarded = replace(message, relay=False)
+            self._nursery.start_soon(self._port.send, forwarded, *local)
 
-    async def _tell_state(self) -> None:
+    async def _send_state(self) -> None:
         for number in count():
             now = trio.current_time()
             state = EntryState(
@@ -243,23 +250,25 @@
                 replicas_revision=self.feed.replicas_revision,
                 replicas_era=self.feed.replicas_position.era,
                 availability_zone=self.settings.availability_zone,
-                store_returned_s=self._measure_return(now),
+                store_returned_s=self._get_return_age_s(now),
             )
-            told = set()
-            if number % TELL_PEERS_EVERY == 0:
+            receivers = set()
+            if number % PEER_REPORT_EVERY == 0:
                 peers = self._choose_peers()
-                told.update(peers)
+                receivers.update(peers)
                 limits = self.gates.list_limits()
                 if limits.reports and peers:
                     await self._port.send(limits, *peers)
-            if number % TELL_LEADERS_EVERY == 0:
-                told.update(map(self._find_agent, self._inbox.list_contacts()))
-            await self._port.send(state, *told)
-            self._note_silence(now)
-            await self._complain(replace(state, lacks_load=True), now)
-            await trio.sleep(LOOK_S)
-
-    def _note_silence(self, now: float) -> None:
+            if number % LEADER_REPORT_EVERY == 0:
+                receivers.update(
+                    map(self._get_agent_address, self._inbox.list_contacts())
+                )
+            await self._port.send(state, *receivers)
+            self._log_silent_groups(now)
+            await self._query_loads(replace(state, lacks_load=True), now)
+            await trio.sleep(REPORT_INTERVAL_S)
+
+    def _log_silent_groups(self, now: float) -> None:
         silent = self._inbox.list_silent(now)
         for group in silent - self._silent:
             log_event("warning", "group-silent", group=group)
@@ -267,16 +276,20 @@
             log_event("info", "group-heard", group=group)
         self._silent = silent
 
-    def _measure_return(self, now: float) -> float | None:
-        if self.feed.returned_at is None or now - self.feed.returned_at > RETURN_TOLD_S:
+    def _get_return_age_s(self, now: float) -> float | None:
+        if (
+            self.feed.returned_at is None
+            or now - self.feed.returned_at > RETURN_REPORT_S
+        ):
             return None
         return now - self.feed.returned_at
 
     def _choose_peers(self) -> list[str]:
-        """Return the entries that are told how new this one's beliefs are.
+        """Return the entries that are informed how new this one's snapshot is.
 
-        Those of the zone, and one of another: from zone to zone news then take about
-        as long as inside one, and what an entry sends grows with its zone only.
+        They are those of the zone and one of another zone. Updates then take about as
+        long between zones as within one, and an entry's traffic grows only with the
+        size of its zone.
         """
         others = [
             one
@@ -284,17 +297,17 @@
             if one.address != self._port.address
         ]
         zone = self.settings.availability_zone
-        near = [one.address for one in others if one.availability_zone == zone]
-        far = [one.address for one in others if one.availability_zone != zone]
-        self.gates.observe_entries(self._port.address, near)
-        self._store.watch_s = choose_watch_s(self._port.address, near)
-        return near + self._random.sample(sorted(far), min(1, len(far)))
+        local = [one.address for one in others if one.availability_zone == zone]
+        remote = [one.address for one in others if one.availability_zone != zone]
+        self.gates.observe_entries(self._port.address, local)
+        self._store.watch_s = choose_watch_s(self._port.address, local)
+        return local + self._random.sample(sorted(remote), min(1, len(remote)))
 
-    async def _complain(self, state: EntryState, now: float) -> None:
-        """Tell agents that the load of their replicas does not come.
+    async def _query_loads(self, state: EntryState, now: float) -> None:
+        """Tell agents that the load of their replicas is missing.
 
-        Without this a relay that has died, or a leader that is cut off from this entry
-        alone, would leave the entry to guess the load of all ranks.
+        Otherwise the entry would have to estimate the load of all ranks after a relay
+        failed or the leader's link to this entry alone broke.
         """
         silent = self._inbox.choose_load_queries(now)
         ranked = self._list_ranked()
@@ -303,12 +316,12 @@
             for replica in self.feed.replicas.values()
             if replica.service in ranked
         ]
-        asked = silent + self._inbox.choose_replica_queries(replicas, now)
-        if asked:
-            self.metrics.count_event("load-missing", len(asked))
-            await self._port.send(state, *map(self._find_agent, asked))
+        queried = silent + self._inbox.choose_replica_queries(replicas, now)
+        if queried:
+            self.metrics.count_event("load-missing", len(queried))
+            await self._port.send(state, *map(self._get_agent_address, queried))
 
-    def _find_agent(self, replica: str) -> str:
+    def _get_agent_address(self, replica: str) -> str:
         return replace_port(replica, self.settings.agent_port)
 
     def _list_ranked(self) -> set[str]:
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -1,4 +1,4 @@
-"""Let requests wait for the decisions of a service's gate."""
+"""Queue requests at the gate of their service until it assigns or rejects them."""
 
 from collections.abc import Callable, Iterable
 from functools import partial
@@ -25,11 +25,11 @@
 from hyssopvane._internal.state.routing import Replica, RoutingTable
 from hyssopvane._internal.utils.logs import log_event
 
-SETTLE_INTERVAL_S = 0.01
-"""Pause between looks at what has waited too long."""
+DISPATCH_INTERVAL_S = 0.01
+"""Pause between two checks for requests that have waited too long."""
 
 EXPIRE_INTERVAL_S = 0.5
-"""Pause between looks for what replicas said that no longer holds."""
+"""Pause between two checks for expired notices of replicas."""
 
 
 class _Waiter:
@@ -39,7 +39,7 @@
 
 
 class GateKeeper:
-    """Hold one gate for each service."""
+    """Hold one gate for each service, and wake the requests that they decide on."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         observe_restart: Callable[[str], None] = lambda address: None,
     ) -> None:
         self._observe_restart = observe_restart
-        """Takes the address of a replica that has started anew under its id."""
+        """Callback with the address of a replica that restarted under its ID."""
         self.homes = HomeReplicas()
         self.entry_counter = EntryCounter(availability_zone=availability_zone)
         self._notices = ReplicaNotices()
@@ -67,14 +67,14 @@
         """Service by the address of its replica."""
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Look at what waits from time to time."""
-        nursery.start_soon(self._run)
+        """Start the regular dispatch and the expiry of notices."""
+        nursery.start_soon(self._dispatch_regularly)
         nursery.start_soon(self._expire_notices)
 
     def update(self, table: RoutingTable | None, replicas: dict[str, Replica]) -> None:
-        """Learn the services and their replicas."""
-        # Whoever names a service that the operators don't know serves nobody. A gate
-        # for each name would also let a stranger fill the memory.
+        """Apply a new routing table and a new list of replicas."""
+        # Ignore replicas that name a service which is not configured. A gate for each
+        # name would also let an outsider exhaust the memory.
         services = {} if table is None else table.services
         by_service: dict[str, list[Replica]] = {}
         for replica in replicas.values():
@@ -96,7 +96,7 @@
             if route.pause_s:
                 for part in route.split:
                     self.get_gate(part.service).set_pause(route.pause_s)
-        self.settle()
+        self.dispatch()
 
     def get_gate(self, service: str) -> ServiceGate:
         """Return the gate of a service."""
@@ -105,7 +105,7 @@
         return self._gates[service]
 
     def observe_load(self, load: GroupLoad, roster: Roster) -> None:
-        """Take what the leading agent of a group tells."""
+        """Apply the load that the leading agent of a group publishes."""
         now = trio.current_time()
         self.entry_counter.observe(load.entries, now=now)
         by_service: dict[str, list[tuple[RankLoad, float]]] = {}
@@ -119,77 +119,81 @@
             for restarted in self._gates[service].observe_loads(members):
                 self._observe_restart(restarted)
 
-    def observe_entries(self, own: str, near: Iterable[str]) -> None:
-        """Learn the entries of the own zone by their addresses."""
-        self.homes.update(own, near)
-        self.entry_counter.update(own, near)
+    def observe_entries(self, own: str, local: Iterable[str]) -> None:
+        """Set the addresses of the entries in the own zone."""
+        self.homes.update(own, local)
+        self.entry_counter.update(own, local)
 
     def observe_answer(
         self, service: str, replica: Replica, per_s: float | None
     ) -> None:
-        """Take the request limit that an answer of a replica names, None for none."""
+        """Apply the request limit in an answer of a replica; None ends the limit."""
         gate = self.get_gate(service)
         if per_s is None and not len(gate.limits):
             return
         if gate.note_limit(replica, per_s, now=trio.current_time()):
             _log_limit(replica.address, per_s, gate, source="answer")
 
-    def observe_rest(self, service: str, replica: Replica, rest_s: float) -> None:
-        """Take the time without requests that an answer of a replica asks for."""
+    def observe_backoff(self, service: str, replica: Replica, backoff_s: float) -> None:
+        """Apply the pause that an answer of a replica asks for."""
         gate = self.get_gate(service)
-        if gate.note_rest(replica, rest_s, now=trio.current_time()):
+        if gate.note_rest(replica, backoff_s, now=trio.current_time()):
             log_event(
                 "info",
                 "replica-resting",
                 replica=replica.id,
-                rest_s=rest_s,
+                rest_s=backoff_s,
                 resting=self._notices.count_paused(trio.current_time()),
             )
 
     def observe_leaving(self, service: str, replica: Replica) -> None:
-        """Take note that an answer of a replica says that it leaves."""
+        """Record that an answer of a replica reports leaving."""
         gate = self.get_gate(service)
         if gate.note_leaving(replica, now=trio.current_time()):
             log_event("info", "replica-leaving", replica=replica.id)
 
-    def observe_limits(self, told: ReplicaLimits) -> None:
-        """Take what another entry tells of request limits."""
+    def observe_limits(self, message: ReplicaLimits) -> None:
+        """Apply the request limits that another entry reports."""
         now = trio.current_time()
-        for news in told.reports:
-            service = self._services.get(news.replica)
+        for report in message.reports:
+            service = self._services.get(report.replica)
             if service is None:
                 continue
             gate = self._gates[service]
-            if gate.observe_peer_limit(news, now=now):
+            if gate.observe_peer_limit(report, now=now):
                 _log_limit(
-                    news.replica, news.per_s, gate, source="entry", age_s=news.age_s
+                    report.replica,
+                    report.per_s,
+                    gate,
+                    source="entry",
+                    age_s=report.age_s,
                 )
 
     def list_limits(self) -> ReplicaLimits:
-        """Return what other entries are told of request limits now."""
+        """Return the request limits to report to other entries; expire old ones."""
         now = trio.current_time()
-        news: list[LimitReport] = []
+        reports: list[LimitReport] = []
         for gate in self._gates.values():
             for address in gate.limits.expire(now):
                 log_event("info", "limit-expired", replica=address)
-            news += gate.limits.list_updates(now)
-        return ReplicaLimits(tuple(news))
+            reports += gate.limits.list_updates(now)
+        return ReplicaLimits(tuple(reports))
 
-    async def wait_for_place(
+    async def wait_for_assignment(
         self, service: str, waiting: QueuedRequest, *, weight: float
     ) -> Assignment | Rejection:
-        """Wait until a request is placed or refused."""
+        """Wait until a request is assigned or rejected."""
         gate = self.get_gate(service)
         request_id = waiting.item.request_id
         waiter = self._waiters[request_id] = _Waiter()
         gate.add(waiting, weight=weight)
-        self._settle(gate)
+        self._dispatch(gate)
         try:
             await waiter.event.wait()
         except trio.Cancelled:
             gate.remove(request_id)
             if isinstance(waiter.decision, Assignment):
-                # Placed and given up in the same moment: nobody else gives it back.
+                # Assigned and cancelled at the same time: only this call releases it.
                 self.finish(service, waiter.decision.replica, failed=False)
             raise
         finally:
@@ -198,32 +202,32 @@
         return waiter.decision
 
     def finish(self, service: str, replica: Replica, *, failed: bool) -> None:
-        """Give a place back."""
+        """Release the place of a request at a replica."""
         gate = self.get_gate(service)
         gate.finish(replica, failed=failed, now=trio.current_time())
-        self._settle(gate)
+        self._dispatch(gate)
 
-    def settle(self) -> None:
-        """Decide on everything that waits."""
+    def dispatch(self) -> None:
+        """Decide on all waiting requests."""
         for gate in self._gates.values():
-            self._settle(gate)
+            self._dispatch(gate)
 
-    def _settle(self, gate: ServiceGate) -> None:
+    def _dispatch(self, gate: ServiceGate) -> None:
         if not gate.count_waiting():
             return
-        was_closed = gate.outages.in_outage
+        was_in_outage = gate.outages.in_outage
         decisions = gate.dispatch(trio.current_time())
-        if gate.outages.in_outage != was_closed:
-            _log_opening(gate, decided=len(decisions))
+        if gate.outages.in_outage != was_in_outage:
+            _log_outage(gate, decided=len(decisions))
         for decision in decisions:
             waiter = self._waiters[decision.request_id]
             waiter.decision = decision
             waiter.event.set()
 
-    async def _run(self) -> None:
+    async def _dispatch_regularly(self) -> None:
         while True:
-            await trio.sleep(SETTLE_INTERVAL_S)
-            self.settle()
+            await trio.sleep(DISPATCH_INTERVAL_S)
+            self.dispatch()
 
     async def _expire_notices(self) -> None:
         while True:
@@ -232,7 +236,7 @@
                 log_event("info", "replica-rested", replica=replica_id)
 
 
-def _log_opening(gate: ServiceGate, *, decided: int) -> None:
+def _log_outage(gate: ServiceGate, *, decided: int) -> None:
     closed = gate.outages.in_outage
     log_event(
         "warning" if closed else "info",
--- a/tests/functional/test_direct_path.py
+++ b/tests/functional/test_direct_path.py
@@ -1,4 +1,4 @@
-"""Test what callers get on the direct path, over real sockets."""
+"""Test the answers to callers of the direct path over real sockets."""
 
 import pytest
 import trio
@@ -31,7 +31,7 @@
     trio.run(main)
 
 
-def test_request_reaches_its_replica_unchanged_and_its_answer_the_caller():
+def test_request_and_answer_are_passed_on_unchanged():
     async def test(site):
         replica = await site.add_replica("i-1", answer_whole)
         answer = await site.call(
@@ -66,7 +66,7 @@
     ],
     ids=["path", "host", "no-key", "wrong-key", "public", "body", "head"],
 )
-def test_requests_that_do_not_fit_are_answered_at_once(path, options, status):
+def test_invalid_requests_are_refused_at_once(path, options, status):
     async def test(site):
         replica = await site.add_replica("i-1", answer_whole)
         answer = await site.call(path, **options)
@@ -76,7 +76,7 @@
     run(test)
 
 
-async def answer_behind_another(replica, stream, request):
+async def answer_for_other_request(replica, stream, request):
     await stream.send_all(make_answer(request, request_id="somebody-else"))
     return True
 
@@ -86,7 +86,7 @@
     return True
 
 
-async def answer_half(replica, stream, request):
+async def answer_truncated(replica, stream, request):
     await stream.send_all(make_answer(request, length=500))
     return False
 
@@ -107,9 +107,9 @@
 
 
 FAULTS = [
-    answer_behind_another,
+    answer_for_other_request,
     answer_unsigned,
-    answer_half,
+    answer_truncated,
     answer_nonsense,
     answer_nothing,
     answer_encoded,
@@ -117,11 +117,12 @@
 
 
 @pytest.mark.parametrize("behave", FAULTS)
-def test_faulty_answer_is_never_passed_on_and_never_repeated(behave):
-    """A replica breaks its answer off, or sends one that belongs to another request.
+def test_faulty_answer_is_neither_forwarded_nor_retried(behave):
+    """Guard against truncated and foreign answers, and against retries of bids.
 
-    A bidder would get half of a confirmation, or somebody else's. The bid may have
-    been counted, so it must not be sent again, nor be called not run.
+    A replica breaks its answer off, or sends one that belongs to another request. The
+    bidder would get half of a confirmation or that of another bidder. The bid may have
+    been counted, so it must neither be retried nor be reported as not run.
     """
 
     async def test(site):
@@ -135,7 +136,7 @@
 
 
 @pytest.mark.parametrize("behave", FAULTS)
-def test_repeatable_request_goes_to_another_replica(behave):
+def test_repeatable_request_is_retried_at_another_replica(behave):
     async def test(site):
         faulty = await site.add_replica("i-1", behave)
         answers = [await site.call("/status/7", request_id=f"r{n}") for n in range(2)]
@@ -151,7 +152,7 @@
 
 @pytest.mark.parametrize("status", [503, 429, 421])
 @pytest.mark.parametrize("path", ["/status/7", "/bids/7"])
-def test_refusal_of_the_only_replica_is_told_as_not_run(status, path):
+def test_refusal_of_the_only_replica_is_reported_as_not_run(status, path):
     async def refuse(replica, stream, request):
         headers = (("X-Not-Executed", "1"),) if status != 421 else ()
         await stream.send_all(
@@ -168,7 +169,7 @@
     run(test)
 
 
-def test_replicas_own_failure_is_passed_on_with_its_signature():
+def test_failure_of_a_replica_is_forwarded_with_its_signature():
     async def fail(replica, stream, request):
         await stream.send_all(make_answer(request, status=500, body=b"broken"))
         return True
@@ -182,10 +183,10 @@
     run(test)
 
 
-def test_surplus_answer_is_never_read_as_the_next_one():
-    """A replica sends a second answer behind the first on a kept connection.
+def test_surplus_answer_is_not_read_as_the_next_answer():
+    """Guard against a second answer that a replica sends on a kept connection.
 
-    Without a check the next caller on that connection would get it.
+    Without a check the next caller on that connection would receive it.
     """
 
     async def answer_twice(replica, stream, request):
@@ -221,8 +222,8 @@
     return behave
 
 
-def break_off_first(broken, *, then=None):
-    """Let the first request break off, and the next one go on, at either replica."""
+def fail_first_request(broken, *, then=None):
+    """Return a behavior that fails the first request and completes the next one."""
     behaviours = iter((broken, then or stream_events(range(1, 6))))
 
     async def behave(replica, stream, request):
@@ -231,13 +232,13 @@
     return behave
 
 
-def test_events_reach_the_caller_as_they_come():
+def test_events_are_forwarded_as_they_arrive():
     async def test(site):
-        go_on = trio.Event()
+        resume = trio.Event()
 
         async def gate(number):
             if number == 1:
-                await go_on.wait()
+                await resume.wait()
 
         await site.add_replica(
             "i-1", stream_events((1, 2), gate=gate), service="drafting"
@@ -256,20 +257,20 @@
         ) as response:
             parts = response.iterate()
             assert await anext(parts) == make_event(1)
-            go_on.set()
+            resume.set()
             assert b"".join([part async for part in parts]) == make_event(2)
 
     run(test)
 
 
 @pytest.mark.parametrize("tail", [b"", b"id: 3\ndata: to"], ids=["between", "within"])
-def test_broken_stream_goes_on_at_another_replica(tail):
-    """A replica crashes in the middle of a draft, even of an event.
+def test_broken_stream_is_resumed_at_another_replica(tail):
+    """Guard against duplicate or missing events when a replica crashes in a stream.
 
-    The clerk sees one whole draft: nothing twice, nothing missing.
+    The crash comes between two events or within one.
     """
 
-    behave = break_off_first(stream_events((1, 2), end=b"", tail=tail))
+    behave = fail_first_request(stream_events((1, 2), end=b"", tail=tail))
 
     async def test(site):
         first = await site.add_replica("i-1", behave, service="drafting")
@@ -281,7 +282,7 @@
     run(test)
 
 
-def test_stream_that_may_not_be_resumed_is_cut_visibly():
+def test_stream_that_is_not_resumable_is_cut_visibly():
     async def test(site):
         await site.add_replica(
             "i-1", stream_events((1, 2), end=b""), service="drafting"
@@ -292,7 +293,7 @@
     run(test)
 
 
-def test_work_ends_at_the_replica_when_its_caller_leaves():
+def test_replica_request_is_cancelled_when_the_caller_disconnects():
     async def hang(replica, stream, request):
         await trio.sleep_forever()
 
@@ -306,7 +307,7 @@
 
 
 @pytest.mark.parametrize("path", ["/brief/7"])
-def test_answer_comes_at_the_routes_timeout(path):
+def test_request_is_answered_at_the_timeout_of_its_route(path):
     async def hang(replica, stream, request):
         await trio.sleep_forever()
 
@@ -335,7 +336,7 @@
     run(test, configured=False)
 
 
-def test_draining_replica_gets_nothing_new():
+def test_draining_replica_gets_no_new_requests():
     async def test(site):
         leaving = await site.add_replica("i-1", answer_whole)
         await site.add_replica("i-2", answer_whole)
@@ -349,7 +350,7 @@
     run(test)
 
 
-def test_removed_key_and_route_are_refused_while_the_store_is_back():
+def test_removed_key_is_refused_after_a_configuration_update():
     async def test(site):
         await site.add_replica("i-1", answer_whole)
         assert (await site.call("/status/7")).status == 200
@@ -360,10 +361,11 @@
     run(test)
 
 
-def test_beliefs_of_a_peer_replace_what_a_store_that_refuses_would_tell():
-    """The store turns one machine away while the operators take a key away.
+def test_snapshot_of_a_peer_is_used_while_the_store_refuses():
+    """Guard against an entry that accepts a removed key since the store refuses it.
 
-    The entry would go on taking the key. Its peers pass the newer configuration on.
+    The store refuses one machine while operators remove a key. The entry must get the
+    newer configuration from its peers.
     """
 
     async def test(site):
@@ -376,14 +378,14 @@
             await nursery.start(other.run)
             await site.wait_until(other.feed.is_ready)
             site.store.answer_status = 503
-            beliefs = other.feed.export()
+            snapshot = other.feed.export()
             newer = make_configuration(9, tenants=[])
             import json
             from dataclasses import replace
 
             other.feed.merge(
                 replace(
-                    beliefs,
+                    snapshot,
                     configuration=json.dumps(newer).encode(),
                     configuration_revision=site.store.revision + 5,
                 )
@@ -404,13 +406,13 @@
     run(test)
 
 
-def test_shutdown_ends_what_is_in_progress_whole():
+def test_shutdown_completes_requests_in_progress():
     async def test(site):
-        go_on = trio.Event()
+        resume = trio.Event()
 
         async def gate(number):
             if number == 1:
-                await go_on.wait()
+                await resume.wait()
 
         await site.add_replica(
             "i-1", stream_events((1, 2), gate=gate), service="drafting"
@@ -426,14 +428,14 @@
             nursery.start_soon(site.entry.drain)
             await site.wait_until(lambda: site.entry.leaving)
             assert not site.entry.is_ready()
-            go_on.set()
+            resume.set()
         assert answers[0].body == make_event(1) + make_event(2)
 
     run(test, grace_s=10.0)
 
 
-def test_requests_with_one_id_or_none_disturb_nobody():
-    """A careless caller uses the same id for two requests at once, or sends none."""
+def test_duplicate_or_missing_request_id_does_not_affect_other_requests():
+    """Guard against failures when a caller repeats a request ID or sends none."""
 
     async def answer_slowly(replica, stream, request):
         await trio.sleep(0.05)
@@ -455,21 +457,21 @@
     run(test)
 
 
-def test_resumed_stream_that_begins_anew_is_cut():
-    """The second replica starts the draft again; the clerk would read it twice."""
+def test_resumed_stream_that_restarts_is_cut():
+    """Guard against duplicate events when the second replica restarts the stream."""
 
-    async def begin_anew(replica, stream, request):
+    async def restart_stream(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
         await stream.send_all(head + chunk(make_event(1)) + b"0\r\n\r\n")
         return True
 
-    async def break_off(replica, stream, request):
+    async def fail_after_two_events(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
         await stream.send_all(head + chunk(make_event(1)) + chunk(make_event(2)))
         return False
 
     async def test(site):
-        behave = break_off_first(break_off, then=begin_anew)
+        behave = fail_first_request(fail_after_two_events, then=restart_stream)
         for replica_id in ("i-1", "i-2"):
             await site.add_replica(replica_id, behave, service="drafting")
         with pytest.raises(ReplicaFailed):
@@ -479,10 +481,10 @@
 
 
 def test_connections_to_an_earlier_start_of_a_replica_are_closed():
-    """A replica crashes and is back under its id and address a moment later.
+    """Guard against requests on idle connections to a process that has ended.
 
-    The connections that waited for it lead to the process that is gone. A bid that is
-    sent on one of them hangs, or is lost without anybody knowing whether it ran.
+    A replica crashes and soon restarts under its ID and address. A bid that is sent on
+    an old connection hangs, or is lost and its outcome is unknown.
     """
 
     async def test(site):
@@ -498,11 +500,12 @@
     run(test)
 
 
-def test_stranger_in_the_place_of_a_replica_gets_no_request():
-    """Another program writes nonsense over the registration of the only replica.
+def test_replica_with_an_invalid_registration_gets_no_request():
+    """Guard against requests to a replica whose registration was overwritten.
 
-    Callers are told that nothing has run and when to come back; they are served again
-    as soon as the replica has registered itself.
+    Another program writes invalid data over the registration of the only replica.
+    Callers must get a refusal with Retry-After that proves that nothing has run, and
+    must be served again as soon as the replica has registered.
     """
 
     async def test(site):
@@ -520,13 +523,14 @@
     run(test)
 
 
-def test_caller_that_comes_before_the_first_configuration_is_served_a_moment_later(
+def test_request_waits_for_the_first_configuration(
     monkeypatch,
 ):
-    """All machines have lost power, and an entry listens before it has read the store.
+    """Guard against refusals while an entry has not yet read the store.
 
-    Callers whose first try met a machine without power have no third one. Refused in
-    that moment, they get no answer at all.
+    All machines lost power, and an entry listens before it has a configuration. Callers
+    whose first attempt failed at a machine without power have no third attempt, so a
+    refusal would leave them without an answer.
     """
     monkeypatch.setattr(direct_app, "_STARTING_S", HANG_S)
 
--- a/tests/functional/test_rank_agent.py
+++ b/tests/functional/test_rank_agent.py
@@ -1,4 +1,4 @@
-"""Test agents beside the ranks of one group, over real sockets."""
+"""Test the agents of the ranks of one group over real sockets."""
 
 import socket
 from functools import partial
@@ -11,7 +11,7 @@
 from hyssopvane._internal.models.settings import RankAgentSettings
 from hyssopvane._internal.policy import map_spread
 from hyssopvane._internal.policy.map_actions import SendMapChange
-from hyssopvane._internal.roles.rank_agent import PAUSE_S
+from hyssopvane._internal.roles.rank_agent import MAX_POLL_GAP_S
 from hyssopvane._internal.state.group import EntryState, MapChange
 from hyssopvane._internal.state.loads import GroupLoad, Roster
 from hyssopvane._internal.transport.asgi_server import serve_asgi
@@ -30,14 +30,14 @@
 """Address at which no store answers."""
 
 
-def list_whole_loads(told):
-    """Return the loads of all ranks among messages."""
-    loads = [one for one in told if isinstance(one, GroupLoad)]
+def list_complete_loads(received):
+    """Return the load messages that contain all ranks."""
+    loads = [one for one in received if isinstance(one, GroupLoad)]
     return [one for one in loads if len(one.members) == RANKS]
 
 
 def find_port():
-    """Return a port that is free for datagrams on loopback."""
+    """Return a free UDP port on loopback."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
@@ -74,7 +74,7 @@
 
 
 async def start_group(nursery, *, cut_off=()):
-    """Start a store, the ranks and their agents, some without it; return the group."""
+    """Start a store, ranks and agents; agents in `cut_off` can't reach the store."""
     group, store, port = GroupStandIn(), DirectStore(), find_port()
     store_address = await serve(nursery, store, "127.0.0.1")
     configuration = make_configuration(1)
@@ -114,7 +114,7 @@
         await trio.sleep(0.01)
 
 
-def test_agents_bring_all_ranks_to_maps_that_follow_the_demand():
+def test_agents_change_maps_as_demand_changes():
     async def test(group, agents, port, nursery):
         await wait_until(lambda: group.model.ranks[0].map_version > 0)
         first = group.model.ranks[0].map_version
@@ -123,20 +123,20 @@
     run(test)
 
 
-def test_entry_that_says_it_lives_is_told_the_load():
+def test_entry_that_reports_its_state_receives_the_load():
     async def test(group, agents, port, nursery):
-        told = []
+        received = []
         entry = DatagramPort("127.0.0.1:0")
-        await entry.start(nursery, lambda message, sender: told.append(message))
+        await entry.start(nursery, lambda message, sender: received.append(message))
         state = EntryState(entry.address, "", 0, 0, "zone-a")
         await wait_until(lambda: agents[0]._coordinator.leads(trio.current_time()))
         for number in range(RANKS):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
-        await wait_until(lambda: list_whole_loads(told))
-        load = list_whole_loads(told)[0]
+        await wait_until(lambda: list_complete_loads(received))
+        load = list_complete_loads(received)[0]
         assert (load.ranks, load.open, load.entries, load.relay) == (4, True, 1, True)
         assert {one.active for one in load.members} == {3}
-        rosters = [one for one in told if isinstance(one, Roster)]
+        rosters = [one for one in received if isinstance(one, Roster)]
         named = next(one for one in rosters if one.number == load.roster)
         assert named.group == "g"
         assert [one.address for one in named.entries] == [entry.address]
@@ -145,37 +145,37 @@
 
 
 @pytest.mark.parametrize("number", range(RANKS))
-def test_entry_that_hears_no_leader_hears_it_by_way_of_any_agent(number):
-    """The leader's machine is cut off from an entry, and leads its group all the same.
+def test_entry_that_misses_loads_receives_them_through_any_agent(number):
+    """Guard against missing loads when only the link from leader to entry is broken.
 
-    The entry would have to guess the load of all ranks, and refuse callers or overload
-    the group. It reaches another agent, which passes the complaint on to the leader and
-    the leader's loads back.
+    The entry would have to estimate the load of all ranks, and would refuse callers or
+    overload the group. Any other agent that the entry reaches must forward the load
+    query to the leader and the leader's loads back.
     """
 
     async def test(group, agents, port, nursery):
-        told = []
+        received = []
         entry = DatagramPort("127.0.0.1:0")
 
         def receive(message, sender):
             if number == 0 or sender.startswith(f"127.0.0.{number + 1}:"):
-                told.append(message)
+                received.append(message)
 
         await entry.start(nursery, receive)
         state = EntryState(entry.address, "", 0, 0, "zone-a", lacks_load=True)
-        while not list_whole_loads(told):
+        while not list_complete_loads(received):
             await entry.send(state, f"127.0.0.{number + 1}:{port}")
             await trio.sleep(0.1)
-        assert {one.active for one in list_whole_loads(told)[0].members} == {3}
+        assert {one.active for one in list_complete_loads(received)[0].members} == {3}
 
     run(test)
 
 
-def test_leader_tells_its_own_agent_no_arming():
-    """The leader asked a silent rank, whose state then bears the leader's own address.
+def test_leader_sends_no_arming_to_its_own_agent():
+    """Guard against a leader that arms its own rank before the others.
 
-    Its own rank would be armed before the others, and a leader that dies just then
-    leaves one rank that changes its map alone.
+    The leader queried a silent rank, whose state then has the leader's own address. If
+    the leader fails at that time, its rank alone would change its map.
     """
 
     async def main():
@@ -188,7 +188,7 @@
         agent._port.send = send
         own = agent._settings.messages
         change = MapChange("g", 1, 7, (), 12)
-        await agent._announce(SendMapChange(change, ("127.0.0.9:1", own)))
+        await agent._send_change(SendMapChange(change, ("127.0.0.9:1", own)))
         assert sent == ["127.0.0.9:1"]
         await agent.close()
 
@@ -196,11 +196,11 @@
 
 
 @pytest.mark.parametrize("fan_out", [1, 2, 5])
-def test_new_maps_reach_all_ranks_by_way_of_a_few(fan_out, monkeypatch):
-    """A map is too large for the leader's link when it goes to all agents at once.
+def test_new_maps_reach_all_ranks_through_a_few_agents(fan_out, monkeypatch):
+    """Guard against maps that are lost when the leader sends them to all agents.
 
-    Most of them would never hear of it, and the group would keep a map that demand has
-    left behind.
+    A map is too large for the leader's link if it goes to all agents at once. Most
+    would not receive it, and the group would keep a map that no longer fits the demand.
     """
     monkeypatch.setattr(map_spread, "FAN_OUT", fan_out)
 
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"nonsense", b"\x00" * 2_000])
-def test_malformed_datagrams_are_counted_and_disturb_nobody(data):
+def test_malformed_datagrams_do_not_stop_map_changes(data):
     async def test(group, agents, port, nursery):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             sender.sendto(data, ("127.0.0.1", port))
@@ -222,22 +222,23 @@
     run(test)
 
 
-def test_agent_that_was_stopped_forgets_the_change_it_was_about():
-    """Somebody stops the process for seconds, while its machine and clocks go on.
+def test_agent_discards_its_change_after_a_stall():
+    """Guard against orders of an abandoned change after the process was stopped.
 
-    Others have taken the change of maps over and let it go. An order that still
-    follows from it could reach this rank alone, and its maps would fall apart.
+    The process is stopped for seconds while its machine and clocks continue. Others
+    have taken over the change of maps and abandoned it. A late order would reach only
+    this rank, and the maps of the group would differ.
     """
 
     async def main():
         agent = make_agent(0, replica="127.0.0.1:9", store="127.0.0.1:9", port=0)
-        agent._notice_standstill()
+        agent._detect_stall()
         agent._change = MapChange("g", 1, 7, (), 12)
-        clock.jump(0.9 * PAUSE_S)
-        agent._notice_standstill()
+        clock.jump(0.9 * MAX_POLL_GAP_S)
+        agent._detect_stall()
         assert agent._change is not None
-        clock.jump(1.1 * PAUSE_S)
-        agent._notice_standstill()
+        clock.jump(1.1 * MAX_POLL_GAP_S)
+        agent._detect_stall()
         assert agent._change is None
         await agent.close()
 
@@ -245,11 +246,12 @@
     trio.run(main, clock=clock)
 
 
-def test_leader_that_the_store_turns_away_learns_the_layout_from_an_entry():
-    """All processes start anew, and the store turns away the machine of the first rank.
+def test_leader_refused_by_the_store_gets_the_layout_from_an_entry():
+    """Guard against a leading agent that has no layout since the store refuses it.
 
-    Its agent leads the group and knows no layout, so no map follows the demand. Passes
-    take twice as long, and a quarter of all streams is late until the store serves it.
+    All processes restart, and the store refuses the machine of the first rank. Without
+    the layout no map follows the demand. Passes take twice as long, and a quarter of
+    all streams is late until the store accepts the machine.
     """
 
     async def test(group, agents, port, nursery):
