--- a/src/hyssopvane/_internal/standins/key_value.py
+++ b/src/hyssopvane/_internal/standins/key_value.py
@@ -40,7 +40,7 @@
 MAX_TRANSACTION_CHANGES = 128
 """Compares, and changes, that etcd takes in one transaction."""
 
-LONGEST_IDLE_S = 3600.0
+MAX_IDLE_S = 3600.0
 
 _GRPC_INVALID_ARGUMENT = 3
 _GRPC_NOT_FOUND = 5
@@ -62,7 +62,7 @@
     """Answer reads as of the moment at which this was switched on."""
 
 
-class Return(BaseModel):
+class RestoreOptions(BaseModel):
     """Choose how the service comes back from the copy that was kept last."""
 
     model_config = ConfigDict(extra="forbid")
@@ -125,18 +125,18 @@
         self.faults = faults
         self._wake_watches()
 
-    def keep_copy(self) -> None:
+    def save_copy(self) -> None:
         """Keep a copy of all there is, to come back from."""
-        self._copy = self.state.copy_whole()
+        self._copy = self.state.copy_all()
 
-    def return_from_copy(self, how: Return) -> None:
+    def restore_copy(self, options: RestoreOptions) -> None:
         """Lose what was written since the copy was kept, and end the watches."""
         if self._copy is None:
             raise _Refusal(400, _GRPC_INVALID_ARGUMENT, "no copy was kept")
-        self.state = self._copy.copy_whole()
+        self.state = self._copy.copy_all()
         self._stale = None
-        if how.new_cluster:
-            self.state.begin_cluster()
+        if options.new_cluster:
+            self.state.renew_cluster_id()
         self._wake_watches()
 
     async def _answer(
@@ -149,10 +149,10 @@
             self.set_faults(_validate(Faults, await read_json(receive)))
             await send_json(send, self.faults.model_dump())
         elif route == "POST /copy":
-            self.keep_copy()
+            self.save_copy()
             await send_json(send, {"revision": self.state.revision})
         elif route == "POST /return":
-            self.return_from_copy(_validate(Return, await read_json(receive)))
+            self.restore_copy(_validate(RestoreOptions, await read_json(receive)))
             await send_json(send, {"revision": self.state.revision})
         elif route == "POST /v3/watch":
             await self._watch(await read_json(receive), receive, send)
@@ -165,7 +165,7 @@
         self, path: str, request: JsonObject, send: ASGISendCallable
     ) -> None:
         self.calls[path.rpartition("/")[2]] += 1
-        await self._wait_as_slow()
+        await self._apply_delay()
         revision = self.state.revision
         try:
             answer = self._calls[path](request)
@@ -177,11 +177,11 @@
             self._wake_watches()
         if path != "/v3/kv/range" and self.faults.lose_next_write_answers > 0:
             self.faults.lose_next_write_answers -= 1
-            await _cut_answer(send)
+            await _send_truncated_answer(send)
             return
         await send_json(send, answer)
 
-    async def _wait_as_slow(self) -> None:
+    async def _apply_delay(self) -> None:
         self._refuse_when_down()
         await trio.sleep(self.faults.delay_ms / 1000)
         self._refuse_when_down()
@@ -250,7 +250,7 @@
     ) -> None:
         create = request["create_request"]
         self.calls["watch"] += 1
-        await self._wait_as_slow()
+        await self._apply_delay()
         await _start_answer(send)
         await _send_line(send, {**self._make_result(), "created": True})
         async with trio.open_nursery() as nursery:
@@ -283,7 +283,7 @@
 
     def _get_wait_s(self) -> float:
         expiry = self.state.get_next_expiry()
-        return LONGEST_IDLE_S if expiry is None else max(0, expiry - self._clock())
+        return MAX_IDLE_S if expiry is None else max(0, expiry - self._clock())
 
     def _make_compacted_result(self) -> JsonObject:
         oldest = str(self.state.oldest_revision)
@@ -317,7 +317,7 @@
     )
 
 
-async def _cut_answer(send: ASGISendCallable) -> None:
+async def _send_truncated_answer(send: ASGISendCallable) -> None:
     # The announced length never comes, so that the server closes the connection.
     await _start_answer(send, (b"content-length", b"1000000"))
     await send({"type": "http.response.body", "body": b" ", "more_body": True})
--- a/src/hyssopvane/_internal/standins/key_value_state.py
+++ b/src/hyssopvane/_internal/standins/key_value_state.py
@@ -201,7 +201,7 @@
         copy.revision = self.revision
         return copy
 
-    def copy_whole(self) -> "KeyValueState":
+    def copy_all(self) -> "KeyValueState":
         """Return a copy with leases and history, from which the service can go on."""
         copy = self.copy_items()
         copy._leases = {
@@ -212,7 +212,7 @@
         copy._history = self._history.copy()
         return copy
 
-    def begin_cluster(self) -> None:
+    def renew_cluster_id(self) -> None:
         """Take a new identity, as a cluster does that is restored from a copy."""
         self.cluster_id += next(_cluster_ids)
 
@@ -253,8 +253,8 @@
 
     def _delete(self, key: bytes) -> None:
         del self._items[key]
-        gone = StoredItem(key, b"", 0, self.revision, 0)
-        self._history.append(StoredEvent(gone, is_delete=True))
+        deleted = StoredItem(key, b"", 0, self.revision, 0)
+        self._history.append(StoredEvent(deleted, is_delete=True))
 
     def _delete_leased(self, lease: int) -> None:
         keys = [key for key, item in self._items.items() if item.lease == lease]
--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -98,7 +98,7 @@
     def restore_from(self, copy: KeyValueState) -> None:
         """Restore the service from a copy, with a new identity."""
         self.state = copy.copy_items()
-        self.state.begin_cluster()
+        self.state.renew_cluster_id()
         for store in self._stores:
             store.state = self.state
 
--- a/tests/lib/fake_key_value.py
+++ b/tests/lib/fake_key_value.py
@@ -90,7 +90,7 @@
         if state is not self._state and (
             used or state.cluster_id == self._state.cluster_id
         ):
-            state.begin_cluster()
+            state.renew_cluster_id()
         self._state = state
 
     @property
--- a/tests/unit/test_claims_after_return.py
+++ b/tests/unit/test_claims_after_return.py
@@ -49,7 +49,7 @@
 
     def restore_copy(self):
         self.state = self.copy.copy_items()
-        self.state.begin_cluster()
+        self.state.renew_cluster_id()
         for store in self.stores:
             store.state = self.state
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -235,7 +235,7 @@
                 record_crash(trackers[0], "t1")
                 await trio.sleep(PROPAGATION_S)
                 assert count_quarantined(trackers) == 3
-            copy.begin_cluster()
+            copy.renew_cluster_id()
             for store in stores:
                 store.state = copy
             await trio.sleep(2.0)
