--- a/src/hyssopvane/_internal/standins/engine.py
+++ b/src/hyssopvane/_internal/standins/engine.py
@@ -167,10 +167,10 @@
         self._report_load(now)
         return tokens
 
-    def take_order(self, order: Order, now: float) -> OrderRefusal | None:
+    def apply_order(self, order: Order, now: float) -> OrderRefusal | None:
         """Carry out an order, or return why it is refused."""
         self._skip_idle_steps(now)
-        return self.rank.take_order(order)
+        return self.rank.apply_order(order)
 
     def get_step(self, now: float) -> int:
         """Return the number of the last step."""
--- a/src/hyssopvane/_internal/standins/engine_server.py
+++ b/src/hyssopvane/_internal/standins/engine_server.py
@@ -40,7 +40,7 @@
                 ("POST", "/v1/completions"): self._complete,
                 ("GET", "/load"): self._get_load,
                 ("GET", "/cache-events"): self._get_cache_events,
-                ("POST", "/orders"): self._take_order,
+                ("POST", "/orders"): self._post_order,
                 ("GET", "/orders"): self._get_orders,
                 ("GET", "/rank"): self._get_rank,
                 ("GET", "/journal"): self._get_journal,
@@ -89,7 +89,7 @@
         events = self.engine.get_cache_events(since, trio.current_time())
         await responder.send_json(200, [asdict(event) for event in events])
 
-    async def _take_order(self, request: Request, responder: Responder) -> None:
+    async def _post_order(self, request: Request, responder: Responder) -> None:
         document = request.read_json()
         payload = document.get("payload", {})
         order = Order(
@@ -99,7 +99,7 @@
             weights_bytes=int(payload.get("weights_bytes", 0)),
             step=int(payload.get("step", 0)),
         )
-        refusal = self.engine.take_order(order, trio.current_time())
+        refusal = self.engine.apply_order(order, trio.current_time())
         rank = self.engine.rank
         answer = {"highest_fence": rank.highest_fence, "step": rank.step}
         if refusal is None:
--- a/src/hyssopvane/_internal/standins/expert_rank.py
+++ b/src/hyssopvane/_internal/standins/expert_rank.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arming:
+class ArmedMap:
     """Tell which map is armed for which step."""
 
     map: str
@@ -65,18 +65,18 @@
         self.step = 0
         self.map = expert_map
         self.staged: dict[str, int] = {}
-        self.armed: Arming | None = None
+        self.armed: ArmedMap | None = None
         self.highest_fence = 0
         self.loaded: dict[OrderKind, str] = {}
         self.accepted: list[Order] = []
         self._checks_fence = checks_fence
 
-    def take_order(self, order: Order) -> OrderRefusal | None:
+    def apply_order(self, order: Order) -> OrderRefusal | None:
         """Carry out an order, or return why it is refused."""
         if self._checks_fence and order.fence < self.highest_fence:
             return OrderRefusal.OLD_FENCE
         self.highest_fence = max(self.highest_fence, order.fence)
-        refusal = self._carry_out(order)
+        refusal = self._apply_by_kind(order)
         if refusal is None:
             self.accepted.append(order)
         return refusal
@@ -116,7 +116,7 @@
         self.staged.pop(armed.map, None)
         self.armed = None
 
-    def _carry_out(self, order: Order) -> OrderRefusal | None:
+    def _apply_by_kind(self, order: Order) -> OrderRefusal | None:
         match order.kind:
             case OrderKind.STAGE:
                 return self._stage(order)
@@ -141,24 +141,24 @@
             return OrderRefusal.NOT_STAGED
         if order.step <= self.step:
             return OrderRefusal.STEP_PASSED
-        wanted = Arming(order.value, order.step)
-        if self.armed is not None and self.armed != wanted:
+        requested = ArmedMap(order.value, order.step)
+        if self.armed is not None and self.armed != requested:
             return OrderRefusal.OTHER_MAP_ARMED
-        self.armed = wanted
+        self.armed = requested
         return None
 
     def _decide(self, order: Order) -> OrderRefusal | None:
         if not self.map and (self.armed is None or self.armed.map != order.value):
-            return self._start_with(order.value)
+            return self._activate(order.value)
         if self.armed is None:
             # A repeat of a decision that was carried out is no error.
             return None if self.map == order.value else OrderRefusal.NOT_ARMED
         if self.armed.map != order.value:
             return OrderRefusal.OTHER_MAP_ARMED
-        self.armed = Arming(self.armed.map, self.armed.step, decided=True)
+        self.armed = ArmedMap(self.armed.map, self.armed.step, decided=True)
         return None
 
-    def _start_with(self, expert_map: str) -> OrderRefusal | None:
+    def _activate(self, expert_map: str) -> OrderRefusal | None:
         if expert_map not in self.staged:
             return OrderRefusal.NOT_STAGED
         self.map = expert_map
--- a/src/hyssopvane/_internal/standins/rank_group.py
+++ b/src/hyssopvane/_internal/standins/rank_group.py
@@ -7,7 +7,7 @@
 from hyssopvane._internal.standins.expert_rank import ExpertRank
 
 BASE_STEP_MS = 4.5
-WAIT_MS = 4.5
+DECISION_POLL_MS = 4.5
 """Time that one more look for a decision takes."""
 
 MS_PER_TOKEN = 0.01
@@ -56,16 +56,17 @@
     """Advance ranks together, at the pace of the slowest."""
 
     def __init__(self, ranks: int, experts: int, *, checks_fence: bool = False) -> None:
-        first = spread_experts("initial", ranks=ranks, experts=experts)
+        initial_map = spread_experts("initial", ranks=ranks, experts=experts)
         self.step = 0
         self.ranks = [
-            ExpertRank(first.name, checks_fence=checks_fence) for _ in range(ranks)
+            ExpertRank(initial_map.name, checks_fence=checks_fence)
+            for _ in range(ranks)
         ]
         self.history: deque[RankStep] = deque(maxlen=HISTORY_LENGTH)
         self.split_steps: list[int] = []
         """Steps in which two ranks used different maps; must stay empty."""
         self._checks_fence = checks_fence
-        self._maps = {first.name: first}
+        self._maps = {initial_map.name: initial_map}
         self._stalls_ms = [0.0] * ranks
         self._maps_in_step: set[str] = set()
 
@@ -79,9 +80,9 @@
 
     def restart(self, rank: int, expert_map: str) -> None:
         """Replace a rank by a new one that starts with the given map."""
-        fresh = ExpertRank(expert_map, checks_fence=self._checks_fence)
-        fresh.step = self.step
-        self.ranks[rank] = fresh
+        replacement = ExpertRank(expert_map, checks_fence=self._checks_fence)
+        replacement.step = self.step
+        self.ranks[rank] = replacement
 
     def advance(self, loads: Sequence[float]) -> StepReport:
         """Run one step, with the tokens of each expert, or wait for a decision."""
@@ -90,10 +91,10 @@
                 self._record(index, rank)
         waiting = [i for i, rank in enumerate(self.ranks) if rank.step == self.step]
         if waiting:
-            return self._make_report([WAIT_MS], waiting)
+            return self._make_report([DECISION_POLL_MS], waiting)
         self.step += 1
         self._maps_in_step.clear()
-        times = self._measure_ranks(loads)
+        times = self._compute_step_times(loads)
         self._stalls_ms = [0.0] * len(self.ranks)
         return self._make_report(times, waiting)
 
@@ -103,7 +104,7 @@
         if len(self._maps_in_step) > 1 and rank.step not in self.split_steps[-1:]:
             self.split_steps.append(rank.step)
 
-    def _measure_ranks(self, loads: Sequence[float]) -> list[float]:
+    def _compute_step_times(self, loads: Sequence[float]) -> list[float]:
         tokens = [0.0] * len(self.ranks)
         for index, rank in enumerate(self.ranks):
             ranks_by_expert = self._maps[rank.map].ranks_by_expert
--- a/tests/lib/map_model.py
+++ b/tests/lib/map_model.py
@@ -102,7 +102,7 @@
     def carry_out(self, order: EngineOrder) -> str | None:
         """Execute an order at the engine and return its refusal, if any."""
         kind = expert_rank.OrderKind(order.kind.value)
-        refusal = self.rank.take_order(
+        refusal = self.rank.apply_order(
             expert_rank.Order(kind, order.fence, order.name, step=order.step)
         )
         if refusal is None and kind is expert_rank.OrderKind.STAGE:
--- a/tests/unit/test_expert_rank.py
+++ b/tests/unit/test_expert_rank.py
@@ -49,7 +49,7 @@
 def test_last_order_is_answered(orders, refusal):
     rank = ExpertRank("old", checks_fence=False)
     rank.skip_steps(2)
-    assert [rank.take_order(order) for order in orders][-1] is refusal
+    assert [rank.apply_order(order) for order in orders][-1] is refusal
 
 
 @pytest.mark.parametrize(
@@ -57,8 +57,8 @@
 )
 def test_old_fence_is_refused_only_where_it_is_checked(checks_fence, refusal):
     rank = ExpertRank("old", checks_fence=checks_fence)
-    assert rank.take_order(Order(OrderKind.CHANGE_ROLE, 7, "prefill")) is None
-    assert rank.take_order(Order(OrderKind.CHANGE_ROLE, 6, "decode")) is refusal
+    assert rank.apply_order(Order(OrderKind.CHANGE_ROLE, 7, "prefill")) is None
+    assert rank.apply_order(Order(OrderKind.CHANGE_ROLE, 6, "decode")) is refusal
     assert rank.highest_fence == 7
     assert len(rank.accepted) == (1 if refusal else 2)
 
@@ -75,7 +75,7 @@
 def test_armed_rank_waits_for_the_decision(orders, step, used, skips):
     rank = ExpertRank("old", checks_fence=False)
     for order in orders:
-        assert rank.take_order(order) is None
+        assert rank.apply_order(order) is None
     if skips:
         rank.skip_steps(9)
     else:
@@ -106,11 +106,11 @@
             group.ranks, armed_at, decided_after, strict=True
         ):
             if tick == armed:
-                rank.take_order(STAGE)
+                rank.apply_order(STAGE)
                 arm = Order(OrderKind.ARM, 1, "new", step=arm_step)
-                refused |= rank.take_order(arm) is not None
+                refused |= rank.apply_order(arm) is not None
             if tick == all_armed_at + 1 + decided:
-                rank.take_order(ABORT if refused or aborts else DECIDE)
+                rank.apply_order(ABORT if refused or aborts else DECIDE)
         group.advance([1.0] * 6)
     assert group.split_steps == []
     assert group.step > arm_step
