--- a/src/hyssopvane/_internal/standins/asgi.py
+++ b/src/hyssopvane/_internal/standins/asgi.py
@@ -112,12 +112,12 @@
     async def run_while_connected(self, work: Callable[[], Awaitable[None]]) -> bool:
         """Run `work`, cancelled when the caller goes; return whether it answered."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._cancel_when_gone, nursery.cancel_scope)
+            nursery.start_soon(self._cancel_on_disconnect, nursery.cancel_scope)
             await work()
             nursery.cancel_scope.cancel()
         return self.ended
 
-    async def _cancel_when_gone(self, scope: trio.CancelScope) -> None:
+    async def _cancel_on_disconnect(self, scope: trio.CancelScope) -> None:
         while (await self._receive())["type"] != "http.disconnect":
             pass
         # The server reports a disconnect also from within the sending of the last
--- a/src/hyssopvane/_internal/standins/engine.py
+++ b/src/hyssopvane/_internal/standins/engine.py
@@ -18,7 +18,7 @@
     hash_blocks,
 )
 
-CATCH_UP_STEPS = 2
+MAX_CATCH_UP_STEPS = 2
 """Steps made up for after a late call; a longer pause is lost, as on a real engine."""
 
 WORDS = (
@@ -157,7 +157,7 @@
     def advance(self, now: float) -> list[Token]:
         """Run the steps that are due and return their tokens."""
         self._skip_idle_steps(now)
-        earliest = now - CATCH_UP_STEPS * self._step_s
+        earliest = now - MAX_CATCH_UP_STEPS * self._step_s
         self._next_step_at = max(self._next_step_at, earliest)
         tokens: list[Token] = []
         while self.has_work and self._next_step_at <= now:
--- a/src/hyssopvane/_internal/standins/engine_server.py
+++ b/src/hyssopvane/_internal/standins/engine_server.py
@@ -46,15 +46,15 @@
                 ("GET", "/journal"): self._get_journal,
             }
         )
-        self._wake = trio.Event()
+        self._work_submitted = trio.Event()
         self._receivers: dict[int, trio.MemorySendChannel[Token]] = {}
 
     async def run_steps(self) -> None:
         """Run the engine's steps until it crashes."""
         while not self.engine.crashed:
             if not self.engine.has_work:
-                self._wake = trio.Event()
-                await self._wake.wait()
+                self._work_submitted = trio.Event()
+                await self._work_submitted.wait()
             await trio.sleep_until(self.engine.next_step_at)
             for token in self.engine.advance(trio.current_time()):
                 self._receivers[token.run].send_nowait(token)
@@ -72,8 +72,8 @@
         caller = Caller.from_headers(request.headers)
         run = self.engine.submit(completion, caller, trio.current_time())
         self._receivers[run] = sender
-        self._wake.set()
-        send = _send_stream if document.get("stream", False) else _send_whole
+        self._work_submitted.set()
+        send = _send_stream if document.get("stream", False) else _send_complete
         try:
             await responder.run_while_connected(partial(send, receiver, responder))
         finally:
@@ -161,24 +161,24 @@
 ) -> None:
     await responder.start(200, content_type=EVENT_STREAM_TYPE)
     while True:
-        tokens = await _receive_ready(receiver)
+        tokens = await _receive_available(receiver)
         await responder.send_chunk(b"".join(map(_format_event, tokens)))
         if tokens[-1].last:
             break
     await responder.send_chunk(b"data: [DONE]\n\n", more=False)
 
 
-async def _send_whole(
+async def _send_complete(
     receiver: trio.MemoryReceiveChannel[Token], responder: Responder
 ) -> None:
     tokens: list[Token] = []
     while not (tokens and tokens[-1].last):
-        tokens += await _receive_ready(receiver)
+        tokens += await _receive_available(receiver)
     text = "".join(token.text for token in tokens)
     await responder.send_json(200, {"text": text, "tokens": len(tokens)})
 
 
-async def _receive_ready(receiver: trio.MemoryReceiveChannel[Token]) -> list[Token]:
+async def _receive_available(receiver: trio.MemoryReceiveChannel[Token]) -> list[Token]:
     tokens = [await receiver.receive()]
     while True:
         try:
--- a/src/hyssopvane/_internal/standins/plain_service.py
+++ b/src/hyssopvane/_internal/standins/plain_service.py
@@ -12,7 +12,7 @@
     Responder,
     Router,
 )
-from hyssopvane._internal.standins.filler import split_filler
+from hyssopvane._internal.standins.filler import generate_filler
 from hyssopvane._internal.standins.journal import Caller, Journal, RunEvent
 from hyssopvane._internal.standins.process import (
     parse_options,
@@ -131,7 +131,7 @@
 
 async def _send_filler(length: int, responder: Responder, status: int) -> None:
     await responder.start_bytes(status, length)
-    for chunk in split_filler(length):
+    for chunk in generate_filler(length):
         await responder.send_chunk(chunk)
     await responder.send_chunk(b"", more=False)
 
--- a/src/hyssopvane/_internal/standins/weight_store.py
+++ b/src/hyssopvane/_internal/standins/weight_store.py
@@ -6,7 +6,7 @@
 import trio
 
 from hyssopvane._internal.standins.asgi import Request, Responder, Router
-from hyssopvane._internal.standins.filler import CHUNK, split_filler
+from hyssopvane._internal.standins.filler import CHUNK, generate_filler
 from hyssopvane._internal.standins.process import (
     parse_options,
     run_process,
@@ -31,13 +31,13 @@
         self._rate = rate
         self._burst = burst
         self._level = burst
-        self._filled_at = now
+        self._refilled_at = now
 
     def reserve(self, amount: int, now: float) -> float:
         """Grant an amount and return the seconds to wait before it may be used."""
-        refill = (now - self._filled_at) * self._rate
+        refill = (now - self._refilled_at) * self._rate
         self._level = min(self._burst, self._level + refill) - amount
-        self._filled_at = now
+        self._refilled_at = now
         return max(0.0, -self._level / self._rate)
 
 
@@ -60,7 +60,7 @@
 
     async def _send(self, length: int, responder: Responder) -> None:
         await responder.start_bytes(200, length)
-        for chunk in split_filler(length):
+        for chunk in generate_filler(length):
             wait_s = self._bucket.reserve(len(chunk), trio.current_time())
             await trio.sleep(wait_s)
             await responder.send_chunk(chunk)
