--- a/tests/functional/test_target_standins.py
+++ b/tests/functional/test_target_standins.py
@@ -60,7 +60,7 @@
     return entries
 
 
-def test_engine_process_streams_cancels_and_takes_orders(cluster):
+def test_engine_process_streams_cancels_and_accepts_orders(cluster):
     address, engine = cluster.start_standin("engine_server", "--checks-fence")
     body = {"prompt": "ship list", "max_tokens": 8, "stream": True}
     response = httpcore.request(
@@ -72,9 +72,9 @@
     assert read_stream(response.content) == [
         {"index": index, "text": text} for index, text in enumerate(tokens)
     ]
-    rest = {"prompt": "ship list", "max_tokens": 8, "resume_from": 5}
+    resumed = {"prompt": "ship list", "max_tokens": 8, "resume_from": 5}
     answer = {"text": "".join(tokens[5:]), "tokens": 3}
-    assert call("POST", address, "/v1/completions", rest) == (200, answer)
+    assert call("POST", address, "/v1/completions", resumed) == (200, answer)
     assert call("POST", address, "/v1/completions", {})[0] == 400
 
     body["max_tokens"] = 1_000_000
@@ -175,16 +175,16 @@
     assert stop(service) == 0
 
 
-def test_kept_connection_does_not_hold_up_the_shutdown():
+def test_idle_connection_does_not_delay_the_shutdown():
     """Shut a service down while an idle connection of a caller is kept open.
 
     If the server does not know it as idle, it stays until the graceful timeout, and
     whoever replaces the VM waits for nothing.
     """
-    trio.run(_shut_down_with_a_kept_connection)
+    trio.run(_shut_down_with_an_idle_connection)
 
 
-async def _shut_down_with_a_kept_connection():
+async def _shut_down_with_an_idle_connection():
     shutdown = trio.Event()
     serve = partial(serve_plain_service, PlainServiceConfig(), shutdown=shutdown)
     async with httpcore.AsyncConnectionPool() as pool:
@@ -195,7 +195,7 @@
                 shutdown.set()
 
 
-def test_weight_store_process_sends_the_asked_length(cluster):
+def test_weight_store_process_sends_the_requested_length(cluster):
     address, store = cluster.start_standin("weight_store", "--bytes-per-s=1e9")
     url = f"http://{address}/weights/map-2?bytes=200000"
     assert len(httpcore.request("GET", url).content) == 200_000
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -66,15 +66,15 @@
 
 @given(actions=ACTIONS, slots=st.integers(1, 3), blocks=st.integers(0, 4))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_any_mix_of_work_keeps_to_slots_and_memory(actions, slots, blocks):
+def test_random_actions_respect_slot_and_memory_limits(actions, slots, blocks):
     engine = make_engine(slots=slots, cache_blocks=blocks, load_lag_s=0.0)
-    now, cancelled, wanted, tokens = 0.0, set(), {}, []
+    now, cancelled, expected_counts, tokens = 0.0, set(), {}, []
     for action, first, second in actions:
         if action == "submit":
             completion = Completion(
                 "x" * BLOCK_CHARACTERS * first, first, priority=second
             )
-            wanted[engine.submit(completion, CALLER, now)] = first
+            expected_counts[engine.submit(completion, CALLER, now)] = first
         elif action == "cancel":
             cancelled |= {first} if engine.cancel(first, now) else set()
         else:
@@ -84,7 +84,7 @@
         assert load.running <= slots
         assert 0 <= load.cache_blocks_free <= blocks
     tokens += run_until_idle(engine)
-    for run, count in wanted.items():
+    for run, count in expected_counts.items():
         indexes = [token.index for token in tokens if token.run == run]
         assert indexes == list(range(len(indexes)))
         if run in cancelled:
@@ -124,9 +124,9 @@
             CALLER,
             engine.next_step_at,
         )
-        begun = engine.rank.step
+        step_before = engine.rank.step
         run_until_idle(engine)
-        steps.append(engine.rank.step - begun)
+        steps.append(engine.rank.step - step_before)
     assert steps == [12, 2]
 
 
@@ -136,14 +136,14 @@
     assert [cache.use_blocks(blocks, 0.0) for _ in range(2)] == [0, 2]
 
 
-def test_load_is_reported_late():
+def test_load_report_is_delayed():
     engine = make_engine(load_lag_s=0.2)
     engine.submit(Completion("a", 1000), CALLER, 1.0)
     assert engine.get_load(1.1).waiting == 0
     assert engine.get_load(1.2).waiting == 1
 
 
-def test_cache_events_come_late_and_with_gaps():
+def test_cache_events_are_delayed_and_have_gaps():
     engine = make_engine(cache_event_lag_s=0.5, cache_event_gap=3)
     engine.submit(Completion("x" * BLOCK_CHARACTERS * 7, 1), CALLER, 0.0)
     run_until_idle(engine)
@@ -157,13 +157,13 @@
     assert engine.get_step(STEP_S * 100.5) == 100
 
 
-def test_engine_does_not_make_up_for_a_long_pause():
+def test_engine_does_not_catch_up_after_a_long_pause():
     engine = make_engine()
     engine.submit(Completion("a", 1000), CALLER, 0.0)
     assert len(engine.advance(STEP_S * 100)) <= 4
 
 
-def test_poison_prompt_drops_all_work():
+def test_poison_prompt_crashes_the_engine_and_drops_all_runs():
     """Crash an engine with one request.
 
     A request makes the engine crash as it starts. The callers of the other runs get
--- a/tests/unit/test_expert_rank.py
+++ b/tests/unit/test_expert_rank.py
@@ -46,7 +46,7 @@
         ([Order(OrderKind.LOAD_ADAPTER, 1, "parish-books")], None),
     ],
 )
-def test_last_order_is_answered(orders, refusal):
+def test_last_order_is_accepted_or_refused(orders, refusal):
     rank = ExpertRank("old", checks_fence=False)
     rank.skip_steps(2)
     assert [rank.apply_order(order) for order in orders][-1] is refusal
@@ -139,7 +139,7 @@
     assert report.maps_used == ("placed", "placed")
 
 
-def test_stalled_rank_holds_the_group_for_one_step():
+def test_stalled_rank_delays_the_group_for_one_step():
     group = RankGroup(2, 2)
     group.stall(1, 50.0)
     assert group.advance([0, 0]).step_ms == BASE_STEP_MS + 50.0
--- a/tests/unit/test_weight_store.py
+++ b/tests/unit/test_weight_store.py
@@ -26,7 +26,7 @@
             assert granted <= BURST + rate * (end - begin) + 1e-3
 
 
-def test_waiting_reader_gets_the_whole_rate():
+def test_waiting_reader_gets_the_full_rate():
     bucket = TokenBucket(100.0, BURST, now=0.0)
     assert bucket.reserve(BURST, 0.0) == 0.0
     assert bucket.reserve(500, 0.0) == 5.0
