--- a/src/hyssopvane/_internal/standins/__init__.py
+++ b/src/hyssopvane/_internal/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform and the targets, for the demo, tests and bench."""
+"""Simulate the platform and the targets for the demo, the tests and the bench."""
--- a/src/hyssopvane/_internal/standins/asgi.py
+++ b/src/hyssopvane/_internal/standins/asgi.py
@@ -1,4 +1,4 @@
-"""Read requests and send answers of small ASGI applications."""
+"""Read requests and send responses in the ASGI applications of the stand-ins."""
 
 import json
 from collections.abc import Awaitable, Callable, Mapping
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one request whose body has arrived whole."""
+    """Hold one request with its complete body."""
 
     method: str
     path: str
     query: Mapping[str, str]
     headers: Mapping[str, str]
-    """Header values by lower-case name."""
+    """Header values by lower-case header name."""
     body: bytes
 
     def read_json(self) -> dict[str, Any]:
-        """Return the body as a JSON object; raise `ValueError` when it is none."""
+        """Return the body as a JSON object; raise `ValueError` if it isn't one."""
         document = json.loads(self.body)
         if not isinstance(document, dict):
             raise ValueError("the body must be a JSON object")
@@ -43,17 +43,17 @@
 
 
 class Responder:
-    """Send the answer to one request."""
+    """Send the response to one request."""
 
     def __init__(self, receive: ASGIReceiveCallable, send: ASGISendCallable) -> None:
         self._receive = receive
         self._send = send
         self.started = False
         self.ended = False
-        """Whether the last part of the answer was sent."""
+        """Whether the last part of the response was sent."""
 
     async def send_json(self, status: int, value: object) -> None:
-        """Send a JSON answer."""
+        """Send a JSON response."""
         body = json.dumps(value).encode()
         await self.send_bytes(status, body, content_type=JSON_TYPE)
 
@@ -65,7 +65,7 @@
         content_type: str = BYTES_TYPE,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send an answer whose body is known."""
+        """Send a response whose complete body is known."""
         await self.start_bytes(
             status, len(body), content_type=content_type, headers=headers
         )
@@ -79,7 +79,7 @@
         content_type: str = BYTES_TYPE,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send the head of an answer whose length is known."""
+        """Send the status and headers of a response whose body length is known."""
         pairs = {"content-length": str(length)} | dict(headers or {})
         await self.start(status, content_type=content_type, headers=pairs)
 
@@ -90,7 +90,7 @@
         content_type: str,
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send the head of an answer."""
+        """Send the status and headers of a response."""
         pairs = {"content-type": content_type} | dict(headers or {})
         self.started = True
         await self._send(
@@ -103,14 +103,14 @@
         )
 
     async def send_chunk(self, chunk: bytes, *, more: bool = True) -> None:
-        """Send a part of the body."""
+        """Send a part of the body; `more=False` marks the last part."""
         self.ended = not more
         await self._send(
             {"type": "http.response.body", "body": chunk, "more_body": more}
         )
 
     async def run_while_connected(self, work: Callable[[], Awaitable[None]]) -> bool:
-        """Run `work`, cancelled when the caller goes; return whether it answered."""
+        """Run `work` until the caller disconnects; return whether it responded."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._cancel_on_disconnect, nursery.cancel_scope)
             await work()
@@ -120,9 +120,9 @@
     async def _cancel_on_disconnect(self, scope: trio.CancelScope) -> None:
         while (await self._receive())["type"] != "http.disconnect":
             pass
-        # The server reports a disconnect also from within the sending of the last
-        # part. A cancel there would interrupt it between two requests: the kept
-        # connection would never count as idle and hold up the shutdown.
+        # The server may report a disconnect while it sends the last part. Cancelling
+        # the send would leave the keep-alive connection between two requests: it would
+        # never count as idle and would delay the shutdown.
         if not self.ended:
             scope.cancel()
 
@@ -131,7 +131,7 @@
 
 
 class Router:
-    """Call the handler of a request's method and path."""
+    """Route each request to the handler of its method and path."""
 
     def __init__(
         self,
@@ -145,7 +145,7 @@
     async def __call__(
         self, scope: Scope, receive: ASGIReceiveCallable, send: ASGISendCallable
     ) -> None:
-        """Answer one ASGI scope."""
+        """Handle one ASGI scope; respond 400 if the handler can't parse the request."""
         if scope["type"] == "lifespan":
             await _answer_lifespan(receive, send)
             return
@@ -173,7 +173,7 @@
 async def _answer_lifespan(
     receive: ASGIReceiveCallable, send: ASGISendCallable
 ) -> None:
-    # Hypercorn under trio ends with an exception group when these stay unanswered.
+    # Hypercorn under trio fails with an exception group if these aren't answered.
     while True:
         message = await receive()
         if message["type"] == "lifespan.startup":
@@ -205,7 +205,7 @@
 
 
 async def read_json(receive: ASGIReceiveCallable) -> Any:
-    """Return a body as JSON; raise `ValueError` when it is not."""
+    """Read a body as JSON; raise `ValueError` if it isn't JSON."""
     return json.loads(await read_body(receive, max_bytes=MAX_BODY_BYTES) or b"{}")
 
 
--- a/src/hyssopvane/_internal/standins/demo.py
+++ b/src/hyssopvane/_internal/standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a newcomer the whole path."""
+"""Run a demo installation and print example commands."""
 
 import signal
 from collections.abc import Callable
@@ -18,13 +18,13 @@
 from hyssopvane._internal.utils.logs import configure_logs
 
 DEMO_KEY = "demo-key"
-"""Key of the example customer that the printed commands use."""
+"""API key of the example customer in the printed commands."""
 
 _READY_INTERVAL_S = 0.05
 
 
 async def run_demo(plan: InstallationPlan, show: Callable[[str], None]) -> None:
-    """Run an installation until Ctrl-C or SIGTERM."""
+    """Run an installation until SIGINT (Ctrl-C) or SIGTERM, then drain it."""
     configure_logs(level="warning", role="demo", vm="loopback")
     installation = Installation(plan)
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
@@ -36,15 +36,15 @@
                 show(line)
             async for _ in signals:
                 break
-            show("closing: requests in progress end first")
+            show("shutting down: waiting for requests in progress")
             await installation.drain()
             nursery.cancel_scope.cancel()
     await installation.close()
-    show("closed")
+    show("shut down")
 
 
 async def wait_until_ready(installation: Installation) -> None:
-    """Wait until each entry has the table and reaches every target."""
+    """Wait until each entry has loaded the table and is connected to every target."""
     for entry in installation.entries:
         while not entry.is_ready() or (
             len(entry.scheduler.describe_targets()) < len(installation.agents)
@@ -53,22 +53,22 @@
 
 
 def describe_demo(installation: Installation) -> list[str]:
-    """Return the lines that tell what to try."""
+    """Return the printed lines with the example commands."""
     entry = installation.entries[0]
     service = installation.plan.targets[0].service
     url = f"http://{entry.callers_address}/{service}/v1/completions"
     operators = f"http://{entry.operators_address}"
     return [
         f"{installation.plan.name}: {len(installation.entries)} entries, "
-        f"{len(installation.agents)} targets; Ctrl-C ends it",
-        "a streamed draft:",
+        f"{len(installation.agents)} targets; press Ctrl-C to stop",
+        "request a streamed draft:",
         f"  curl -N -i {url} -H 'Authorization: Bearer {DEMO_KEY}' "
         f"-H 'Idempotency-Key: {uuid6.uuid7()}' "
         """-d '{"prompt": "the name Maharaj", "max_tokens": 40, "stream": true}'""",
-        "what is in force, and the counters:",
+        "show the configuration in force and the metrics:",
         f"  curl {operators}/in-force -H 'Authorization: Bearer {TOKEN}'",
         f"  curl {operators}/metrics -H 'Authorization: Bearer {TOKEN}'",
-        "the table:",
+        "show the table:",
         f"  hyssopvane table show --platform {installation.platform_address}",
     ]
 
--- a/src/hyssopvane/_internal/standins/filler.py
+++ b/src/hyssopvane/_internal/standins/filler.py
@@ -1,4 +1,4 @@
-"""Make bodies whose length alone matters."""
+"""Generate body content for responses of which only the length matters."""
 
 from collections.abc import Iterator
 
@@ -6,6 +6,6 @@
 
 
 def generate_filler(length: int) -> Iterator[bytes]:
-    """Yield chunks that add up to a length."""
+    """Yield chunks with a total of `length` bytes."""
     for start in range(0, length, len(CHUNK)):
         yield CHUNK[: length - start]
