--- a/src/hyssopvane/_internal/standins/installation.py
+++ b/src/hyssopvane/_internal/standins/installation.py
@@ -1,4 +1,4 @@
-"""Run a small installation on loopback in one process."""
+"""Run a small installation on the loopback interface in one process."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallationPlan:
-    """Describe an installation."""
+    """Describe the zones and services of an installation."""
 
     name: str
     availability_zones: tuple[str, ...]
@@ -57,7 +57,7 @@
 
 @dataclass
 class Installation:
-    """Hold the running roles and stand-ins of one plan."""
+    """Run the entries, agents and stand-ins of one plan."""
 
     plan: InstallationPlan
     key_value: KeyValueApp = field(default_factory=KeyValueApp)
@@ -68,7 +68,7 @@
     agents: list[Agent] = field(default_factory=list)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start everything; the table stays as it is in the key-value service."""
+        """Start all roles and stand-ins; the stored table isn't changed."""
         self.platform_address = await nursery.start(
             partial(serve_key_value, LOOPBACK, app=self.key_value)
         )
@@ -83,13 +83,13 @@
         self.vm_list.replace_vms(self._list_vms())
 
     async def drain(self) -> None:
-        """Let every request in progress end."""
+        """Drain all entries, so that requests in progress finish."""
         async with trio.open_nursery() as nursery:
             for entry in self.entries:
                 nursery.start_soon(entry.drain)
 
     async def close(self) -> None:
-        """Release what the roles hold."""
+        """Close all entries and agents."""
         for role in (*self.entries, *self.agents):
             await role.close()
 
--- a/src/hyssopvane/_internal/standins/plain_service.py
+++ b/src/hyssopvane/_internal/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""Serve a plain service beside the model engines, such as lots and their bids."""
+"""Simulate a plain HTTP service, such as an auction with lots and bids."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import asdict, dataclass
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainServiceConfig:
-    """Describe a plain service."""
+    """Configure a plain service."""
 
     delay_ms: float = 0.0
-    """Time that each answer takes when the query doesn't say."""
+    """Response delay if the query has no `delay_ms` parameter."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 class PlainService:
-    """Answer lots, bids and anything else, and record each run."""
+    """Answer requests for lots, bids and any other path, and record each run."""
 
     def __init__(
         self, config: PlainServiceConfig, journal: Journal | None = None
@@ -120,7 +120,7 @@
     journal: Journal | None = None,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until the shutdown."""
+    """Serve a plain service until shutdown."""
     await serve_app(
         PlainService(config, journal).app,
         bind=bind,
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Run a plain service as its own process."""
+    """Run a plain service as a separate process."""
     options, config = parse_options(PlainServiceConfig)
     serve = partial(serve_plain_service, config, journal=options.make_journal())
     run_process(serve, bind=options.bind)
--- a/src/hyssopvane/_internal/standins/process.py
+++ b/src/hyssopvane/_internal/standins/process.py
@@ -1,4 +1,4 @@
-"""Run a stand-in as its own process."""
+"""Run a stand-in as a separate process."""
 
 import argparse
 import dataclasses
@@ -14,7 +14,7 @@
 from hyssopvane._internal.transport.asgi_server import serve_asgi
 
 GRACEFUL_TIMEOUT_S = 30.0
-"""Time that requests in progress get to end at the shutdown."""
+"""Time allowed for requests in progress to finish at shutdown."""
 
 ANY_PORT = "127.0.0.1:0"
 
@@ -22,7 +22,7 @@
 
 
 class Serve(Protocol):
-    """Serve on an address until the shutdown; report "ip:port" once it is bound."""
+    """Serve on an address until shutdown; report "ip:port" once it is bound."""
 
     async def __call__(
         self,
@@ -35,23 +35,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessOptions:
-    """Hold the options that all stand-ins have."""
+    """Hold the command-line options common to all target stand-ins."""
 
     bind: str
     print_journal: bool
 
     def make_journal(self) -> Journal:
-        """Return a journal, printed line by line if that was asked for."""
+        """Return a journal; with `--print-journal`, its entries are also printed."""
         return Journal(_print_entry if self.print_journal else None)
 
 
 def parse_options(
     config_type: type[Config], arguments: Sequence[str] | None = None
 ) -> tuple[ProcessOptions, Config]:
-    """Read the common options and one for each field of a data class."""
+    """Parse the common options and one option per field of a data class."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--bind", default=ANY_PORT)
-    # The printed lines outlive a crash, which the journal's own page does not.
+    # Printed lines survive a crash of the process; `GET /journal` does not.
     parser.add_argument("--print-journal", action="store_true")
     for field in dataclasses.fields(config_type):  # type: ignore[arg-type]
         option = "--" + field.name.replace("_", "-")
@@ -70,7 +70,7 @@
 
 
 def parse_bind(description: str) -> str:
-    """Read the address to serve on, for a stand-in with no other options."""
+    """Parse the address to serve on, for a stand-in without other options."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--bind", default=ANY_PORT, metavar="IP:PORT")
     bind: str = parser.parse_args().bind
@@ -80,7 +80,7 @@
 async def serve_app(
     app: Router, *, bind: str, shutdown: trio.Event, task_status: trio.TaskStatus[str]
 ) -> None:
-    """Serve an application until the shutdown and the end of its requests."""
+    """Serve until shutdown, then wait for requests in progress to finish."""
     await serve_asgi(
         app,
         bind=bind,
@@ -91,7 +91,7 @@
 
 
 def run_process(serve: Serve, *, bind: str) -> None:
-    """Serve until SIGTERM or SIGINT and print the bound address."""
+    """Print the bound address and serve until SIGTERM or SIGINT."""
     trio.run(_serve_until_signal, serve, bind)
 
 
--- a/src/hyssopvane/_internal/standins/vm_list.py
+++ b/src/hyssopvane/_internal/standins/vm_list.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's lagging list of live and leaving VMs."""
+"""Simulate the platform's list of live and leaving VMs, which updates with a lag."""
 
 import json
 from collections import deque
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """Hold a list that becomes visible at a clock value."""
+    """Hold a list that readers see from a given clock time on."""
 
     visible_from: float
     vms: tuple[VmRecord, ...]
 
 
 class VmListApp:
-    """Show each list only after the lag has passed."""
+    """Serve the list of VMs; a new list becomes visible after a configurable lag."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
         self._pending: deque[_Pending] = deque()
 
     def replace_vms(self, vms: tuple[VmRecord, ...]) -> None:
-        """Replace the list; readers see it after the lag."""
+        """Replace the list; readers see the new one after the lag."""
         self._pending.append(_Pending(self._clock() + self.lag_s, vms))
 
     def get_vms(self) -> tuple[VmRecord, ...]:
-        """Return the list that is visible now."""
+        """Return the list that is currently visible to readers."""
         while self._pending and self._pending[0].visible_from <= self._clock():
             self._visible = self._pending.popleft().vms
         return self._visible
@@ -91,7 +91,7 @@
     shutdown: trio.Event | None = None,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve the stand-in until the shutdown; report its address."""
+    """Serve the stand-in until shutdown; report the bound address."""
     await serve_asgi(
         app or VmListApp(),
         bind=bind,
--- a/src/hyssopvane/_internal/standins/weight_store.py
+++ b/src/hyssopvane/_internal/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Serve weights of models and experts at a limited rate."""
+"""Serve model and expert weights at a limited rate."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightStoreConfig:
-    """Describe a weight store."""
+    """Configure a weight store."""
 
     bytes_per_s: float = 100e6
-    """Rate that all readers share."""
+    """Total rate, shared by all readers."""
     object_bytes: int = 10_000_000
-    """Length of weights when the query doesn't say."""
+    """Response length if the query has no `bytes` parameter."""
 
 
 class TokenBucket:
-    """Grant bytes at a rate, with a burst of limited size."""
+    """Limit the rate of bytes, allowing bursts of limited size."""
 
     def __init__(self, rate: float, burst: float, *, now: float) -> None:
         self._rate = rate
@@ -34,7 +34,7 @@
         self._refilled_at = now
 
     def reserve(self, amount: int, now: float) -> float:
-        """Grant an amount and return the seconds to wait before it may be used."""
+        """Reserve an amount and return the seconds to wait before using it."""
         refill = (now - self._refilled_at) * self._rate
         self._level = min(self._burst, self._level + refill) - amount
         self._refilled_at = now
@@ -42,7 +42,7 @@
 
 
 class WeightStore:
-    """Answer `GET /weights/NAME?bytes=N` at the shared rate."""
+    """Answer `GET /weights/NAME?bytes=N` at a rate shared by all readers."""
 
     def __init__(self, config: WeightStoreConfig) -> None:
         self.app = Router({}, fallback=self._answer)
@@ -53,7 +53,7 @@
 
     async def _answer(self, request: Request, responder: Responder) -> None:
         if request.method != "GET" or not request.path.startswith("/weights/"):
-            await responder.send_json(404, {"error": "ask for GET /weights/NAME"})
+            await responder.send_json(404, {"error": "expected GET /weights/NAME"})
             return
         length = int(request.query.get("bytes", self._config.object_bytes))
         await responder.run_while_connected(partial(self._send, length, responder))
@@ -74,14 +74,14 @@
     shutdown: trio.Event,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until the shutdown."""
+    """Serve a weight store until shutdown."""
     await serve_app(
         WeightStore(config).app, bind=bind, shutdown=shutdown, task_status=task_status
     )
 
 
 def main() -> None:
-    """Run a weight store as its own process."""
+    """Run a weight store as a separate process."""
     options, config = parse_options(WeightStoreConfig)
     run_process(partial(serve_weight_store, config), bind=options.bind)
 
