--- a/src/hyssopvane/_internal/standins/engine.py
+++ b/src/hyssopvane/_internal/standins/engine.py
@@ -1,4 +1,4 @@
-"""Model an engine that batches continuously, with the clock passed in."""
+"""Simulate an engine with continuous batching; callers pass in the current time."""
 
 import heapq
 from collections import deque
@@ -19,7 +19,7 @@
 )
 
 MAX_CATCH_UP_STEPS = 2
-"""Steps made up for after a late call; a longer pause is lost, as on a real engine."""
+"""Most overdue steps run after a late call; the rest are lost, as on a real engine."""
 
 WORDS = (
     "indenture parish baptism ship arrival surname record clerk draft lot damage "
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineConfig:
-    """Describe an engine."""
+    """Configure a simulated engine."""
 
     slots: int = 8
     step_ms: float = 4.5
@@ -38,31 +38,31 @@
     load_lag_s: float = 0.2
     cache_event_lag_s: float = 0.5
     cache_event_gap: int = 10
-    """Every so many cache events, one is never published; 0 publishes all."""
+    """Leave out every n-th cache event; 0 publishes all."""
     poison: str = ""
-    """Text in a prompt that crashes the engine; none when empty."""
+    """Text that crashes the engine if it occurs in a prompt; empty disables it."""
     checks_fence: bool = False
     expert_map: str = "initial"
 
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """Ask for the tokens `resume_from` to `max_tokens` - 1 of a prompt's answer."""
+    """Request the tokens `resume_from` to `max_tokens` - 1 of a prompt's answer."""
 
     prompt: str
     max_tokens: int
     resume_from: int = 0
     priority: int = 0
-    """Lower numbers run first."""
+    """Completions with lower numbers run first."""
 
     def __post_init__(self) -> None:
         if not 0 <= self.resume_from < self.max_tokens:
-            raise ValueError("resume_from must lie in 0 to max_tokens - 1")
+            raise ValueError("resume_from must be between 0 and max_tokens - 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """Carry one token of a run."""
+    """Represent one generated token of a run."""
 
     run: int
     index: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Tell the load of an engine at one moment."""
+    """Report the load of an engine at one point in time."""
 
     running: int
     waiting: int
@@ -96,13 +96,13 @@
 
 
 def make_token_text(prompt: str, index: int) -> str:
-    """Return the token at an index of a prompt's answer, the same every time."""
+    """Return the token at an index of a prompt's answer; it is deterministic."""
     digest = xxhash.xxh64_intdigest(f"{index}:{prompt}".encode())
     return f"{WORDS[digest % len(WORDS)]}-{index} "
 
 
 class Engine:
-    """Run completions in a batch, one token of each a step."""
+    """Run completions in a batch, generating one token of each per step."""
 
     def __init__(
         self, config: EngineConfig, *, now: float, journal: Journal | None = None
@@ -127,16 +127,16 @@
 
     @property
     def has_work(self) -> bool:
-        """Tell whether a run is waiting or running."""
+        """Return whether any run is waiting or running."""
         return bool(self._running or self._waiting)
 
     @property
     def next_step_at(self) -> float:
-        """Return the time of the next step."""
+        """Return the clock time of the next step."""
         return self._next_step_at
 
     def submit(self, completion: Completion, caller: Caller, now: float) -> int:
-        """Queue a completion and return the number of its run."""
+        """Queue a completion and return its run number."""
         self._skip_idle_steps(now)
         number = self._next_run
         self._next_run += 1
@@ -146,7 +146,7 @@
         return number
 
     def cancel(self, number: int, now: float) -> bool:
-        """Drop a run and free its slot; return false when it has already ended."""
+        """Cancel a run and free its slot; return false if it has already ended."""
         run = self._running.pop(number, None) or self._waiting.pop(number, None)
         if run is None:
             return False
@@ -155,7 +155,7 @@
         return True
 
     def advance(self, now: float) -> list[Token]:
-        """Run the steps that are due and return their tokens."""
+        """Run the steps that are due and return the generated tokens."""
         self._skip_idle_steps(now)
         earliest = now - MAX_CATCH_UP_STEPS * self._step_s
         self._next_step_at = max(self._next_step_at, earliest)
@@ -168,28 +168,29 @@
         return tokens
 
     def apply_order(self, order: Order, now: float) -> OrderRefusal | None:
-        """Carry out an order, or return why it is refused."""
+        """Apply an order, or return the reason for its refusal."""
         self._skip_idle_steps(now)
         return self.rank.apply_order(order)
 
     def get_step(self, now: float) -> int:
-        """Return the number of the last step."""
+        """Return the number of the current step."""
         self._skip_idle_steps(now)
         return self.rank.step
 
     def get_load(self, now: float) -> LoadReport:
-        """Return the load as it was the configured lag ago."""
+        """Return the load as of `load_lag_s` ago."""
         self._skip_idle_steps(now)
         while len(self._reports) > 1 and self._is_published(self._reports[1][0], now):
             self._reports.popleft()
         return self._reports[0][1]
 
     def get_cache_events(self, since: int, now: float) -> list[CacheEvent]:
-        """Return the published changes of the prefix cache after a number."""
+        """Return the published prefix cache events numbered above `since`."""
         return self._cache.get_events(since, now)
 
     def _skip_idle_steps(self, now: float) -> None:
-        # An idle engine keeps its step count without being woken for each step.
+        # Counts the steps of an idle engine in bulk, so that it needn't wake up for
+        # each one.
         if self.has_work or self._next_step_at > now:
             return
         steps = int((now - self._next_step_at) / self._step_s) + 1
--- a/src/hyssopvane/_internal/standins/engine_server.py
+++ b/src/hyssopvane/_internal/standins/engine_server.py
@@ -1,4 +1,4 @@
-"""Serve a model engine over HTTP."""
+"""Serve a simulated model engine over HTTP."""
 
 import json
 import os
@@ -31,7 +31,7 @@
 
 
 class EngineServer:
-    """Answer requests from an engine and run its steps."""
+    """Answer HTTP requests with an engine and run the engine's steps."""
 
     def __init__(self, config: EngineConfig, journal: Journal | None = None) -> None:
         self.engine = Engine(config, now=trio.current_time(), journal=journal)
@@ -50,7 +50,7 @@
         self._receivers: dict[int, trio.MemorySendChannel[Token]] = {}
 
     async def run_steps(self) -> None:
-        """Run the engine's steps until it crashes."""
+        """Run the engine's steps as they become due until the engine crashes."""
         while not self.engine.crashed:
             if not self.engine.has_work:
                 self._work_submitted = trio.Event()
@@ -67,7 +67,8 @@
             resume_from=int(document.get("resume_from", 0)),
             priority=int(document.get("priority", 0)),
         )
-        # The engine never waits for a slow reader; the answer's length is the bound.
+        # A channel that can hold the complete answer keeps a slow reader from
+        # blocking the engine.
         sender, receiver = trio.open_memory_channel[Token](completion.max_tokens)
         caller = Caller.from_headers(request.headers)
         run = self.engine.submit(completion, caller, trio.current_time())
@@ -136,10 +137,10 @@
     journal: Journal | None = None,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> bool:
-    """Serve until the shutdown or a crash; return whether it crashed.
+    """Serve an engine until shutdown or a crash; return whether it crashed.
 
     A crash drops all connections and closes the port. Call it again on the same
-    address to restart; a journal that is passed in outlives the crash.
+    address to restart; a journal passed in by the caller keeps its entries.
     """
     server = EngineServer(config, journal)
     async with trio.open_nursery() as nursery:
@@ -193,7 +194,7 @@
 
 
 def main() -> None:
-    """Run an engine as its own process, which exits at once on a crash."""
+    """Run an engine as a separate process that exits immediately on a crash."""
     options, config = parse_options(EngineConfig)
 
     async def serve(
--- a/src/hyssopvane/_internal/standins/expert_rank.py
+++ b/src/hyssopvane/_internal/standins/expert_rank.py
@@ -1,14 +1,14 @@
-"""Model the orders and the expert map of one rank."""
+"""Simulate how one rank handles orders and switches its expert map."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 MAX_STAGED_MAPS = 2
-"""Maps whose weights fit beside the one in use."""
+"""Maps whose weights fit in memory in addition to those of the map in use."""
 
 
 class OrderKind(StrEnum):
-    """Name what an order asks of an engine."""
+    """List the kinds of orders to an engine."""
 
     LOAD_MODEL = "load-model"
     LOAD_ADAPTER = "load-adapter"
@@ -21,7 +21,7 @@
 
 
 class OrderRefusal(StrEnum):
-    """Name why an order was refused."""
+    """List the reasons for refusing an order."""
 
     OLD_FENCE = "old-fence"
     NOT_STAGED = "not-staged"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Ask an engine to change what it runs."""
+    """Represent an order to an engine to change what it runs."""
 
     kind: OrderKind
     fence: int
@@ -42,12 +42,12 @@
     """Name of the model, adapter, version, role or expert map."""
     weights_bytes: int = 0
     step: int = 0
-    """Step from which an armed map is used."""
+    """First step that uses the armed map."""
 
 
 @dataclass(frozen=True, slots=True)
 class ArmedMap:
-    """Tell which map is armed for which step."""
+    """Hold the map that is armed and the step from which it is used."""
 
     map: str
     step: int
@@ -55,10 +55,10 @@
 
 
 class ExpertRank:
-    """Count steps and switch the expert map at the step that was decided.
+    """Count steps and switch the expert map at the decided step.
 
-    A rank that starts without a map, as after a restart, takes no step until it is
-    told one by a decision.
+    A rank that starts without a map, as after a restart, runs no step until it
+    receives one with a decision.
     """
 
     def __init__(self, expert_map: str, *, checks_fence: bool) -> None:
@@ -72,7 +72,7 @@
         self._checks_fence = checks_fence
 
     def apply_order(self, order: Order) -> OrderRefusal | None:
-        """Carry out an order, or return why it is refused."""
+        """Apply an order, or return the reason for its refusal."""
         if self._checks_fence and order.fence < self.highest_fence:
             return OrderRefusal.OLD_FENCE
         self.highest_fence = max(self.highest_fence, order.fence)
@@ -82,7 +82,7 @@
         return refusal
 
     def advance_step(self) -> bool:
-        """Begin the next step; return false while it waits for a decision."""
+        """Begin the next step; return false if it must wait for a decision."""
         if self._must_wait(self.step + 1):
             return False
         self.step += 1
@@ -90,7 +90,7 @@
         return True
 
     def skip_steps(self, steps: int) -> None:
-        """Begin several steps, up to one that waits for a decision."""
+        """Advance by several steps, stopping before one that must wait."""
         if not self.map:
             return
         target = self.step + steps
@@ -101,10 +101,10 @@
 
     def _must_wait(self, step: int) -> bool:
         if not self.map:
-            # A rank that was restarted takes no step before it is told its map.
+            # A restarted rank runs no step until it receives its map.
             return True
-        # Without the wait this rank would use the old map in a step in which ranks
-        # that know the decision use the new one.
+        # Without the wait, this rank would use the old map in a step in which ranks
+        # that have received the decision use the new one.
         armed = self.armed
         return armed is not None and not armed.decided and step >= armed.step
 
@@ -151,7 +151,7 @@
         if not self.map and (self.armed is None or self.armed.map != order.value):
             return self._activate(order.value)
         if self.armed is None:
-            # A repeat of a decision that was carried out is no error.
+            # Repeating a decision that has been applied is not an error.
             return None if self.map == order.value else OrderRefusal.NOT_ARMED
         if self.armed.map != order.value:
             return OrderRefusal.OTHER_MAP_ARMED
--- a/src/hyssopvane/_internal/standins/prefix_cache.py
+++ b/src/hyssopvane/_internal/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Model an engine's cache of prompt prefixes in limited memory."""
+"""Simulate an engine's prompt prefix cache with limited memory."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 
 BLOCK_CHARACTERS = 64
 MAX_EVENTS = 10_000
-"""Events kept for readers; older ones are dropped, as a gap."""
+"""Events retained for readers, who see dropped older ones as a gap."""
 
 
 class CacheEventKind(StrEnum):
-    """Name a change of the cache."""
+    """List the kinds of cache changes."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """Tell one change of the cache; a missing number shows a gap."""
+    """Represent one change of the cache; a missing number reveals a lost event."""
 
     number: int
     kind: CacheEventKind
@@ -28,7 +28,7 @@
 
 
 def hash_blocks(prompt: str) -> list[str]:
-    """Return a digest for each block of a prompt that covers the blocks before it."""
+    """Return one digest per block; each also covers all preceding blocks."""
     digests = []
     seed = 0
     for start in range(0, len(prompt), BLOCK_CHARACTERS):
@@ -39,7 +39,7 @@
 
 
 class PrefixCache:
-    """Keep the blocks used last and publish changes late and with gaps."""
+    """Cache the most recently used blocks; publish changes with a delay and gaps."""
 
     def __init__(self, capacity: int, *, event_lag_s: float, event_gap: int) -> None:
         self._capacity = capacity
@@ -51,23 +51,24 @@
 
     @property
     def blocks_free(self) -> int:
-        """Return how many blocks can be stored without an eviction."""
+        """Return how many more blocks fit without an eviction."""
         return self._capacity - len(self._blocks)
 
     def use_blocks(self, digests: list[str], now: float) -> int:
-        """Store the blocks of a prompt; return how many of its prefix were cached."""
+        """Store a prompt's blocks; return how many leading ones were cached."""
         hits = 0
         for digest in digests:
             if digest not in self._blocks:
                 break
             hits += 1
-        # The prefix is touched last, so that a tail is always evicted before it.
+        # The blocks are used in reverse order, so that later blocks of a prompt are
+        # evicted before its prefix.
         for digest in reversed(digests):
             self._store(digest, now)
         return hits
 
     def get_events(self, since: int, now: float) -> list[CacheEvent]:
-        """Return the events after number `since` that are published by now."""
+        """Return the events numbered above `since` that are published by `now`."""
         published = now - self._event_lag_s
         return [
             event
--- a/src/hyssopvane/_internal/standins/rank_group.py
+++ b/src/hyssopvane/_internal/standins/rank_group.py
@@ -1,4 +1,4 @@
-"""Model a group of ranks that run in lock-step on an expert map."""
+"""Simulate a group of ranks that run in lock-step on an expert map."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -8,17 +8,17 @@
 
 BASE_STEP_MS = 4.5
 DECISION_POLL_MS = 4.5
-"""Time that one more look for a decision takes."""
+"""Time that one poll for a pending decision takes."""
 
 MS_PER_TOKEN = 0.01
-"""Time that a token adds to the step of the rank that its expert is on."""
+"""Time that each token adds to the step of the rank that holds its expert."""
 
 HISTORY_LENGTH = 100_000
 
 
 @dataclass(frozen=True, slots=True)
 class ExpertMap:
-    """Tell on which ranks each expert is; replicas share its tokens evenly."""
+    """Map each expert to its ranks, which share the expert's tokens evenly."""
 
     name: str
     ranks_by_expert: tuple[tuple[int, ...], ...]
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RankStep:
-    """Record the map that a rank used in a step."""
+    """Record which map a rank used in a step."""
 
     step: int
     rank: int
@@ -35,25 +35,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StepReport:
-    """Tell how one step went."""
+    """Report the duration, skew and maps of one step."""
 
     step: int
     step_ms: float
     skew: float
-    """Time of the slowest rank divided by the mean; 1 when all are even."""
+    """Time of the slowest rank divided by the mean; 1 if all are equal."""
     maps_used: tuple[str, ...]
-    """Map of each rank that has begun the step, in rank order."""
+    """Map used by each rank that has begun the step, in rank order."""
     waiting: tuple[int, ...]
-    """Ranks that wait for a decision and hold the step back."""
+    """Ranks that wait for a decision and thereby delay the step."""
 
 
 def spread_experts(name: str, *, ranks: int, experts: int) -> ExpertMap:
-    """Return the map that puts the experts on the ranks in turn."""
+    """Return a map that assigns the experts to the ranks round-robin."""
     return ExpertMap(name, tuple((expert % ranks,) for expert in range(experts)))
 
 
 class RankGroup:
-    """Advance ranks together, at the pace of the slowest."""
+    """Advance all ranks in lock-step, at the speed of the slowest."""
 
     def __init__(self, ranks: int, experts: int, *, checks_fence: bool = False) -> None:
         initial_map = spread_experts("initial", ranks=ranks, experts=experts)
@@ -64,28 +64,28 @@
         ]
         self.history: deque[RankStep] = deque(maxlen=HISTORY_LENGTH)
         self.split_steps: list[int] = []
-        """Steps in which two ranks used different maps; must stay empty."""
+        """Steps in which ranks used different maps; a correct switch causes none."""
         self._checks_fence = checks_fence
         self._maps = {initial_map.name: initial_map}
         self._stalls_ms = [0.0] * ranks
         self._maps_in_step: set[str] = set()
 
     def add_map(self, expert_map: ExpertMap) -> None:
-        """Make a map known, so that ranks can be ordered to use it."""
+        """Register a map, so that ranks can be ordered to use it."""
         self._maps[expert_map.name] = expert_map
 
     def stall(self, rank: int, stall_ms: float) -> None:
-        """Hold a rank up in its next step."""
+        """Delay a rank in its next step."""
         self._stalls_ms[rank] += stall_ms
 
     def restart(self, rank: int, expert_map: str) -> None:
-        """Replace a rank by a new one that starts with the given map."""
+        """Replace a rank with a new one that starts with the given map."""
         replacement = ExpertRank(expert_map, checks_fence=self._checks_fence)
         replacement.step = self.step
         self.ranks[rank] = replacement
 
     def advance(self, loads: Sequence[float]) -> StepReport:
-        """Run one step, with the tokens of each expert, or wait for a decision."""
+        """Run one step with these token counts by expert, or wait for a decision."""
         for index, rank in enumerate(self.ranks):
             if rank.step == self.step and rank.advance_step():
                 self._record(index, rank)
