--- a/src/hyssopvane/_internal/standins/key_value.py
+++ b/src/hyssopvane/_internal/standins/key_value.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's key-value service: a subset of etcd's JSON gateway."""
+"""Simulate the platform's key-value service: a subset of etcd's JSON gateway."""
 
 import json
 import secrets
@@ -35,10 +35,10 @@
 _Model = TypeVar("_Model", bound=BaseModel)
 
 MAX_REQUEST_VALUE_BYTES = 1024 * 1024
-"""Largest value that the service takes."""
+"""Largest value that the service accepts."""
 
 MAX_TRANSACTION_CHANGES = 128
-"""Compares, and changes, that etcd takes in one transaction."""
+"""Limit on the compares, and on the changes, of one transaction, as in etcd."""
 
 MAX_IDLE_S = 3600.0
 
@@ -48,31 +48,31 @@
 
 
 class Faults(BaseModel):
-    """Choose what goes wrong with the calls that follow."""
+    """Select the faults injected into subsequent calls."""
 
     model_config = ConfigDict(extra="forbid")
 
     down: bool = False
-    """Refuse every call before it has any effect, and end the watches."""
+    """Refuse every call before it takes effect, and end the watches."""
     delay_ms: float = Field(default=0, ge=0)
     """Wait before each call takes effect."""
     lose_next_write_answers: int = Field(default=0, ge=0)
-    """Carry out as many writes but cut their answers."""
+    """Apply this many writes but truncate their responses."""
     stale_reads: bool = False
-    """Answer reads as of the moment at which this was switched on."""
+    """Answer reads with the state at the time when this was switched on."""
 
 
 class RestoreOptions(BaseModel):
-    """Choose how the service comes back from the copy that was kept last."""
+    """Select how the service is restored from the last saved copy."""
 
     model_config = ConfigDict(extra="forbid")
 
     new_cluster: bool = True
-    """Take a new identity, as a cluster does that is restored from a snapshot."""
+    """Use a new cluster id, as a cluster restored from a snapshot does."""
 
 
 class _Refusal(Exception):
-    """Carry an error in the form that the gateway gives it."""
+    """Report an error in the format of the JSON gateway."""
 
     def __init__(self, status: int, code: int, message: str) -> None:
         super().__init__(message)
@@ -82,7 +82,7 @@
 
 
 class KeyValueApp:
-    """Serve the state over HTTP, with faults that tests switch on."""
+    """Serve the key-value state over HTTP and inject faults on request."""
 
     def __init__(self, clock: Callable[[], float] = trio.current_time) -> None:
         self.state = KeyValueState(clock, cluster_id=secrets.randbits(63))
@@ -117,7 +117,7 @@
             await send_json(send, _format_refusal(bad), status=bad.status)
 
     def set_faults(self, faults: Faults) -> None:
-        """Switch faults on and off."""
+        """Replace the active faults."""
         if not faults.stale_reads:
             self._stale = None
         elif self._stale is None:
@@ -126,13 +126,15 @@
         self._wake_watches()
 
     def save_copy(self) -> None:
-        """Keep a copy of all there is, to come back from."""
+        """Save a copy of the complete state for a later restore."""
         self._copy = self.state.copy_all()
 
     def restore_copy(self, options: RestoreOptions) -> None:
-        """Lose what was written since the copy was kept, and end the watches."""
+        """Restore the saved copy, losing later writes, and end the watches."""
         if self._copy is None:
-            raise _Refusal(400, _GRPC_INVALID_ARGUMENT, "no copy was kept")
+            raise _Refusal(
+                400, _GRPC_INVALID_ARGUMENT, "no copy was saved; call POST /copy first"
+            )
         self.state = self._copy.copy_all()
         self._stale = None
         if options.new_cluster:
@@ -225,7 +227,7 @@
     def _grant(self, request: JsonObject) -> JsonObject:
         ttl_s = int(request["TTL"])
         lease = self.state.grant_lease(ttl_s)
-        # Watches wait for the next lease that lapses, which may be this one.
+        # Watches wait until the next lease expires, which may be this one.
         self._wake_watches()
         return {
             "header": self._format_header(),
@@ -307,7 +309,7 @@
     shutdown: trio.Event | None = None,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve the stand-in until the shutdown; report its address."""
+    """Serve the stand-in until shutdown; report the bound address."""
     await serve_asgi(
         app or KeyValueApp(),
         bind=bind,
@@ -318,7 +320,7 @@
 
 
 async def _send_truncated_answer(send: ASGISendCallable) -> None:
-    # The announced length never comes, so that the server closes the connection.
+    # The body is shorter than its content length, so the server closes the connection.
     await _start_answer(send, (b"content-length", b"1000000"))
     await send({"type": "http.response.body", "body": b" ", "more_body": True})
 
--- a/src/hyssopvane/_internal/standins/key_value_state.py
+++ b/src/hyssopvane/_internal/standins/key_value_state.py
@@ -1,4 +1,4 @@
-"""Keep the keys, leases and history of the stand-in key-value service."""
+"""Hold the keys, leases and history of the stand-in key-value service."""
 
 import itertools
 import operator
@@ -8,12 +8,12 @@
 from enum import StrEnum
 
 MAX_HISTORY = 100_000
-"""Events kept for watches that start in the past."""
+"""Events retained for watches that start at a past revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredItem:
-    """Hold one key with the revisions that etcd shows for it."""
+    """Hold one key with its value and the revisions that etcd reports for it."""
 
     key: bytes
     value: bytes
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredEvent:
-    """Hold one change; the item of a deletion has no value."""
+    """Hold one change; the item of a deletion has an empty value."""
 
     item: StoredItem
     is_delete: bool
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """Expect a key to be at a revision; 0 means that it is absent."""
+    """Require a key to be at a revision; 0 requires it to be absent."""
 
     key: bytes
     mod_revision: int
 
 
 class ValueResult(StrEnum):
-    """Name how etcd compares a value with a given one."""
+    """List the comparisons of a stored value with a given one, as in etcd."""
 
     EQUAL = "EQUAL"
     GREATER = "GREATER"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueCompare:
-    """Expect a key's value to compare in some way with a given one."""
+    """Require a key to exist and its value to satisfy a comparison."""
 
     key: bytes
     result: ValueResult
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write one key."""
+    """Represent the write of one key."""
 
     key: bytes
     value: bytes
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Delete one key."""
+    """Represent the deletion of one key."""
 
     key: bytes
 
@@ -88,14 +88,14 @@
 
 
 class UnknownLease(Exception):
-    """Report a lease that never was or has lapsed."""
+    """Report a lease that doesn't exist or has expired."""
 
 
 _cluster_ids = itertools.count(1)
 
 
 class KeyValueState:
-    """Apply calls one after another, each at its own revision."""
+    """Apply calls sequentially; each one that changes keys gets its own revision."""
 
     def __init__(
         self, clock: Callable[[], float], *, cluster_id: int | None = None
@@ -111,7 +111,7 @@
     def get_range(
         self, key: bytes, range_end: bytes = b"", min_mod_revision: int = 0
     ) -> list[StoredItem]:
-        """Return a key, or the keys from one to another, in order."""
+        """Return one key, or the sorted keys from `key` up to before `range_end`."""
         self.expire_leases()
         if not range_end:
             found = [self._items[key]] if key in self._items else []
@@ -127,7 +127,7 @@
         compares: Iterable[Compare | ValueCompare],
         changes: Iterable[Put | Delete],
     ) -> bool:
-        """Carry out all changes at one revision if every key is as expected."""
+        """Apply all changes at one revision if every compare holds."""
         self.expire_leases()
         if not all(self._holds(compare) for compare in compares):
             return False
@@ -146,7 +146,7 @@
         return lease
 
     def keep_lease(self, lease: int) -> int:
-        """Renew a lease and return its time to live, or 0 when it has lapsed."""
+        """Renew a lease and return its time to live in seconds, or 0 if expired."""
         self.expire_leases()
         held = self._leases.get(lease)
         if held is None:
@@ -162,28 +162,28 @@
         self._delete_leased(lease)
 
     def expire_leases(self) -> None:
-        """Delete the keys of leases whose time is over."""
+        """Remove expired leases and delete their keys."""
         now = self._clock()
         for lease in [k for k, held in self._leases.items() if held.expires <= now]:
             del self._leases[lease]
             self._delete_leased(lease)
 
     def get_next_expiry(self) -> float | None:
-        """Return the clock value at which the next lease lapses."""
+        """Return the clock time at which the next lease expires, if there is any."""
         return min((lease.expires for lease in self._leases.values()), default=None)
 
     @property
     def oldest_revision(self) -> int:
-        """Return the first revision from which a watch can still start."""
+        """Return the oldest revision from which a watch can start."""
         if len(self._history) < MAX_HISTORY:
             return 0
-        # Older events of the same revision may already be gone.
+        # Earlier events of the same revision may already have been dropped.
         return self._history[0].item.mod_revision + 1
 
     def get_events(
         self, start_revision: int, key: bytes, range_end: bytes
     ) -> list[StoredEvent]:
-        """Return the changes of a range from a revision on, oldest first."""
+        """Return the changes of a range since a revision (inclusive), oldest first."""
         self.expire_leases()
         found: list[StoredEvent] = []
         for event in reversed(self._history):
@@ -195,14 +195,14 @@
         return found
 
     def copy_items(self) -> "KeyValueState":
-        """Return a copy that later changes do not reach."""
+        """Return an independent copy of the items, without leases and history."""
         copy = KeyValueState(self._clock, cluster_id=self.cluster_id)
         copy._items = dict(self._items)
         copy.revision = self.revision
         return copy
 
     def copy_all(self) -> "KeyValueState":
-        """Return a copy with leases and history, from which the service can go on."""
+        """Return a copy with leases and history, from which the service can resume."""
         copy = self.copy_items()
         copy._leases = {
             lease: _Lease(held.ttl_s, self._clock() + held.ttl_s)
@@ -213,7 +213,7 @@
         return copy
 
     def renew_cluster_id(self) -> None:
-        """Take a new identity, as a cluster does that is restored from a copy."""
+        """Change the cluster id, as a cluster restored from a copy does."""
         self.cluster_id += next(_cluster_ids)
 
     def _holds(self, compare: Compare | ValueCompare) -> bool:
