--- a/tests/functional/test_target_standins.py
+++ b/tests/functional/test_target_standins.py
@@ -1,4 +1,4 @@
-"""Test the targets' stand-ins as processes and in a nursery."""
+"""Test the target stand-ins as separate processes and in a nursery."""
 
 import json
 import signal
@@ -50,7 +50,7 @@
 
 
 def wait_for_events(address, events):
-    """Read the journal, run by run, until it holds these events."""
+    """Poll the journal, sorted by run, until it contains exactly these events."""
     entries = []
     for _ in range(MAX_POLLS):
         entries = sorted(call("GET", address, "/journal")[1], key=itemgetter("run"))
@@ -102,10 +102,10 @@
 
 
 def test_engine_process_exits_on_a_poison_prompt(cluster):
-    """Crash an engine process with one request.
+    """One request crashes an engine process.
 
-    The caller's connection ends without an answer, and the run that had started is
-    known only from what the process printed.
+    The caller's connection ends without a response, and the run that had started is
+    known only from the output of the process.
     """
     address, engine = cluster.start_standin(
         "engine_server", "--poison=BOOM", "--print-journal"
@@ -119,10 +119,10 @@
 
 
 def test_engine_in_a_nursery_refuses_connections_until_restarted():
-    """Crash an engine that runs in the same process as the test.
+    """An engine that runs in the test process crashes and is restarted.
 
-    Callers that come while it is gone can't connect; after the restart on the same
-    address they get answers, and the journal still tells of the run that crashed it.
+    Callers can't connect while it is down. After the restart on the same address they
+    get responses, and the journal still contains the run that crashed it.
     """
     trio.run(_crash_and_restart)
 
@@ -176,10 +176,10 @@
 
 
 def test_idle_connection_does_not_delay_the_shutdown():
-    """Shut a service down while an idle connection of a caller is kept open.
+    """A service shuts down while a caller keeps an idle connection open.
 
-    If the server does not know it as idle, it stays until the graceful timeout, and
-    whoever replaces the VM waits for nothing.
+    If the server doesn't treat the connection as idle, it keeps it until the graceful
+    timeout, and an operator who replaces the VM waits needlessly.
     """
     trio.run(_shut_down_with_an_idle_connection)
 
--- a/tests/unit/test_asgi.py
+++ b/tests/unit/test_asgi.py
@@ -1,4 +1,4 @@
-"""Test the answers of small ASGI applications."""
+"""Test the responses of the stand-ins' ASGI applications."""
 
 import pytest
 import trio
@@ -9,10 +9,10 @@
 
 @pytest.mark.parametrize("ends", [True, False])
 def test_only_an_unfinished_answer_is_cancelled(ends):
-    """Report a disconnect while a part of an answer is being sent.
+    """A disconnect is reported while a part of a response is being sent.
 
-    If that was the last part and its sending is cancelled, the server leaves the
-    connection half way between two requests, and a shutdown waits for it in vain.
+    If sending the last part is cancelled, the server leaves the connection between
+    two requests, and a shutdown waits for it until the timeout.
     """
     trio.run(_disconnect_while_sending, ends)
 
--- a/tests/unit/test_engine.py
+++ b/tests/unit/test_engine.py
@@ -1,4 +1,4 @@
-"""Test the model of a continuously batching engine."""
+"""Test the simulated engine with continuous batching."""
 
 import pytest
 from hypothesis import given, settings
@@ -164,10 +164,10 @@
 
 
 def test_poison_prompt_crashes_the_engine_and_drops_all_runs():
-    """Crash an engine with one request.
+    """One request crashes the engine as it starts.
 
-    A request makes the engine crash as it starts. The callers of the other runs get
-    nothing more, and none of those runs is reported as finished.
+    The callers of the other runs get no more tokens, and none of these runs is
+    reported as finished.
     """
     engine = make_engine(poison="BOOM")
     engine.submit(Completion("a", 10), CALLER, 0.0)
--- a/tests/unit/test_expert_rank.py
+++ b/tests/unit/test_expert_rank.py
@@ -1,4 +1,4 @@
-"""Test the orders and the expert map of a rank and of a group in lock-step."""
+"""Test orders and expert map switches of one rank and of a lock-step group."""
 
 import pytest
 from hypothesis import given, settings
@@ -92,10 +92,10 @@
 )
 @settings(derandomize=True, max_examples=300, deadline=None)
 def test_no_step_uses_two_maps(arm_step, armed_at, decided_after, aborts):
-    """Let orders reach the ranks of a group late and at different times.
+    """Orders reach the ranks of a group late and at different times.
 
-    A decision that reaches one rank before the step and another after it would let
-    the two route the same tokens by different maps, and callers would get garbled
+    If a decision reached one rank before the step and another one after it, the two
+    would route the same tokens by different maps and callers would get garbled
     answers.
     """
     group = RankGroup(3, 6)
@@ -147,9 +147,10 @@
 
 
 def test_split_step_is_recorded():
-    """Restart one rank on another map than the group uses.
+    """One rank restarts with a different map than the group uses.
 
-    The rank did not read which map was decided; the check must see it.
+    The rank did not read which map was decided. The group must record the step as
+    split.
     """
     group = RankGroup(2, 2)
     group.add_map(spread_experts("new", ranks=2, experts=2))
--- a/tests/unit/test_weight_store.py
+++ b/tests/unit/test_weight_store.py
@@ -1,4 +1,4 @@
-"""Test the rate limit of the weight store."""
+"""Test the token bucket that limits the rate of the weight store."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
