--- a/src/hyssopvane/_internal/standins/demo.py
+++ b/src/hyssopvane/_internal/standins/demo.py
@@ -36,11 +36,11 @@
                 show(line)
             async for _ in signals:
                 break
-            show("shutting down: waiting for requests in progress")
+            show("closing: waiting for requests in progress")
             await installation.drain()
             nursery.cancel_scope.cancel()
     await installation.close()
-    show("shut down")
+    show("closed")
 
 
 async def wait_until_ready(installation: Installation) -> None:
