--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -64,11 +64,11 @@
     ) -> Decision | None:
         """Free the place; try again what did not start."""
         self._in_flight[self._placed.pop(request_id)] -= 1
-        again = report.result is AttemptResult.NOT_STARTED or (
+        should_retry = report.result is AttemptResult.NOT_STARTED or (
             report.result is AttemptResult.LOST
             and self._requests[request_id].repeatable
         )
-        if not again or self._attempts[request_id] >= _MAX_ATTEMPTS:
+        if not should_retry or self._attempts[request_id] >= _MAX_ATTEMPTS:
             self.withdraw(request_id)
             return None
         self._queue[request_id] = None
--- a/bench/capacity_connections.py
+++ b/bench/capacity_connections.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from bench.processes import read_usage, run_apart
+from bench.processes import read_usage, run_in_new_process
 from bench.slopes import Point, Slope, fit_slope
 from hyssopvane._internal.protocol.codec import encode_frames
 from hyssopvane._internal.protocol.messages import Frame, Heartbeat
@@ -43,7 +43,7 @@
 def measure_connection_memory() -> Slope:
     """Measure the memory of both ends as idle connections grow."""
     points = [
-        Point(size, run_apart(__spec__.name, size) / _KIBIBYTE)
+        Point(size, run_in_new_process(__spec__.name, size) / _KIBIBYTE)
         for size in (50, 100, 200, 400)
     ]
     return fit_slope(
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -142,10 +142,10 @@
             for number in range(size)
         ]
 
-        def carry(frames: list[Frame] = frames) -> None:
+        def round_trip(frames: list[Frame] = frames) -> None:
             decode_frames(encode_frames(frames))
 
-        points.append(Point(size, time_best(carry, rounds=200) * _MICROSECONDS))
+        points.append(Point(size, time_best(round_trip, rounds=200) * _MICROSECONDS))
     return fit_slope("token-codec", points, size_unit="token", value_unit="us")
 
 
--- a/bench/client.py
+++ b/bench/client.py
@@ -14,7 +14,7 @@
     """Collect what the calls of one run measured, in seconds."""
 
     first_byte_s: list[float] = field(default_factory=list)
-    whole_s: list[float] = field(default_factory=list)
+    total_s: list[float] = field(default_factory=list)
     gaps_s: list[float] = field(default_factory=list)
     tokens: int = 0
     failures: int = 0
@@ -40,12 +40,12 @@
     call: Callable[[], Awaitable[None]], *, count: int, concurrency: int
 ) -> None:
     """Run `count` calls, `concurrency` at a time."""
-    left = count
+    remaining = count
 
     async def work() -> None:
-        nonlocal left
-        while left:
-            left -= 1
+        nonlocal remaining
+        while remaining:
+            remaining -= 1
             await call()
 
     async with trio.open_nursery() as nursery:
@@ -67,7 +67,7 @@
                 f"http://{endpoint.address}{endpoint.prefix}{path}",
                 headers=endpoint.make_headers(),
             )
-            timings.whole_s.append(trio.current_time() - started_at)
+            timings.total_s.append(trio.current_time() - started_at)
             timings.failures += answer.status != 200
 
         await run_calls(call, count=count, concurrency=concurrency)
@@ -94,7 +94,7 @@
     body = {"prompt": "surname " * 20, "max_tokens": tokens, "stream": True}
     started_at = trio.current_time()
     last_at = started_at
-    found = 0
+    token_count = 0
     async with pool.stream(
         "POST",
         f"http://{endpoint.address}{endpoint.prefix}/v1/completions",
@@ -103,12 +103,12 @@
     ) as answer:
         async for chunk in answer.aiter_stream():
             now = trio.current_time()
-            if found:
+            if token_count:
                 timings.gaps_s.append(now - last_at)
             else:
                 timings.first_byte_s.append(now - started_at)
             last_at = now
-            found += chunk.count(b'data: {"index"')
-    timings.tokens += found
-    timings.failures += found != tokens
-    timings.whole_s.append(trio.current_time() - started_at)
+            token_count += chunk.count(b'data: {"index"')
+    timings.tokens += token_count
+    timings.failures += token_count != tokens
+    timings.total_s.append(trio.current_time() - started_at)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -74,13 +74,13 @@
     return Cost(targets, customers, waiting, best / rounds * 1e6)
 
 
-def fit_slope(points: Sequence[tuple[int, float]]) -> float:
+def fit_growth_exponent(points: Sequence[tuple[int, float]]) -> float:
     """Return the exponent of growth: 0 is constant, 1 is linear."""
     logs = [(math.log(size), math.log(cost)) for size, cost in points]
     mean_x = sum(x for x, _ in logs) / len(logs)
     mean_y = sum(y for _, y in logs) / len(logs)
-    over = sum((x - mean_x) * (y - mean_y) for x, y in logs)
-    return over / sum((x - mean_x) ** 2 for x, _ in logs)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in logs)
+    return covariance / sum((x - mean_x) ** 2 for x, _ in logs)
 
 
 def _make_scheduler(random: Random, *, targets: int, customers: int) -> Scheduler:
@@ -159,7 +159,7 @@
                     f"{targets:7} {customers:9} {waiting:7} {cost.microseconds:10.1f}",
                     flush=True,
                 )
-            print(f"   grows as {name} ^ {fit_slope(points):.2f}")
+            print(f"   grows as {name} ^ {fit_growth_exponent(points):.2f}")
     if options.json is not None:
         options.json.write_text(json.dumps([asdict(cost) for cost in costs], indent=1))
     return 0
--- a/bench/path.py
+++ b/bench/path.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LoadRow:
     """Hold one measured load."""
 
     load: str
@@ -99,7 +99,7 @@
             )
         return lines
 
-    def measure_plain(self, concurrency: int) -> Line:
+    def measure_plain(self, concurrency: int) -> LoadRow:
         """Measure plain calls."""
 
         async def run(endpoint: Endpoint) -> Timings:
@@ -110,7 +110,7 @@
         direct = trio.run(run, Endpoint(self._plain))
         before = self._read_usages("check")
         timings = trio.run(run, Endpoint(self._callers, "/check", KEY))
-        return self._make_line(
+        return self._make_row(
             f"plain x{concurrency}",
             "check",
             before,
@@ -119,7 +119,7 @@
             units=_PLAIN_CALLS,
         )
 
-    def measure_tokens(self, streams: int) -> Line:
+    def measure_tokens(self, streams: int) -> LoadRow:
         """Measure streamed answers."""
 
         async def run(endpoint: Endpoint) -> Timings:
@@ -130,7 +130,7 @@
         direct = trio.run(run, Endpoint(self._engine))
         before = self._read_usages("draft")
         timings = trio.run(run, Endpoint(self._callers, "/draft", KEY))
-        return self._make_line(
+        return self._make_row(
             f"streams x{streams}",
             "draft",
             before,
@@ -154,7 +154,7 @@
             self.read_usage("agent", service=service),
         )
 
-    def _make_line(
+    def _make_row(
         self,
         load: str,
         service: str,
@@ -163,16 +163,16 @@
         timings: Timings,
         *,
         units: int,
-    ) -> Line:
+    ) -> LoadRow:
         entry, agent_usage = self._read_usages(service)
         gaps = sorted(timings.gaps_s)
-        return Line(
+        return LoadRow(
             load=load,
             units=units,
             entry_us=round(entry.since(before[0]) / units * _MICROSECONDS, 1),
             agent_us=round(agent_usage.since(before[1]) / units * _MICROSECONDS, 1),
-            direct_ms=round(statistics.median(direct.whole_s) * _MILLISECONDS, 2),
-            path_ms=round(statistics.median(timings.whole_s) * _MILLISECONDS, 2),
+            direct_ms=round(statistics.median(direct.total_s) * _MILLISECONDS, 2),
+            path_ms=round(statistics.median(timings.total_s) * _MILLISECONDS, 2),
             gap_p95_ms=round(gaps[int(len(gaps) * 0.95)] * _MILLISECONDS, 2)
             if gaps
             else 0.0,
@@ -193,7 +193,7 @@
         idle = bench.measure_idle()
         lines = [bench.measure_plain(one) for one in _PLAIN_CONCURRENCY]
         lines += [bench.measure_tokens(one) for one in _STREAMS]
-    rows: list[Idle | Line] = [*idle, *lines]
+    rows: list[Idle | LoadRow] = [*idle, *lines]
     for row in rows:
         print("  ".join(f"{name}={value}" for name, value in asdict(row).items()))
     if options.json:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -36,11 +36,11 @@
     return 0
 
 
-def run_apart(module: str, size: int) -> float:
+def run_in_new_process(module: str, size: int) -> float:
     """Run a module in a new process, whose memory nothing else has grown.
 
     The module prints one number.
     """
     arguments = [sys.executable, "-m", module, str(size)]
-    done = subprocess.run(arguments, capture_output=True, text=True, check=True)
-    return float(done.stdout)
+    completed = subprocess.run(arguments, capture_output=True, text=True, check=True)
+    return float(completed.stdout)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -34,7 +34,7 @@
     sizes = [point.size for point in points]
     values = [point.value for point in points]
     per_unit, at_zero = statistics.linear_regression(sizes, values)
-    farthest = max(
+    max_residual = max(
         abs(point.value - at_zero - per_unit * point.size) for point in points
     )
     return Slope(
@@ -44,7 +44,7 @@
         points=tuple(points),
         per_unit=per_unit,
         at_zero=at_zero,
-        scatter=farthest / max(max(map(abs, values)), 1e-12),
+        scatter=max_residual / max(max(map(abs, values)), 1e-12),
     )
 
 
