--- a/bench/direct.py
+++ b/bench/direct.py
@@ -36,11 +36,11 @@
 def make_gate(replicas: int) -> tuple[ServiceGate, list[RankLoad]]:
     """Return a gate whose replicas have all told their load."""
     gate = ServiceGate(random=Random(1), availability_zone="a")
-    found = [
+    known = [
         Replica(f"i-{n}", "s", f"10.0.{n // 250}.{n % 250}:80", "a", 6, False)
         for n in range(replicas)
     ]
-    gate.update(found, None, now=0.0)
+    gate.update(known, None, now=0.0)
     loads = [
         RankLoad(
             address=one.address,
@@ -53,7 +53,7 @@
             pass_s=0.06,
             entries=2,
         )
-        for number, one in enumerate(found)
+        for number, one in enumerate(known)
     ]
     return gate, loads
 
@@ -77,12 +77,12 @@
     return measure_us(place), measure_us(observe)
 
 
-def measure_move(ranks: int, experts: int, places: int) -> float:
+def measure_move(ranks: int, experts: int, slots: int) -> float:
     """Return the cost of choosing a change after demand has moved on."""
     current = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
-    rest = (1 - sum(_HOT_SHARES)) / (experts - len(_HOT_SHARES))
-    loads = [*_HOT_SHARES, *[rest] * (experts - len(_HOT_SHARES))]
-    bounds = MoveBounds(places, 1, places)
+    other_share = (1 - sum(_HOT_SHARES)) / (experts - len(_HOT_SHARES))
+    loads = [*_HOT_SHARES, *[other_share] * (experts - len(_HOT_SHARES))]
+    bounds = MoveBounds(slots, 1, slots)
     return measure_us(lambda: choose_move((current,) * _SETS, [loads] * _SETS, bounds))
 
 
@@ -94,7 +94,7 @@
     for replicas in _REPLICAS:
         place_us, observe_us = measure_gate(replicas)
         print(f"replicas={replicas}  place_us={place_us:.0f}  load_us={observe_us:.0f}")
-    for ranks, experts, places in _GROUPS:
-        cost_us = measure_move(ranks, experts, places)
+    for ranks, experts, slots in _GROUPS:
+        cost_us = measure_move(ranks, experts, slots)
         print(f"ranks={ranks}  experts={experts}  move_ms={cost_us / 1_000:.1f}")
     return 0
--- a/bench/direct_path.py
+++ b/bench/direct_path.py
@@ -87,11 +87,11 @@
                 )
             )
             self._store.put("op/config", make_configuration(1))
-            for replica_id, behave, service in (
+            for replica_id, handler, service in (
                 ("i-1", answer_whole, "checks"),
                 ("i-2", answer_stream, "drafting"),
             ):
-                replica = DirectReplica(replica_id, behave)
+                replica = DirectReplica(replica_id, handler)
                 await nursery.start(replica.serve)
                 registration = {"service": service, "address": replica.address}
                 registration |= {"state": "ready", "slots": 64, "zone": "a"}  # type: ignore[dict-item]
@@ -103,9 +103,9 @@
         settings = self._folder / "entry.json"
         ports = {name: "127.0.0.1:0" for name in ("callers", "readiness", "messages")}
         ports |= {name: "127.0.0.1:0" for name in ("metrics", "beliefs")}
-        rest = {"role": "direct-entry", "vm": "e", "availability_zone": "a"}
-        numbers = {"store": store, "entry_port": 0, "agent_port": 9}
-        settings.write_text(json.dumps(ports | rest | numbers))
+        identity = {"role": "direct-entry", "vm": "e", "availability_zone": "a"}
+        endpoints = {"store": store, "entry_port": 0, "agent_port": 9}
+        settings.write_text(json.dumps(ports | identity | endpoints))
         started_at = time.monotonic()
         command = [sys.executable, "-m", "hyssopvane", "run", "direct-entry"]
         with subprocess.Popen(
