--- a/bench/load.py
+++ b/bench/load.py
@@ -25,7 +25,7 @@
 FACTORS = (1.0, 2.0, 5.0)
 # The first seconds fill the targets and tell nothing of the load.
 _WARM_UP_S = DEADLINE_S
-_AT_ONCE_S = 0.05
+_IMMEDIATE_S = 0.05
 _SEED = 4
 _FIFO_LIMIT = 1_000
 
@@ -86,10 +86,10 @@
     counted = [one for one in results if one.arrival.at >= _WARM_UP_S]
     total = max(1, len(counted))
     unsent = [one for one in counted if one.refusal and not one.attempts]
-    at_once = sum(one.wait_s <= _AT_ONCE_S for one in unsent)
+    at_once = sum(one.wait_s <= _IMMEDIATE_S for one in unsent)
     in_time = sum(one.in_time for one in counted)
     waits = sorted(one.wait_s for one in counted if one.attempts)
-    within = sorted(
+    waits_within_share = sorted(
         one.wait_s
         for one in counted
         if one.attempts and one.arrival.request.customer in scenario.within_share
@@ -106,12 +106,12 @@
         goodput=_measure_goodput(results),
         fairness=_measure_fairness(counted),
         worst_within_share=min(
-            (_measure_in_time(counted, name) for name in scenario.within_share),
+            (_measure_in_time_share(counted, name) for name in scenario.within_share),
             default=1.0,
         ),
-        wait_within_p99_s=_find_quantile(within, 0.99),
-        wait_p50_s=_find_quantile(waits, 0.5),
-        wait_p99_s=_find_quantile(waits, 0.99),
+        wait_within_p99_s=_get_quantile(waits_within_share, 0.99),
+        wait_p50_s=_get_quantile(waits, 0.5),
+        wait_p99_s=_get_quantile(waits, 0.99),
     )
 
 
@@ -131,35 +131,37 @@
     return tokens / (DURATION_S - _WARM_UP_S)
 
 
-def _measure_in_time(results: Sequence[Result], customer: str) -> float:
+def _measure_in_time_share(results: Sequence[Result], customer: str) -> float:
     own = [one for one in results if one.arrival.request.customer == customer]
     return sum(one.in_time for one in own) / max(1, len(own))
 
 
 def _measure_fairness(results: Sequence[Result]) -> float:
-    asked: Counter[str] = Counter()
-    got: Counter[str] = Counter()
+    requested: Counter[str] = Counter()
+    answered: Counter[str] = Counter()
     for one in results:
         request = one.arrival.request
-        asked[request.customer] += request.tokens
-        got[request.customer] += request.tokens * one.in_time
-    shares = _fill_shares(asked, sum(got.values()))
-    ratios = [got[name] / shares[name] for name in asked if shares[name]]
+        requested[request.customer] += request.tokens
+        answered[request.customer] += request.tokens * one.in_time
+    shares = _compute_fair_shares(requested, sum(answered.values()))
+    ratios = [answered[name] / shares[name] for name in requested if shares[name]]
     squares = sum(ratio * ratio for ratio in ratios)
     return sum(ratios) ** 2 / (len(ratios) * squares) if squares else 0.0
 
 
-def _fill_shares(asked: Mapping[str, int], total: float) -> dict[str, float]:
+def _compute_fair_shares(
+    requested: Mapping[str, int], total: float
+) -> dict[str, float]:
     """Divide what was answered so that nobody gets more than asked (max-min)."""
     shares: dict[str, float] = {}
-    left = total
-    for number, name in enumerate(sorted(asked, key=asked.__getitem__)):
-        shares[name] = min(asked[name], left / (len(asked) - number))
-        left -= shares[name]
+    remaining = total
+    for number, name in enumerate(sorted(requested, key=requested.__getitem__)):
+        shares[name] = min(requested[name], remaining / (len(requested) - number))
+        remaining -= shares[name]
     return shares
 
 
-def _find_quantile(values: Sequence[float], quantile: float) -> float:
+def _get_quantile(values: Sequence[float], quantile: float) -> float:
     if not values:
         return 0.0
     return values[min(len(values) - 1, int(len(values) * quantile))]
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -8,14 +8,14 @@
 
 from hyssopvane._internal.utils.log_lines import parse_line
 
-BEHIND = 2.0
+BEHIND_SKEW = 2.0
 """Skew of a set above which its map counts as behind the demand."""
 
 _ANSWERED = "answered"
 
 
 @dataclass(frozen=True, slots=True)
-class GroupMoment:
+class GroupSample:
     """Hold what a group's leader told at one moment."""
 
     at: float
@@ -37,7 +37,7 @@
 def read_losses(lines: Iterable[str]) -> tuple[list[Loss], int]:
     """Return the losses of a log, and the number of its requests."""
     requests: list[Mapping[str, str]] = []
-    groups: list[GroupMoment] = []
+    groups: list[GroupSample] = []
     for line in lines:
         fields = parse_line(line)
         if fields is None:
@@ -50,18 +50,18 @@
     large = prompts[len(prompts) * 9 // 10] if prompts else 0
     losses = []
     for one in requests:
-        cause, ago_ms = _find_cause(one)
+        cause, ago_ms = _classify(one)
         if cause is None:
             continue
         at = _read_time(one["time"]) - ago_ms / 1_000
         if cause == "pause":
-            cause = f"pause, {_find_state(groups, at)}"
+            cause = f"pause, {_get_group_state(groups, at)}"
         is_large = bool(large) and int(one["prompt"]) >= large
         losses.append(Loss(at, cause, is_large))
     return losses, len(requests)
 
 
-def _find_cause(fields: Mapping[str, str]) -> tuple[str | None, float]:
+def _classify(fields: Mapping[str, str]) -> tuple[str | None, float]:
     """Return why a request was lost or late, and how long before its line."""
     if fields["outcome"] != _ANSWERED:
         return fields["outcome"], 0.0
@@ -77,22 +77,22 @@
     return None, 0.0
 
 
-def _find_state(groups: Sequence[GroupMoment], at: float) -> str:
+def _get_group_state(groups: Sequence[GroupSample], at: float) -> str:
     """Return what a group was doing at a time, by its leader's next line."""
     later = [one for one in groups if at <= one.at < at + 1.5]
     if not later:
         return "no leader told its state"
-    moment = later[0]
-    if moment.phase not in {"idle", "preparing"}:
-        return f"change {moment.phase}"
-    if moment.skew > BEHIND:
+    sample = later[0]
+    if sample.phase not in {"idle", "preparing"}:
+        return f"change {sample.phase}"
+    if sample.skew > BEHIND_SKEW:
         return "map behind the demand"
-    return "copying" if moment.phase == "preparing" else "other"
+    return "copying" if sample.phase == "preparing" else "other"
 
 
-def _read_group(fields: Mapping[str, str]) -> GroupMoment:
+def _read_group(fields: Mapping[str, str]) -> GroupSample:
     skews = [float(one) for one in fields["skews"].split(",") if one != "-"]
-    return GroupMoment(
+    return GroupSample(
         _read_time(fields["time"]), fields["phase"], max(skews, default=0.0)
     )
 
@@ -109,10 +109,10 @@
     with open(options.log, encoding="utf-8", errors="replace") as log:
         losses, requests = read_losses(log)
     by_cause = Counter(one.cause for one in losses)
-    of_large = Counter(one.cause for one in losses if one.large)
+    large_by_cause = Counter(one.cause for one in losses if one.large)
     print(f"{requests} requests, {len(losses)} lost or late")
     for cause, count in by_cause.most_common():
-        print(f"{count:6} ({of_large[cause]:3} of the largest tenth)  {cause}")
+        print(f"{count:6} ({large_by_cause[cause]:3} of the largest tenth)  {cause}")
     if not losses:
         return 0
     start = min(one.at for one in losses)
@@ -120,6 +120,8 @@
     for one in losses:
         seconds.setdefault(int(one.at - start), Counter())[one.cause] += 1
     for second, causes in sorted(seconds.items()):
-        told = ", ".join(f"{count} {cause}" for cause, count in causes.most_common(4))
-        print(f"{second:4} s  {causes.total():4}  {told}")
+        summary = ", ".join(
+            f"{count} {cause}" for cause, count in causes.most_common(4)
+        )
+        print(f"{second:4} s  {causes.total():4}  {summary}")
     return 0
