--- a/bench/maps.py
+++ b/bench/maps.py
@@ -82,7 +82,7 @@
     )
 
 
-class Drift:
+class LoadDrift:
     """Make the tokens of each expert in a step, interval by interval."""
 
     def __init__(self, size: Size, workload: Workload, seed: int) -> None:
@@ -98,19 +98,19 @@
 
     def make_loads(self, now: float) -> tuple[list[float], list[float]]:
         """Return the true mean loads and one noisy sample of them."""
-        phase, into = divmod(now, self._workload.phase_s)
+        phase, elapsed_s = divmod(now, self._workload.phase_s)
         if phase > self._phase:
             self._phase = int(phase)
             self._popular, self._next = self._next, self._draw_popular()
-        turn = into / self._workload.phase_s
+        progress = elapsed_s / self._workload.phase_s
         share = self._workload.popular_share
         total = TOKENS_PER_RANK * self._size.ranks
         base = sum(self._base)
         loads = [(1 - share) * one / base for one in self._base]
         for expert, weight in self._popular.items():
-            loads[expert] += share * weight * (1 - turn)
+            loads[expert] += share * weight * (1 - progress)
         for expert, weight in self._next.items():
-            loads[expert] += share * weight * turn
+            loads[expert] += share * weight * progress
         true = [total * load for load in loads]
         noisy = [load * self._random.lognormvariate(0, NOISE) for load in true]
         return true, noisy
@@ -148,13 +148,13 @@
     """Take the map that is best for the last sample, whatever it costs."""
 
     def choose(self, loads: Sequence[float], now: float) -> ExpertMap | None:
-        found = choose_map(
+        candidate = choose_map(
             loads, slots=self.size.slots, current=self.current, keep=False
         )
-        return found if self._is_better(found, loads) else None
+        return candidate if self._is_better(candidate, loads) else None
 
-    def _is_better(self, found: ExpertMap, loads: Sequence[float]) -> bool:
-        return found.measure_skew(loads) < self.current.measure_skew(loads)
+    def _is_better(self, candidate: ExpertMap, loads: Sequence[float]) -> bool:
+        return candidate.measure_skew(loads) < self.current.measure_skew(loads)
 
 
 class GreedyWithoutCost(MoveWheneverBetter):
@@ -167,11 +167,11 @@
     def choose(self, loads: Sequence[float], now: float) -> ExpertMap | None:
         self._estimate.observe(loads, now)
         mean = self._estimate.loads
-        found = choose_map(mean, slots=self.size.slots, current=self.current)
-        return found if self._is_better(found, mean) else None
+        candidate = choose_map(mean, slots=self.size.slots, current=self.current)
+        return candidate if self._is_better(candidate, mean) else None
 
 
-class Weighed(MapPolicy):
+class CostAware(MapPolicy):
     """Weigh gain against cost, as the product does."""
 
     def __init__(self, size: Size, workload: Workload) -> None:
@@ -199,7 +199,7 @@
     "never move": NeverMove,
     "whenever better": MoveWheneverBetter,
     "greedy, no cost": GreedyWithoutCost,
-    "weighed": Weighed,
+    "weighed": CostAware,
 }
 
 
@@ -224,22 +224,22 @@
     workload: Workload, size: Size, policy: str, *, hours: float, seed: int
 ) -> Result:
     """Run one policy over one trace."""
-    drift = Drift(size, workload, seed)
+    drift = LoadDrift(size, workload, seed)
     chooser = POLICIES[policy](size, workload)
     skews: list[float] = []
     times: list[float] = []
-    moves = outside = copies = 0
+    moves = outside_hours = copies = 0
     for index in range(round(hours * 3600 / INTERVAL_S)):
         now = index * INTERVAL_S
         true, noisy = drift.make_loads(now)
-        began = time.process_time()
-        found = chooser.choose(noisy, now)
-        times.append(time.process_time() - began)
-        if found is not None:
-            copies += measure_move(chooser.current, found).copies
+        started_at = time.process_time()
+        candidate = chooser.choose(noisy, now)
+        times.append(time.process_time() - started_at)
+        if candidate is not None:
+            copies += measure_move(chooser.current, candidate).copies
             moves += 1
-            outside += not workload.rules.allows_hour(int(now % DAY_S // 3600))
-            chooser.current = found
+            outside_hours += not workload.rules.allows_hour(int(now % DAY_S // 3600))
+            chooser.current = candidate
         skews.append(measure_step_skew(chooser.costs, chooser.current, true))
     skews.sort()
     moved = copies * chooser.costs.bytes_per_expert
@@ -251,7 +251,7 @@
         skew_p50=round(_get_quantile(skews, 0.5), 3),
         skew_p99=round(_get_quantile(skews, 0.99), 3),
         moves=moves,
-        moves_outside_hours=outside,
+        moves_outside_hours=outside_hours,
         gigabytes=round(moved / 1e9, 1),
         disturbed_steps=round(moved / chooser.costs.store_bytes_per_s / step_s),
         cpu_ms_per_choice=round(sum(times) / len(times) * 1000, 2),
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -112,7 +112,7 @@
         return one if self.in_flight[one] <= self.in_flight[other] else other
 
 
-class ByPlacer(Chooser):
+class PlacerChooser(Chooser):
     """Let the product's placement choose."""
 
     def __init__(self, random: Random, zone: str) -> None:
@@ -155,7 +155,7 @@
 
 
 POLICIES: Mapping[str, Callable[[Random, str], Chooser]] = {
-    "hyssopvane": ByPlacer,
+    "hyssopvane": PlacerChooser,
     "round robin": RoundRobin,
     "least connections": LeastConnections,
     "two choices": TwoChoices,
@@ -163,7 +163,7 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     request: WorkRequest
     target: str = ""
     attempts: int = 0
@@ -175,7 +175,7 @@
 
     def __init__(self, chooser: Chooser) -> None:
         self._chooser = chooser
-        self._open: dict[str, _Open] = {}
+        self._open: dict[str, _OpenRequest] = {}
         self._queue: OrderedDict[str, None] = OrderedDict()
         self._now = 0.0
 
@@ -194,7 +194,7 @@
     def submit(self, request: WorkRequest, *, now: float) -> Decision:
         """Place or queue a request."""
         self._now = now
-        one = self._open[request.request_id] = _Open(request)
+        one = self._open[request.request_id] = _OpenRequest(request)
         return (None if self._queue else self._place(one)) or self._enqueue(one)
 
     def finish(
@@ -226,11 +226,11 @@
             decided.append((request_id, placed))
         return decided
 
-    def _enqueue(self, one: _Open) -> Waiting:
+    def _enqueue(self, one: _OpenRequest) -> Waiting:
         self._queue[one.request.request_id] = None
         return Waiting()
 
-    def _place(self, one: _Open) -> Placed | None:
+    def _place(self, one: _OpenRequest) -> Placed | None:
         info = self._chooser.place(one.request, one.tried, self._now)
         if info is None:
             return None
@@ -275,7 +275,7 @@
 class PlacementReplay(Replay):
     """Note the time to the first token of each request."""
 
-    blind_from = float("inf")
+    reports_until = float("inf")
 
     def __init__(
         self, schedulers: Sequence[PlacementOnly], targets: Sequence[CachingTarget]
@@ -296,7 +296,7 @@
         super()._answer(target, job)
 
     def _observe(self, name: str, report: LoadReport) -> None:
-        if self.now < self.blind_from:
+        if self.now < self.reports_until:
             super()._observe(name, report)
 
 
@@ -312,8 +312,8 @@
     groups: int = 0
     slow_target: float = 1.0
     load_lag_s: float = 0.5
-    blind_from: float = float("inf")
-    half_gone_at: float = float("inf")
+    reports_until: float = float("inf")
+    half_lost_at: float = float("inf")
 
 
 SCENARIOS = (
@@ -323,8 +323,8 @@
     Scenario("mixed lengths", long_share=0.1),
     Scenario("prefix groups", groups=40),
     Scenario("lagged reports", load_lag_s=3.0, first_entry_share=0.6),
-    Scenario("stale for minutes", blind_from=25.0, first_entry_share=0.6),
-    Scenario("half gone", load=0.4, half_gone_at=60.0),
+    Scenario("stale for minutes", reports_until=25.0, first_entry_share=0.6),
+    Scenario("half gone", load=0.4, half_lost_at=60.0),
 )
 
 
@@ -348,11 +348,12 @@
 def make_arrivals(scenario: Scenario, random: Random) -> Iterator[Arrival]:
     """Yield seeded arrivals."""
     now, number = 0.0, 0
-    short = _MEAN_TOKENS
+    short_tokens = _MEAN_TOKENS
     if scenario.long_share:
-        short = _MEAN_TOKENS // 2
-    long = round(
-        (_MEAN_TOKENS - short * (1 - scenario.long_share)) / (scenario.long_share or 1)
+        short_tokens = _MEAN_TOKENS // 2
+    long_tokens = round(
+        (_MEAN_TOKENS - short_tokens * (1 - scenario.long_share))
+        / (scenario.long_share or 1)
     )
     weights = [1 / (rank + 1) for rank in range(scenario.groups)]
     others = (1 - scenario.first_entry_share) / (_ENTRIES - 1)
@@ -360,7 +361,7 @@
     while now < _DURATION_S:
         now += random.expovariate(scenario.load * _CAPACITY)
         number += 1
-        mean = long if random.random() < scenario.long_share else short
+        mean = long_tokens if random.random() < scenario.long_share else short_tokens
         group = random.choices(range(scenario.groups), weights)[0] if weights else None
         prefixes = range(_PREFIXES_PER_PROMPT)
         affinity = () if group is None else tuple(group * 10 + n for n in prefixes)
@@ -397,10 +398,10 @@
     ]
     replay = PlacementReplay(entries, targets)
     replay._load_lag_s = scenario.load_lag_s
-    replay.blind_from = scenario.blind_from
-    if scenario.half_gone_at < _DURATION_S:
+    replay.reports_until = scenario.reports_until
+    if scenario.half_lost_at < _DURATION_S:
         for n in range(0, _TARGETS, 2):
-            replay.schedule(scenario.half_gone_at, partial(replay.kill, f"t{n}"))
+            replay.schedule(scenario.half_lost_at, partial(replay.kill, f"t{n}"))
     replay.run(make_arrivals(scenario, random), until=_DURATION_S + 60)
     return replay
 
@@ -413,17 +414,17 @@
     answered = sum(result.finished_at is not None for result in results)
     caching = [target for one in replays for target in one.caching.values()]
     hits = sum(target.hits for target in caching)
-    asked = hits + sum(target.misses for target in caching)
-    done: Counter[str] = Counter()
+    lookups = hits + sum(target.misses for target in caching)
+    tokens_by_target: Counter[str] = Counter()
     for target in caching:
-        done[target.info.name] += target.tokens_done
-    slow = done.pop("t0")
-    living = [
+        tokens_by_target[target.info.name] += target.tokens_done
+    slow = tokens_by_target.pop("t0")
+    live_loads = [
         n
-        for name, n in done.items()
-        if scenario.half_gone_at > _DURATION_S or int(name[1:]) % 2
+        for name, n in tokens_by_target.items()
+        if scenario.half_lost_at > _DURATION_S or int(name[1:]) % 2
     ]
-    mean = sum(living) / len(living)
+    mean = sum(live_loads) / len(live_loads)
     return PlacementRow(
         scenario=scenario.name,
         policy=policy,
@@ -431,8 +432,8 @@
         first_token_p50_s=round(waits[len(waits) // 2], 2),
         first_token_p95_s=round(waits[len(waits) * 95 // 100], 2),
         first_token_p99_s=round(waits[len(waits) * 99 // 100], 2),
-        cache_hits=round(hits / asked, 2) if asked else 0.0,
-        imbalance=round(max(living) / mean, 2),
+        cache_hits=round(hits / lookups, 2) if lookups else 0.0,
+        imbalance=round(max(live_loads) / mean, 2),
         slow_share=round(slow / mean, 2),
     )
 
