--- a/bench/load.py
+++ b/bench/load.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from bench.baselines import FifoBounded, FifoUnbounded, NoAdmission
-from bench.replay import Replay, Result, Scheduling
+from bench.replay import Replay, Result, SchedulerLike
 from bench.workloads import (
     DEADLINE_S,
     DURATION_S,
@@ -57,13 +57,13 @@
     wait_p99_s: float
 
 
-def _make_scheduler(random: Random) -> Scheduling:
+def _make_scheduler(random: Random) -> SchedulerLike:
     scheduler = Scheduler(random=random)
     scheduler.update_table(make_table(), now=0.0)
     return scheduler
 
 
-POLICIES: Mapping[str, Callable[[Random], Scheduling]] = {
+POLICIES: Mapping[str, Callable[[Random], SchedulerLike]] = {
     "hyssopvane": _make_scheduler,
     "fifo": lambda random: FifoUnbounded(concurrency=SLOTS),
     "fifo-bounded": lambda random: FifoBounded(concurrency=SLOTS, limit=_FIFO_LIMIT),
--- a/bench/poison.py
+++ b/bench/poison.py
@@ -27,12 +27,12 @@
 _CRASH_S = 0.2
 _RESTART_S = 20.0
 # Word of a crash travels by the page of the key-value service.
-_WORD_S = 0.05
+_REPORT_DELAY_S = 0.05
 _DURATION_S = 120.0
 _POISON = b"poison"
 
 
-class NoSuspects(SuspectTracker):
+class DisabledSuspectTracker(SuspectTracker):
     """Hold nothing against any body."""
 
     def record_crash(self, *arguments: object, **details: object) -> None:
@@ -76,20 +76,20 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = count()
         self._now = 0.0
-        self._alive = {f"t{n}": 1 for n in range(_TARGETS)}
+        self._incarnations = {f"t{n}": 1 for n in range(_TARGETS)}
         self._running: dict[str, dict[str, tuple[int, WorkRequest]]] = {}
         self._requests: dict[str, WorkRequest] = {}
         self.crashed: list[str] = []
         self.sent = {True: 0, False: 0}
         self.answered = 0
         self.refused = {True: 0, False: 0}
-        for name, incarnation in self._alive.items():
+        for name, incarnation in self._incarnations.items():
             self._connect(name, incarnation)
 
     def run(self) -> PoisonRow:
         """Run to the end and return the figures."""
         for entry in range(self.case.entries):
-            self._schedule(0.0, partial(self._send_innocent, entry))
+            self._schedule(0.0, partial(self._send_harmless, entry))
             for _ in range(self.case.copies):
                 self._schedule(5.0, partial(self._send_poison, entry))
         self._schedule(0.0, self._tick)
@@ -114,11 +114,13 @@
         scheduler = Scheduler(random=Random(number))
         row = ServiceRow("draft", repeatable=True)
         scheduler.update_table(Table(services={"draft": row}), now=0.0)
-        led = frozenset(f"t{n}" for n in range(number, _TARGETS, self.case.entries))
+        own_targets = frozenset(
+            f"t{n}" for n in range(number, _TARGETS, self.case.entries)
+        )
         if self.case.shared:
-            scheduler.planner.set_suspect_targets(led)
+            scheduler.planner.set_suspect_targets(own_targets)
         if not self.case.protected:
-            scheduler.planner.suspects = NoSuspects()
+            scheduler.planner.suspects = DisabledSuspectTracker()
         return scheduler
 
     def _schedule(self, at: float, action: Callable[[], None]) -> None:
@@ -128,27 +130,27 @@
         for entry in range(len(self._entries)):
             self._collect(entry)
         if self.case.shared and self.case.protected:
-            self._share_words()
-        self._schedule(self._now + _WORD_S, self._tick)
-
-    def _share_words(self) -> None:
-        books = [one.planner.suspects for one in self._entries]
-        for book in books:
-            for body in book.take_changes():
-                known = book.get_record(body)
-                for other in books:
-                    if other is book:
+            self._exchange_suspects()
+        self._schedule(self._now + _REPORT_DELAY_S, self._tick)
+
+    def _exchange_suspects(self) -> None:
+        trackers = [one.planner.suspects for one in self._entries]
+        for tracker in trackers:
+            for body in tracker.take_changes():
+                record = tracker.get_record(body)
+                for other in trackers:
+                    if other is tracker:
                         continue
-                    if known is None:
+                    if record is None:
                         other.drop(body)
                     else:
-                        other.merge(body, known, quarantine_s=3600.0, now=self._now)
+                        other.merge(body, record, quarantine_s=3600.0, now=self._now)
 
-    def _send_innocent(self, entry: int) -> None:
+    def _send_harmless(self, entry: int) -> None:
         self._submit(entry, self._random.randbytes(8))
         self._schedule(
             self._now + self._random.expovariate(20.0),
-            lambda: self._send_innocent(entry),
+            lambda: self._send_harmless(entry),
         )
 
     def _send_poison(self, entry: int) -> None:
@@ -169,9 +171,9 @@
         )
         self._requests[request.request_id] = request
         scheduler = self._entries[entry]
-        self._follow(entry, request, scheduler.submit(request, now=self._now))
+        self._handle_decision(entry, request, scheduler.submit(request, now=self._now))
 
-    def _follow(
+    def _handle_decision(
         self, entry: int, request: WorkRequest, decision: Decision | None
     ) -> None:
         poison = request.body_digest == _POISON
@@ -182,11 +184,11 @@
                 self.refused[poison] += 1
             if poison:
                 # The caller sends it again, at once when it hears nothing better.
-                again = self._now + 0.5
-                self._schedule(again, lambda: self._send_poison(entry))
+                retry_at = self._now + 0.5
+                self._schedule(retry_at, lambda: self._send_poison(entry))
 
     def _start(self, entry: int, request: WorkRequest, placed: Placed) -> None:
-        incarnation = self._alive[placed.target]
+        incarnation = self._incarnations[placed.target]
         if incarnation != placed.incarnation:
             report = AttemptReport(AttemptResult.NOT_STARTED, "wrong-incarnation")
             self._finish(entry, request, report)
@@ -210,10 +212,10 @@
             self._finish(found[0], request, report)
 
     def _crash(self, target: str, incarnation: int) -> None:
-        if self._alive[target] != incarnation:
+        if self._incarnations[target] != incarnation:
             return
         self.crashed.append(target)
-        self._alive[target] = incarnation + 1
+        self._incarnations[target] = incarnation + 1
         lost = list(self._running.pop(target, {}).values())
         report = AttemptReport(AttemptResult.BROKEN, "target-broken")
         for scheduler in self._entries:
@@ -232,12 +234,12 @@
         decision = self._entries[entry].finish(
             request.request_id, report, now=self._now
         )
-        self._follow(entry, request, decision)
+        self._handle_decision(entry, request, decision)
         self._collect(entry)
 
     def _collect(self, entry: int) -> None:
         for request_id, decision in self._entries[entry].collect(now=self._now):
-            self._follow(entry, self._requests[request_id], decision)
+            self._handle_decision(entry, self._requests[request_id], decision)
 
 
 CASES = (
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -23,7 +23,7 @@
 _LOAD_INTERVAL_S = 0.5
 
 
-class Scheduling(Protocol):
+class SchedulerLike(Protocol):
     """Describe what a replay asks of a scheduler or of a baseline."""
 
     def connect_target(self, info: TargetInfo) -> None:
@@ -57,7 +57,7 @@
     at: float
     request: WorkRequest
     entry: int = 0
-    gone_at: float | None = None
+    leaves_at: float | None = None
     """When the caller hangs up, if it does."""
 
 
@@ -129,7 +129,7 @@
 
     def __init__(
         self,
-        schedulers: Sequence[Scheduling],
+        schedulers: Sequence[SchedulerLike],
         targets: Iterable[FakeTarget],
         *,
         load_lag_s: float = 0.5,
@@ -185,11 +185,11 @@
         self.results[request.request_id] = Result(arrival)
         self._open.add(request.request_id)
         decision = self.schedulers[arrival.entry].submit(request, now=self.now)
-        self._follow(arrival.entry, request.request_id, decision)
-        if arrival.gone_at is not None:
-            self.schedule(arrival.gone_at, partial(self._leave, arrival))
+        self._handle_decision(arrival.entry, request.request_id, decision)
+        if arrival.leaves_at is not None:
+            self.schedule(arrival.leaves_at, partial(self._withdraw, arrival))
 
-    def _follow(self, entry: int, request_id: str, decision: Decision) -> None:
+    def _handle_decision(self, entry: int, request_id: str, decision: Decision) -> None:
         result = self.results[request_id]
         if isinstance(decision, Refusal):
             self._open.discard(request_id)
@@ -257,13 +257,13 @@
         scheduler = self.schedulers[job.entry]
         decision = scheduler.finish(request_id, report, now=self.now)
         if decision is not None:
-            self._follow(job.entry, request_id, decision)
+            self._handle_decision(job.entry, request_id, decision)
         elif request_id in self._open:
             self._open.discard(request_id)
             self.results[request_id].refusal = RefusalReason.TARGET_LOST
         self._collect(job.entry)
 
-    def _leave(self, arrival: Arrival) -> None:
+    def _withdraw(self, arrival: Arrival) -> None:
         request_id = arrival.request.request_id
         if request_id not in self._open:
             return
@@ -278,7 +278,7 @@
 
     def _collect(self, entry: int) -> None:
         for request_id, decision in self.schedulers[entry].collect(now=self.now):
-            self._follow(entry, request_id, decision)
+            self._handle_decision(entry, request_id, decision)
 
     def _collect_all(self) -> None:
         for entry in range(len(self.schedulers)):
--- a/tests/unit/test_load_scenarios.py
+++ b/tests/unit/test_load_scenarios.py
@@ -194,11 +194,11 @@
     arrivals = []
     for number in range(400):
         at = random.uniform(0, 60)
-        gone_at = at + random.uniform(0, 5) if random.random() < 0.3 else None
+        leaves_at = at + random.uniform(0, 5) if random.random() < 0.3 else None
         request = make_request(
             f"r{number}", customer=f"c{number % 5}", tokens=400, deadline=at + 10
         )
-        arrivals.append(Arrival(at, request, gone_at=gone_at))
+        arrivals.append(Arrival(at, request, leaves_at=leaves_at))
     for at in range(5, 60, 10):
         name = f"t{at % 3}"
         replay.schedule(at, lambda name=name: replay.kill(name))
