--- a/bench/spread.py
+++ b/bench/spread.py
@@ -23,13 +23,13 @@
 
 _ENTRIES = (3, 4, 5, 6)
 _ROUNDS = 30
-_GIVE_UP_S = 30.0
+_TIMEOUT_S = 30.0
 _MILLISECONDS = 1_000
 _WATCHERS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class SpreadRow:
     """Hold the times for one number of entries, in milliseconds."""
 
     entries: int
@@ -60,12 +60,12 @@
     cluster: Cluster, vms: Sequence[str], revision: int, accepted_at: float
 ) -> float:
     """Return the seconds until the last entry has the revision, or infinity."""
-    waiting = list(vms)
-    while waiting:
-        taken_s = time.perf_counter() - accepted_at
-        if taken_s > _GIVE_UP_S:
+    pending = list(vms)
+    while pending:
+        elapsed_s = time.perf_counter() - accepted_at
+        if elapsed_s > _TIMEOUT_S:
             return float("inf")
-        waiting = [vm for vm in waiting if _read_revision(cluster, vm) < revision]
+        pending = [vm for vm in pending if _read_revision(cluster, vm) < revision]
     return time.perf_counter() - accepted_at
 
 
@@ -74,7 +74,7 @@
     return int(json.loads(answer.body)["table_revision"])
 
 
-def _is_settled(cluster: Cluster, vms: Sequence[str]) -> bool:
+def _has_all_watchers(cluster: Cluster, vms: Sequence[str]) -> bool:
     watching = 0
     for vm in vms:
         answer = request("GET", cluster.operators[vm], "/in-force", headers=OPERATOR)
@@ -82,7 +82,7 @@
     return watching == _WATCHERS
 
 
-def _measure(entries: int) -> Line:
+def _measure(entries: int) -> SpreadRow:
     with (
         tempfile.TemporaryDirectory() as folder,
         open_cluster(Path(folder)) as cluster,
@@ -93,18 +93,18 @@
             cluster.start_entry(vm)
         for vm in vms:
             wait_for_targets(cluster, vm, 0)
-        wait_until(lambda: _is_settled(cluster, vms))
+        wait_until(lambda: _has_all_watchers(cluster, vms))
         times = [
             trio.run(_edit_and_wait, cluster, vms, number) for number in range(_ROUNDS)
         ]
-    good = sorted(one * _MILLISECONDS for one in times if one != float("inf"))
-    return Line(
+    finite_times = sorted(one * _MILLISECONDS for one in times if one != float("inf"))
+    return SpreadRow(
         entries,
         _ROUNDS,
-        round(statistics.median(good), 1),
-        round(good[int(0.95 * (len(good) - 1))], 1),
-        round(good[-1], 1),
-        len(times) - len(good),
+        round(statistics.median(finite_times), 1),
+        round(finite_times[int(0.95 * (len(finite_times) - 1))], 1),
+        round(finite_times[-1], 1),
+        len(times) - len(finite_times),
     )
 
 
@@ -115,7 +115,7 @@
     print_table(lines)
     write_json(
         options.json,
-        [{name: getattr(one, name) for name in Line.__slots__} for one in lines],
+        [{name: getattr(one, name) for name in SpreadRow.__slots__} for one in lines],
     )
     return 0
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -30,17 +30,17 @@
 _RUNS = 7
 _POLL_S = 0.002
 _MEBIBYTE = 1024 * 1024
-_ANY = "127.0.0.1:0"
+_ANY_PORT = "127.0.0.1:0"
 
 _ENTRY = {
     "role": "direct-entry",
     "vm": "entry",
     "availability_zone": "zone-a",
-    "callers": _ANY,
-    "readiness": _ANY,
-    "messages": _ANY,
-    "metrics": _ANY,
-    "beliefs": _ANY,
+    "callers": _ANY_PORT,
+    "readiness": _ANY_PORT,
+    "messages": _ANY_PORT,
+    "metrics": _ANY_PORT,
+    "beliefs": _ANY_PORT,
     "entry_port": 0,
     "agent_port": 9,
 }
@@ -49,8 +49,8 @@
     "vm": "agent",
     "availability_zone": "zone-a",
     "service": "drafting",
-    "messages": _ANY,
-    "metrics": _ANY,
+    "messages": _ANY_PORT,
+    "metrics": _ANY_PORT,
     "entry_port": 0,
     "agent_port": 9,
 }
@@ -125,7 +125,7 @@
             partial(
                 serve_asgi,
                 store,
-                bind=_ANY,
+                bind=_ANY_PORT,
                 graceful_timeout_s=1.0,
                 shutdown=trio.Event(),
             )
@@ -134,10 +134,10 @@
         store.put("op/config", make_configuration(1))
         registration = {"service": "checks", "address": replica.address, "zone": "a"}
         store.put("servers/i-1", registration | {"state": "ready", "slots": 6})
-        for role, given in (("direct-entry", _ENTRY), ("rank-agent", _AGENT)):
+        for role, base in (("direct-entry", _ENTRY), ("rank-agent", _AGENT)):
             settings = folder / f"{role}.json"
-            own = {} if given is _ENTRY else {"replica": replica.address}
-            settings.write_text(json.dumps(given | own | {"store": address}))
+            extra = {} if base is _ENTRY else {"replica": replica.address}
+            settings.write_text(json.dumps(base | extra | {"store": address}))
             starts = [await measure_start(settings, role) for _ in range(runs)]
             print_starts(role, starts)
         nursery.cancel_scope.cancel()
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -140,14 +140,14 @@
     """
     picks: dict[Member, set[str]] = {one: set() for one in targets}
     for region in sorted(set(_ZONES.values())):
-        dealt_to = [e for e in entries if _ZONES[e.availability_zone] == region]
+        region_entries = [e for e in entries if _ZONES[e.availability_zone] == region]
         for service in range(_SERVICES):
             pool = [
                 t
                 for t in targets
                 if _ZONES[t.availability_zone] == region and t.service == f"s{service}"
             ]
-            _deal(pool, dealt_to, picks)
+            _deal(pool, region_entries, picks)
     return {one: frozenset(names) for one, names in picks.items()}
 
 
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -130,9 +130,9 @@
 
 
 def _make_steady(random: Random, factor: float) -> Iterator[Arrival]:
-    each = CAPACITY * factor / CUSTOMERS
+    rate_per_customer = CAPACITY * factor / CUSTOMERS
     sources = [
-        _Source(get_customer(number), each, _choose_even, _MEAN_TOKENS)
+        _Source(get_customer(number), rate_per_customer, _choose_even, _MEAN_TOKENS)
         for number in range(CUSTOMERS)
     ]
     return _merge(sources, random, 1.0)
@@ -140,11 +140,11 @@
 
 def _make_bursts(random: Random, factor: float) -> Iterator[Arrival]:
     """Send everything in the first fifth of each ten seconds."""
-    each = CAPACITY * factor / CUSTOMERS
+    rate_per_customer = CAPACITY * factor / CUSTOMERS
     sources = [
         _Source(
             get_customer(number),
-            each,
+            rate_per_customer,
             _choose_even,
             _MEAN_TOKENS,
             lambda now: 5.0 if now % 10 < 2 else 0.0,
@@ -156,35 +156,35 @@
 
 def _make_skewed(random: Random, factor: float) -> Iterator[Arrival]:
     """Let nine customers send half their share; the first sends all the rest."""
-    modest = CAPACITY / CUSTOMERS / 2
-    rest = CAPACITY * factor - modest * (CUSTOMERS - 1)
-    sources = [_Source(get_customer(0), rest, _choose_even, _MEAN_TOKENS)]
+    low_rate = CAPACITY / CUSTOMERS / 2
+    first_rate = CAPACITY * factor - low_rate * (CUSTOMERS - 1)
+    sources = [_Source(get_customer(0), first_rate, _choose_even, _MEAN_TOKENS)]
     sources += [
-        _Source(get_customer(number), modest, _choose_even, _MEAN_TOKENS)
+        _Source(get_customer(number), low_rate, _choose_even, _MEAN_TOKENS)
         for number in range(1, CUSTOMERS)
     ]
     return _merge(sources, random, 1.0)
 
 
 def _make_mixed(random: Random, factor: float) -> Iterator[Arrival]:
-    each = CAPACITY * factor / CUSTOMERS
+    rate_per_customer = CAPACITY * factor / CUSTOMERS
     sources = [
-        _Source(get_customer(number), each, _choose_mixed, _MIXED_MEAN)
+        _Source(get_customer(number), rate_per_customer, _choose_mixed, _MIXED_MEAN)
         for number in range(CUSTOMERS)
     ]
     return _merge(sources, random, 1.0, _MIXED_DEADLINE_S)
 
 
-def _slow_one(replay: Replay) -> None:
+def _slow_down_one_target(replay: Replay) -> None:
     replay.targets["draft-0"].slowness = 5.0
 
 
-def _lose_half(replay: Replay) -> None:
-    def lose() -> None:
+def _kill_half_at_midpoint(replay: Replay) -> None:
+    def kill_half() -> None:
         for number in range(TARGETS // 2):
             replay.kill(f"draft-{number}")
 
-    replay.schedule(DURATION_S / 2, lose)
+    replay.schedule(DURATION_S / 2, kill_half)
 
 
 SCENARIOS: Mapping[str, Scenario] = {
@@ -202,8 +202,16 @@
         ),
         Scenario("mix", "one in ten is twenty-five times as long", _make_mixed),
         Scenario(
-            "slow", "one target takes five times as long", _make_steady, _slow_one
+            "slow",
+            "one target takes five times as long",
+            _make_steady,
+            _slow_down_one_target,
+        ),
+        Scenario(
+            "half",
+            "half of the targets gone half-way",
+            _make_steady,
+            _kill_half_at_midpoint,
         ),
-        Scenario("half", "half of the targets gone half-way", _make_steady, _lose_half),
     )
 }
