--- a/src/hyssopvane/_internal/state/vm_status.py
+++ b/src/hyssopvane/_internal/state/vm_status.py
@@ -11,7 +11,7 @@
     """Compare the table of a VM with the newest table that any VM has."""
 
     NEWEST = "newest"
-    BEHIND_SKEW = "behind"
+    BEHIND = "behind"
     INCOMPLETE = "incomplete"
     """The VM has the newest page, but lacks changes of other pages."""
     NO_ANSWER = "no answer"
@@ -121,7 +121,7 @@
     if report is None:
         return InForce.NO_ANSWER
     if report.position < newest:
-        return InForce.BEHIND_SKEW
+        return InForce.BEHIND
     if report.digest and report.digest != digest:
         return InForce.INCOMPLETE
     return InForce.NEWEST
--- a/tests/unit/test_vm_status.py
+++ b/tests/unit/test_vm_status.py
@@ -17,7 +17,7 @@
     [
         (VmReport("c", 9, 1), InForce.NEWEST, 0),
         (VmReport("c", 9), InForce.NEWEST, 0),
-        (VmReport("c", 7, 1), InForce.BEHIND_SKEW, 2),
+        (VmReport("c", 7, 1), InForce.BEHIND, 2),
         (VmReport("c", 9, 2), InForce.INCOMPLETE, 0),
         (None, InForce.NO_ANSWER, 9),
     ],
