--- a/src/hyssopvane/_internal/standins/asgi.py
+++ b/src/hyssopvane/_internal/standins/asgi.py
@@ -145,7 +145,7 @@
     async def __call__(
         self, scope: Scope, receive: ASGIReceiveCallable, send: ASGISendCallable
     ) -> None:
-        """Handle one ASGI scope; respond 400 if the handler can't parse the request."""
+        """Handle one ASGI scope; respond 400 if the handler rejects the request."""
         if scope["type"] == "lifespan":
             await _answer_lifespan(receive, send)
             return
--- a/src/hyssopvane/_internal/standins/engine.py
+++ b/src/hyssopvane/_internal/standins/engine.py
@@ -173,7 +173,7 @@
         return self.rank.apply_order(order)
 
     def get_step(self, now: float) -> int:
-        """Return the number of the current step."""
+        """Return the number of the last step that has begun."""
         self._skip_idle_steps(now)
         return self.rank.step
 
