--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the system with small stand-ins."""
+"""Measure performance and behavior of the system, using stand-ins for its targets."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run one measurement by name."""
+"""Run a measurement selected by name on the command line."""
 
 import sys
 from collections.abc import Callable, Sequence
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """Name a measurement and the module that is imported when it runs."""
+    """Hold a measurement's summary and its module, which is imported on demand."""
 
     module: str
     summary: str
@@ -16,29 +16,43 @@
 
 # Each module has `main(arguments) -> int`.
 MEASUREMENTS = {
-    "capacity": Measurement("bench.capacity", "growth of each role's cost by size"),
-    "path": Measurement("bench.path", "what the path adds to a request and a token"),
-    "faults": Measurement("bench.faults", "what must hold, under random faults"),
+    "capacity": Measurement("bench.capacity", "growth of each role's cost with size"),
+    "path": Measurement("bench.path", "overhead of the path per request and per token"),
+    "faults": Measurement("bench.faults", "invariants checked under random faults"),
     "load": Measurement("bench.load", "outcomes for callers at 1x, 2x, 5x of capacity"),
-    "decisions": Measurement("bench.decisions", "cost of one decision by size"),
-    "placement": Measurement("bench.placement", "placement against plain baselines"),
-    "spread": Measurement("bench.spread", "an accepted edit until it is in force"),
-    "subsets": Measurement("bench.subsets", "evenness and disturbance of subsets"),
-    "poison": Measurement("bench.poison", "targets that one body can crash"),
-    "detectors": Measurement("bench.detectors", "failure detectors on equal traces"),
-    "direct": Measurement("bench.direct", "cost of decisions of the direct path"),
+    "decisions": Measurement(
+        "bench.decisions", "cost of one scheduling decision by size"
+    ),
+    "placement": Measurement(
+        "bench.placement", "placement compared with simple baselines"
+    ),
+    "spread": Measurement(
+        "bench.spread", "time from an accepted edit until it is in force"
+    ),
+    "subsets": Measurement(
+        "bench.subsets", "evenness of subsets and connections moved by changes"
+    ),
+    "poison": Measurement(
+        "bench.poison", "number of targets that one request body can crash"
+    ),
+    "detectors": Measurement(
+        "bench.detectors", "failure detectors compared on the same traces"
+    ),
+    "direct": Measurement("bench.direct", "cost of decisions on the direct path"),
     "direct-path": Measurement(
-        "bench.direct_path", "the entry straight to a replica, and through an agent"
+        "bench.direct_path", "cost of the direct path and of the path through an agent"
+    ),
+    "start": Measurement("bench.start", "time from process start to the first answer"),
+    "losses": Measurement("bench.losses", "causes of lost or late requests in a log"),
+    "telling": Measurement("bench.telling", "cost of publishing loads by size"),
+    "maps": Measurement(
+        "bench.maps", "skew and copied bytes of expert maps as loads drift"
     ),
-    "start": Measurement("bench.start", "how soon a process serves after its start"),
-    "losses": Measurement("bench.losses", "why requests of a log were lost or late"),
-    "telling": Measurement("bench.telling", "cost of telling loads by size"),
-    "maps": Measurement("bench.maps", "skew and bytes of expert maps as loads drift"),
 }
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run the measurement that the first argument names, or list them."""
+    """Run the measurement named by the first argument, or list all measurements."""
     measurement = MEASUREMENTS.get(arguments[0]) if arguments else None
     if measurement is None:
         for name, one in MEASUREMENTS.items():
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Schedulers to compare with: first in first out, bounded and not, and no queue."""
+"""Define baseline schedulers: bounded and unbounded FIFO, and no admission control."""
 
 from abc import ABC, abstractmethod
 from collections import OrderedDict
@@ -19,7 +19,7 @@
 
 
 class Baseline(ABC):
-    """Place on the target with the fewest requests; subclasses say what waits."""
+    """Place on the target with the fewest requests; subclasses limit the queue."""
 
     def __init__(self, *, concurrency: int) -> None:
         self._concurrency = concurrency
@@ -32,23 +32,23 @@
 
     @abstractmethod
     def may_wait(self) -> bool:
-        """Tell whether one more request may wait."""
+        """Return whether one more request may be queued."""
 
     def connect_target(self, info: TargetInfo) -> None:
-        """Start to place work on a target."""
+        """Make a target available for placement."""
         self._targets[info.name] = info
         self._in_flight.setdefault(info.name, 0)
 
     def disconnect_target(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Remove a target from placement."""
         self._targets.pop(name, None)
 
     def observe_load(self, name: str, report: LoadReport) -> None:
-        """Ignore what a target reports."""
+        """Ignore the load report of a target."""
         return None
 
     def submit(self, request: WorkRequest, *, now: float) -> Decision:
-        """Place or queue a request."""
+        """Place, queue or refuse a new request."""
         self._requests[request.request_id] = request
         placed = None if self._queue else self._place(request.request_id)
         if placed is not None:
@@ -62,7 +62,7 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> Decision | None:
-        """Free the place; try again what did not start."""
+        """Free the slot; queue the request for a retry if that is safe."""
         self._in_flight[self._placed.pop(request_id)] -= 1
         should_retry = report.result is AttemptResult.NOT_STARTED or (
             report.result is AttemptResult.LOST
@@ -76,7 +76,7 @@
         return Waiting()
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request."""
+        """Remove a request and free its slot."""
         self._queue.pop(request_id, None)
         self._requests.pop(request_id, None)
         self._attempts.pop(request_id, None)
@@ -85,7 +85,7 @@
             self._in_flight[target] -= 1
 
     def collect(self, *, now: float) -> list[tuple[str, Decision]]:
-        """Place what waits, in order of arrival; refuse what is past its deadline."""
+        """Place queued requests in FIFO order; refuse those past their deadline."""
         decided: list[tuple[str, Decision]] = []
         while self._queue:
             request_id = next(iter(self._queue))
@@ -118,27 +118,27 @@
 
 
 class FifoUnbounded(Baseline):
-    """Let any number wait in order of arrival."""
+    """Queue any number of requests in order of arrival."""
 
     def may_wait(self) -> bool:
-        """Tell that any number may wait."""
+        """Return true, as the queue is unbounded."""
         return True
 
 
 class FifoBounded(Baseline):
-    """Let a fixed number wait in order of arrival."""
+    """Queue up to `limit` requests in order of arrival."""
 
     def __init__(self, *, concurrency: int, limit: int) -> None:
         super().__init__(concurrency=concurrency)
         self._limit = limit
 
     def may_wait(self) -> bool:
-        """Tell whether the queue has room."""
+        """Return whether the queue is below its limit."""
         return len(self._queue) < self._limit
 
 
 class NoAdmission(FifoUnbounded):
-    """Send everything on at once; the targets' own queues fill."""
+    """Send every request immediately, so that queues build up at the targets."""
 
     def __init__(self) -> None:
         super().__init__(concurrency=1_000_000_000)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""Put random faults on a whole installation and check what must always hold."""
+"""Inject random faults into a complete installation and check its invariants."""
 
 import argparse
 import json
@@ -11,13 +11,15 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run seeds one after another; the status tells whether a check failed."""
+    """Run the seeds sequentially; return 1 if any check failed, else 0."""
     parser = argparse.ArgumentParser(prog="bench faults", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=1, help="how many seeds")
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument(
-        "--returns", action="store_true", help="let the service come back from copies"
+        "--returns",
+        action="store_true",
+        help="let the key-value service be restored from copies",
     )
     parser.add_argument("--json", type=Path)
     options = parser.parse_args(arguments)
--- a/bench/output.py
+++ b/bench/output.py
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Hold what every measurement may be asked for."""
+    """Hold the command-line options common to measurements."""
 
     json: str | None
     seed: int
 
 
 def parse_options(name: str, arguments: Sequence[str]) -> Options:
-    """Read the options of a measurement."""
+    """Parse the command-line options of a measurement."""
     parser = argparse.ArgumentParser(prog=f"python -m bench {name}")
     parser.add_argument("--json", metavar="FILE")
     parser.add_argument("--seed", type=int, default=1)
@@ -26,7 +26,7 @@
 
 
 def print_table(rows: Sequence[Any]) -> None:
-    """Print frozen rows of one type, one a line."""
+    """Print data class instances of one type as a table, one per line."""
     cells = [asdict(row) for row in rows]
     names = list(cells[0])
     lines = [names, *([str(one[name]) for name in names] for one in cells)]
@@ -37,6 +37,6 @@
 
 
 def write_json(path: str | None, document: object) -> None:
-    """Write a measurement's document, if a file is named."""
+    """Write a measurement's results as JSON if a path is given."""
     if path is not None:
         Path(path).write_text(json.dumps(document, indent=2) + "\n", encoding="utf-8")
