--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Measure how each role's cost grows with one size at a time."""
+"""Measure how each role's cost grows as one size varies at a time."""
 
 import argparse
 import json
@@ -11,7 +11,7 @@
 
 from bench.slopes import Slope, format_slope
 
-# Each module has `MEASURES`: names and functions that return a slope.
+# Each module has `MEASURES`, which maps names to functions that return a `Slope`.
 _MODULES = (
     "bench.capacity_parts",
     "bench.capacity_connections",
@@ -20,7 +20,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure the named sizes, or all of them."""
+    """Run the named measurements, or all of them."""
     measures = _load_measures()
     parser = argparse.ArgumentParser(prog="bench capacity", description=__doc__)
     parser.add_argument("names", nargs="*", help=f"of: {', '.join(measures)}")
@@ -28,7 +28,7 @@
     options = parser.parse_args(arguments)
     unknown = set(options.names) - measures.keys()
     if unknown:
-        parser.error(f"unknown: {', '.join(sorted(unknown))}")
+        parser.error(f"unknown measurements: {', '.join(sorted(unknown))}")
     print(f"machine: {os.cpu_count()} cores, Python {platform.python_version()}")
     slopes = []
     for name in options.names or measures:
--- a/bench/capacity_connections.py
+++ b/bench/capacity_connections.py
@@ -1,4 +1,4 @@
-"""Measure what idle internal connections cost."""
+"""Measure processor time, memory and traffic of idle internal connections."""
 
 import os
 import sys
@@ -22,26 +22,26 @@
 _KIBIBYTE = 1024
 _MICROSECONDS = 1e6
 _SIZES = (20, 40, 80, 160)
-# IPv4 and TCP headers with the timestamp option, once for the segment and once for its
-# acknowledgement.
+# IPv4 and TCP headers with the timestamp option. Each heartbeat needs them twice: for
+# its segment and for the acknowledgement.
 _SEGMENT_BYTES = 52
 
 
 def measure_heartbeats() -> Slope:
-    """Measure the processor time of both ends as idle connections grow."""
+    """Measure the processor time of both ends by the number of idle connections."""
     points = [
         Point(size, trio.run(_run_idle, size)[0] * _MICROSECONDS) for size in _SIZES
     ]
     return fit_slope(
         "heartbeats",
         points,
-        size_unit="connection, both ends, a second",
+        size_unit="connection, both ends, per second",
         value_unit="us",
     )
 
 
 def measure_connection_memory() -> Slope:
-    """Measure the memory of both ends as idle connections grow."""
+    """Measure the memory of both ends by the number of idle connections."""
     points = [
         Point(size, run_in_new_process(__spec__.name, size) / _KIBIBYTE)
         for size in (50, 100, 200, 400)
@@ -52,7 +52,7 @@
 
 
 def measure_heartbeat_bytes() -> Slope:
-    """Count the bytes on the wire of one end's heartbeats as they grow."""
+    """Count the bytes on the wire by the number of heartbeats from one end."""
     payload = encode_frames(
         [Frame(0, Heartbeat(1_000, 2**40, running=12, tokens_in_flight=40_000))]
     )
@@ -64,13 +64,13 @@
 
 
 def _measure_memory(connections: int) -> float:
-    # The first few connections load what all of them share.
+    # A few connections first load the modules and memory that all connections share.
     trio.run(_run_idle, 5, _HEARTBEAT_S)
     return float(trio.run(_run_idle, connections, _HEARTBEAT_S)[1])
 
 
 async def _run_idle(connections: int, seconds: float = _SECONDS) -> tuple[float, int]:
-    """Return the processor seconds a second and the growth of memory in bytes."""
+    """Return processor seconds per second and the memory growth in bytes."""
     memory_before = read_usage(os.getpid()).resident_bytes
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -1,4 +1,4 @@
-"""Measure the parts that need no connection: table, claims, decisions, codec."""
+"""Measure components that need no connections: table, claims, decisions, codec."""
 
 import hashlib
 import time
@@ -38,9 +38,9 @@
 
 
 def time_best(work: Callable[[], object], *, rounds: int, parts: int = 5) -> float:
-    """Return the processor time of one call in seconds, the best of several parts.
+    """Return the processor time of one call in seconds, the best of several series.
 
-    The best part is the one that the machine's other work disturbed least.
+    The best series is the one least disturbed by other work on the machine.
     """
     best = float("inf")
     for _ in range(parts):
@@ -52,7 +52,7 @@
 
 
 def measure_targets() -> Slope:
-    """Measure one decision as the targets that an entry knows grow."""
+    """Measure one decision by the number of targets that an entry knows."""
     points = [
         Point(
             size,
@@ -66,7 +66,7 @@
 
 
 def measure_customers() -> Slope:
-    """Measure one decision as the customers grow."""
+    """Measure one decision by the number of customers."""
     points = [
         Point(
             size,
@@ -80,7 +80,7 @@
 
 
 def measure_table_memory() -> Slope:
-    """Measure the bytes of the whole table as its customers' rows grow."""
+    """Measure the bytes of the complete table by the number of customer rows."""
     points = []
     for size in (60, 120, 240, 360, 720):
         items = make_table(size)
@@ -89,7 +89,7 @@
 
 
 def measure_changed_cells() -> Slope:
-    """Measure a reader's processor time for changed cells at the target's table."""
+    """Measure a reader's processor time by changed cells, for a table of 366 rows."""
     points = [Point(size, trio.run(_apply_changes, size)) for size in (10, 20, 40, 80)]
     return fit_slope("changed-cells", points, size_unit="change", value_unit="ms")
 
@@ -111,7 +111,7 @@
 
 
 def measure_claim_bytes() -> Slope:
-    """Measure the bytes of a page of claims."""
+    """Measure the bytes of a page by its number of claims."""
     points = [
         Point(size, len(encode_page(make_claims(size))))
         for size in (100, 500, 1_000, 2_000, 4_000)
@@ -120,7 +120,7 @@
 
 
 def measure_claim_time() -> Slope:
-    """Measure reading a page of claims and writing it again."""
+    """Measure the time to decode and re-encode a page by its number of claims."""
     points = []
     for size in (100, 500, 1_000, 2_000):
         page = make_claims(size)
@@ -134,7 +134,7 @@
 
 
 def measure_token_codec() -> Slope:
-    """Measure encoding and decoding a batch as its token chunks grow."""
+    """Measure encoding and decoding of a batch by its number of token chunks."""
     points = []
     for size in (1, 8, 32, 64, 128):
         frames = [
@@ -150,7 +150,7 @@
 
 
 def make_table(rows: int) -> list[KeyValue]:
-    """Return the pages of a table with that many customers."""
+    """Return the pages of a table with `rows` customers."""
     pages: dict[str, Page] = {}
     for number in range(rows):
         row = RowId(RowKind.CUSTOMER, f"customer-{number:04d}")
@@ -167,7 +167,7 @@
 
 
 def make_claims(count: int) -> ClaimPage:
-    """Return a page of claims spread over twenty targets."""
+    """Return a page of claims distributed over twenty targets."""
     random = Random(count)
     return ClaimPage(
         {
--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -1,4 +1,4 @@
-"""Measure the running entry and agent as requests, tokens and streams grow."""
+"""Measure running entries and agents by number of requests, tokens and streams."""
 
 import tempfile
 import time
@@ -27,7 +27,7 @@
 
 @contextmanager
 def open_bench(*engine_options: str) -> Iterator[PathBench]:
-    """Run one entry, its agents and targets."""
+    """Run one entry with its agents and targets."""
     with (
         tempfile.TemporaryDirectory() as folder,
         open_cluster(Path(folder)) as cluster,
@@ -36,7 +36,7 @@
 
 
 def measure_requests(role: str) -> Slope:
-    """Measure a role's processor time as plain requests grow."""
+    """Measure a role's processor time by the number of plain requests."""
     points = []
     with open_bench() as bench:
         for count in (_CALLS[0], *_CALLS):
@@ -52,14 +52,14 @@
             )
             spent_s = bench.read_usage(role, service="check").since(before)
             points.append(Point(count, spent_s * _MILLISECONDS))
-    # The first point only warms the processes up.
+    # The first point only warms up the processes.
     return fit_slope(
         f"requests-{role}", points[1:], size_unit="request", value_unit="ms"
     )
 
 
 def measure_tokens(role: str) -> Slope:
-    """Measure a role's processor time as tokens grow, 15 a second and stream."""
+    """Measure processor time by number of tokens, at 15 per second and stream."""
     points = []
     with open_bench("--step-ms", "66") as bench:
         for streams in (_STREAMS[0], *_STREAMS):
@@ -79,7 +79,7 @@
 
 
 def measure_streams_memory(role: str) -> Slope:
-    """Measure a role's memory as open streams grow."""
+    """Measure a role's memory by the number of open streams."""
     points = []
     for streams in _OPEN_STREAMS:
         with open_bench("--step-ms", _SLOW_STEP_MS, "--slots", "500") as bench:
@@ -88,7 +88,7 @@
             after = bench.read_usage(role, service="draft").resident_bytes
             points.append(Point(streams, (after - before) / _KIBIBYTE))
     return fit_slope(
-        f"streams-{role}", points, size_unit="stream that was open", value_unit="KiB"
+        f"streams-{role}", points, size_unit="open stream", value_unit="KiB"
     )
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Fit a straight line to measured points and tell how far they scatter from it."""
+"""Fit a straight line to measured points and compute their scatter around it."""
 
 import statistics
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """Hold one measured value at one size."""
+    """Hold the value measured at one size."""
 
     size: float
     value: float
@@ -14,23 +14,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Hold a line through measured points."""
+    """Hold the straight line fitted to measured points."""
 
     name: str
     size_unit: str
     value_unit: str
     points: tuple[Point, ...]
     per_unit: float
-    """Growth of the value for each unit of size."""
+    """Growth of the value per unit of size."""
     at_zero: float
     scatter: float
-    """Largest distance of a point from the line, as a share of the largest value."""
+    """Largest deviation of a point from the line, as a share of the largest value."""
 
 
 def fit_slope(
     name: str, points: list[Point], *, size_unit: str, value_unit: str
 ) -> Slope:
-    """Fit a line by least squares."""
+    """Fit a straight line to the points by least squares."""
     sizes = [point.size for point in points]
     values = [point.value for point in points]
     per_unit, at_zero = statistics.linear_regression(sizes, values)
@@ -49,9 +49,9 @@
 
 
 def format_slope(slope: Slope) -> str:
-    """Return one line for a slope and one for its points."""
+    """Format a slope as two lines, the second one with its points."""
     points = " ".join(f"{point.size:g}:{point.value:.4g}" for point in slope.points)
     return (
-        f"{slope.name}: {slope.per_unit:.4g} {slope.value_unit} a {slope.size_unit}, "
-        f"{slope.at_zero:.4g} at none, scatter {slope.scatter:.0%}\n    {points}"
+        f"{slope.name}: {slope.per_unit:.4g} {slope.value_unit} per {slope.size_unit}, "
+        f"{slope.at_zero:.4g} at zero, scatter {slope.scatter:.0%}\n    {points}"
     )
