--- a/bench/client.py
+++ b/bench/client.py
@@ -1,4 +1,4 @@
-"""Call a service many times and time the answers."""
+"""Call a service repeatedly and measure the response times."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Timings:
-    """Collect what the calls of one run measured, in seconds."""
+    """Collect the times in seconds and the counts measured by the calls of one run."""
 
     first_byte_s: list[float] = field(default_factory=list)
     total_s: list[float] = field(default_factory=list)
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Name where a service is called, and by whom."""
+    """Hold the address and path prefix of a service and the customer's API key."""
 
     address: str
     prefix: str = ""
     key: str = ""
 
     def make_headers(self) -> list[tuple[str, str]]:
-        """Return the headers of a call."""
+        """Return the request headers."""
         headers = [("Host", self.address)]
         if self.key:
             headers.append(("Authorization", f"Bearer {self.key}"))
@@ -39,7 +39,7 @@
 async def run_calls(
     call: Callable[[], Awaitable[None]], *, count: int, concurrency: int
 ) -> None:
-    """Run `count` calls, `concurrency` at a time."""
+    """Run `count` calls, at most `concurrency` of them in parallel."""
     remaining = count
 
     async def work() -> None:
@@ -56,7 +56,7 @@
 async def measure_plain_calls(
     endpoint: Endpoint, path: str, *, count: int, concurrency: int
 ) -> Timings:
-    """Call a plain service."""
+    """Call a plain service and return the times of its answers."""
     timings = Timings()
     async with httpcore.AsyncConnectionPool(max_connections=concurrency) as pool:
 
@@ -77,7 +77,7 @@
 async def measure_streams(
     endpoint: Endpoint, *, tokens: int, count: int, concurrency: int
 ) -> Timings:
-    """Call a model engine and read its streams."""
+    """Call a model engine and return the times of its streamed tokens."""
     timings = Timings()
     async with httpcore.AsyncConnectionPool(max_connections=concurrency) as pool:
         call = partial(_read_stream, pool, endpoint, tokens, timings)
--- a/bench/direct.py
+++ b/bench/direct.py
@@ -1,4 +1,4 @@
-"""Measure what one decision of the direct path costs, by size."""
+"""Measure the cost of one decision on the direct path, by size."""
 
 import argparse
 import time
@@ -24,7 +24,7 @@
 
 
 def measure_us(work: Callable[[], object]) -> float:
-    """Return the mean time of a call, in microseconds of processor time."""
+    """Return the mean processor time of a call in microseconds."""
     calls = 0
     started_at = time.process_time()
     while time.process_time() - started_at < _SECONDS or calls < 3:
@@ -34,7 +34,7 @@
 
 
 def make_gate(replicas: int) -> tuple[ServiceGate, list[RankLoad]]:
-    """Return a gate whose replicas have all told their load."""
+    """Return a gate with replicas, and the load of each of them."""
     gate = ServiceGate(random=Random(1), availability_zone="a")
     known = [
         Replica(f"i-{n}", "s", f"10.0.{n // 250}.{n % 250}:80", "a", 6, False)
@@ -59,7 +59,7 @@
 
 
 def measure_gate(replicas: int) -> tuple[float, float]:
-    """Return the cost of placing a request and of taking a load."""
+    """Return the cost in microseconds of placing a request and observing a load."""
     gate, loads = make_gate(replicas)
     for load in loads:
         gate.observe_load(load, now=0.0)
@@ -78,7 +78,7 @@
 
 
 def measure_move(ranks: int, experts: int, slots: int) -> float:
-    """Return the cost of choosing a change after demand has moved on."""
+    """Return the cost in microseconds of choosing a map change for shifted demand."""
     current = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
     other_share = (1 - sum(_HOT_SHARES)) / (experts - len(_HOT_SHARES))
     loads = [*_HOT_SHARES, *[other_share] * (experts - len(_HOT_SHARES))]
@@ -87,7 +87,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure and print a table."""
+    """Measure all sizes and print a line for each."""
     argparse.ArgumentParser(prog="bench direct", description=__doc__).parse_args(
         arguments
     )
--- a/bench/direct_path.py
+++ b/bench/direct_path.py
@@ -1,4 +1,4 @@
-"""Measure the entry straight to a replica against the entry through an agent."""
+"""Compare the path from an entry directly to a replica with that through an agent."""
 
 import argparse
 import json
@@ -41,7 +41,7 @@
 async def answer_stream(
     replica: DirectReplica, stream: trio.SocketStream, request: Received
 ) -> bool:
-    """Send events one by one, as an engine does."""
+    """Send events one at a time, as an engine does."""
     await stream.send_all(make_answer(request, body=b"", headers=STREAM_HEAD))
     for number in range(1, _EVENTS + 1):
         await stream.send_all(chunk(make_event(number)))
@@ -51,7 +51,7 @@
 
 
 async def call(client: ReplicaClient, address: str, path: bytes) -> None:
-    """Send one caller's request."""
+    """Send one request as a caller and read the answer."""
     async with client.call(
         address,
         method="POST",
@@ -67,7 +67,7 @@
 
 
 class DirectBench:
-    """Run a store and replicas here, and an entry as a process."""
+    """Run a store and replicas in this process, and an entry as a separate one."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -75,7 +75,7 @@
         self._client = ReplicaClient()
 
     async def run(self) -> None:
-        """Measure and print."""
+        """Measure the direct path and print the results."""
         async with trio.open_nursery() as nursery:
             store = await nursery.start(
                 partial(
@@ -141,11 +141,11 @@
         for pair in line.decode().split():
             if pair.startswith("callers="):
                 return pair.removeprefix("callers=")
-    raise RuntimeError("the entry ended before it served")
+    raise RuntimeError("the entry exited before it reported its address")
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure both ways in one run."""
+    """Measure both paths in one run."""
     argparse.ArgumentParser(prog="bench direct_path", description=__doc__).parse_args(
         arguments
     )
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,4 @@
-"""Measure what the path adds to a request and a token, against the bare target."""
+"""Measure the overhead of the path per request and token over a direct call."""
 
 import argparse
 import json
@@ -23,7 +23,7 @@
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1_000
 _MEBIBYTE = 1024 * 1024
-# The bench asks for more streams at once than one replica usually takes.
+# The bench opens more concurrent streams than one replica usually accepts.
 _TABLE_CELLS = (
     (DRAFT, "target_concurrency", "1000"),
     (DRAFT, "target_tokens", "10000000"),
@@ -32,25 +32,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadRow:
-    """Hold one measured load."""
+    """Hold the results for one kind of load."""
 
     load: str
     units: int
     """Requests or tokens."""
     entry_us: float
-    """Processor time of the entry for each unit, in microseconds."""
+    """Processor time of the entry per unit, in microseconds."""
     agent_us: float
     direct_ms: float
-    """Median time of a call straight to the target, in milliseconds."""
+    """Median time of a call made directly to the target, in milliseconds."""
     path_ms: float
     gap_p95_ms: float
-    """Time between tokens for 95 in 100, in milliseconds."""
+    """95th percentile of the time between tokens, in milliseconds."""
     failures: int
 
 
 @dataclass(frozen=True, slots=True)
 class Idle:
-    """Hold what an idle process costs."""
+    """Hold the start time, memory and processor time of an idle process."""
 
     role: str
     start_s: float
@@ -59,7 +59,7 @@
 
 
 class PathBench:
-    """Hold the running processes of one measurement."""
+    """Run an entry, two agents and their targets, and measure their costs."""
 
     def __init__(self, cluster: Cluster, *, engine_options: Sequence[str] = ()) -> None:
         commit_table(cluster.platform, _TABLE_CELLS)
@@ -81,7 +81,7 @@
         wait_for_targets(cluster, "entry-1", 2)
 
     def measure_idle(self) -> list[Idle]:
-        """Measure memory and processor time without load."""
+        """Measure memory and processor time of the entry and an agent without load."""
         pids = {"entry": self._entry.pid, "agent": self._agents["draft"].pid}
         before = {role: read_usage(pid) for role, pid in pids.items()}
         seconds = 5.0
@@ -100,7 +100,7 @@
         return lines
 
     def measure_plain(self, concurrency: int) -> LoadRow:
-        """Measure plain calls."""
+        """Measure calls of the plain service, direct and through the path."""
 
         async def run(endpoint: Endpoint) -> Timings:
             return await measure_plain_calls(
@@ -120,7 +120,7 @@
         )
 
     def measure_tokens(self, streams: int) -> LoadRow:
-        """Measure streamed answers."""
+        """Measure streamed answers of the engine, direct and through the path."""
 
         async def run(endpoint: Endpoint) -> Timings:
             return await measure_streams(
@@ -140,11 +140,11 @@
         )
 
     def get_endpoint(self, service: str) -> Endpoint:
-        """Return where callers reach a service."""
+        """Return the endpoint at which callers reach a service."""
         return Endpoint(self._callers, f"/{service}", KEY)
 
     def read_usage(self, role: str, *, service: str) -> Usage:
-        """Return the usage of the entry, or of the agent of a service."""
+        """Return the resource usage of the entry, or of the agent of a service."""
         process = self._entry if role == "entry" else self._agents[service]
         return read_usage(process.pid)
 
@@ -181,7 +181,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure, print a table and write JSON when asked."""
+    """Measure, print the rows and write them as JSON if requested."""
     parser = argparse.ArgumentParser(prog="bench path", description=__doc__)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args(arguments)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Read what the kernel says of a process."""
+"""Read processor time and memory of processes from `/proc`."""
 
 import os
 import subprocess
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Hold a process's processor time in seconds and its memory in bytes."""
+    """Hold the processor time in seconds and resident memory in bytes of a process."""
 
     processor_s: float
     resident_bytes: int
 
     def since(self, before: "Usage") -> float:
-        """Return the processor time in seconds since an earlier reading."""
+        """Return the processor time in seconds used since an earlier reading."""
         return self.processor_s - before.processor_s
 
 
 def read_usage(pid: int) -> Usage:
-    """Return the usage of a running process."""
+    """Return the resource usage of a running process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     return Usage(ticks / _TICKS_PER_SECOND, _read_resident_bytes(pid))
@@ -37,9 +37,9 @@
 
 
 def run_in_new_process(module: str, size: int) -> float:
-    """Run a module in a new process, whose memory nothing else has grown.
+    """Run a module in a new process and return the number that it prints.
 
-    The module prints one number.
+    A new process keeps earlier allocations from distorting a memory measurement.
     """
     arguments = [sys.executable, "-m", module, str(size)]
     completed = subprocess.run(arguments, capture_output=True, text=True, check=True)
