--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""Measure the cost of one submit and finish as targets and customers grow."""
+"""Measure the cost of one submit and finish by number of targets and customers."""
 
 import argparse
 import json
@@ -22,7 +22,7 @@
 TARGETS = (10, 64, 100, 1_000, 10_000)
 CUSTOMERS = (10, 36, 100, 360)
 SUBSET = 64
-"""Targets that an entry knows at the target size."""
+"""Targets that an entry knows in a fleet of the intended size."""
 _SERVICE = "draft"
 _PER_TARGET = 32
 _SEED = 4
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Give the cost of one request at one size."""
+    """Hold the cost of one request at one size."""
 
     targets: int
     customers: int
@@ -41,13 +41,13 @@
 
 
 def measure_cost(*, targets: int, customers: int, waiting: int, rounds: int) -> Cost:
-    """Measure submit, finish and collect of one request, the best of five parts.
+    """Measure submit, finish and collect of one request, the best of five series.
 
-    With requests waiting, each finish lets one of them start and one more comes.
+    If requests are waiting, each finish starts one of them and another one arrives.
     """
     random = Random(_SEED)
     scheduler = _make_scheduler(random, targets=targets, customers=customers)
-    # Half of the places are taken when nothing waits: the usual load.
+    # Without waiting requests, half of the slots are in use, which is the usual load.
     running = targets * _PER_TARGET // (1 if waiting else 2)
     open_ids = _fill(scheduler, running + waiting, customers=customers, random=random)
     best = math.inf
@@ -75,7 +75,7 @@
 
 
 def fit_growth_exponent(points: Sequence[tuple[int, float]]) -> float:
-    """Return the exponent of growth: 0 is constant, 1 is linear."""
+    """Return the exponent of the growth: 0 for constant, 1 for linear."""
     logs = [(math.log(size), math.log(cost)) for size, cost in points]
     mean_x = sum(x for x, _ in logs) / len(logs)
     mean_y = sum(y for _, y in logs) / len(logs)
@@ -133,13 +133,13 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the costs and their slopes."""
+    """Print the costs and their growth exponents."""
     parser = argparse.ArgumentParser(prog="bench decisions", description=__doc__)
     parser.add_argument("--json", type=Path, help="write the figures to this file")
     parser.add_argument("--rounds", type=int, default=_ROUNDS)
     options = parser.parse_args(arguments)
     costs: list[Cost] = []
-    print("targets customers waiting  us a request")
+    print("targets customers waiting  us per request")
     for waiting in (0, _QUEUED):
         by_targets = [(size, CUSTOMERS[0]) for size in TARGETS]
         by_customers = [(SUBSET, size) for size in CUSTOMERS]
--- a/bench/detectors.py
+++ b/bench/detectors.py
@@ -1,4 +1,4 @@
-"""Compare failure detectors by detection time at equal false alarms."""
+"""Compare the detection times of failure detectors at equal false alarm rates."""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import asdict, dataclass
@@ -15,14 +15,15 @@
 _HEARTBEAT_S = 0.5
 _CONNECTIONS = 40
 _HOURS_EACH = 2.0
-# False alarms in the hours of one kind of trace at which detectors are compared.
+# Numbers of false alarms, in the total hours of one kind of trace, at which the
+# detectors are compared.
 _ALLOWED_ALARMS = (40, 8)
 _MAX_SILENCE_S = 600.0
 _MAX_LEVELS = 50_000
-# Fixed timeouts whose false alarms are told by the hour.
+# Fixed timeouts whose false alarms per hour are reported.
 _TIMEOUTS_S = (1.5, 3.0, 6.0, 10.0, 15.0)
-# TCP sends a lost segment again after 0.2 s, then after twice as long each time. What
-# was written behind it comes with it when it gets through.
+# TCP retransmits a lost segment after 0.2 s and doubles the delay each time. Data
+# written after it arrives together with it.
 _MIN_RETRANSMIT_S = 0.2
 _MAX_RETRANSMIT_S = 120.0
 _JITTER_S = 0.005
@@ -39,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceKind:
-    """Describe how heartbeats arrive while the peer lives."""
+    """Describe how the heartbeats of a live peer arrive."""
 
     name: str
     loss: float = 0.0
     datagrams: bool = False
-    """Whether what is lost stays lost, instead of being sent again as by TCP."""
+    """Whether lost heartbeats stay lost, instead of being retransmitted as by TCP."""
     stalls_tcp: bool = False
-    """Whether TCP itself stands still for minutes, so that no setting is right."""
+    """Whether TCP itself stalls for minutes, so that no threshold is suitable."""
     stall_s: tuple[float, float] | None = None
-    """Bounds of the pauses of a group that waits for its slowest rank."""
+    """Bounds in seconds of the pauses of a group that waits for its slowest rank."""
 
 
 TRACES = (
@@ -65,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectorRow:
-    """Hold the detectors' times on one kind of trace, at equal false alarms."""
+    """Hold the detection times on one kind of trace, at equal false alarms."""
 
     setting: str
     alarms_allowed: int
-    """In the hours of each kind of trace."""
+    """Allowed false alarms in the total hours of each kind of trace."""
     trace: str
     fixed_s: float
-    """Mean time from a connection's going silent to its being suspected."""
+    """Mean time from the start of a connection's silence to its suspicion."""
     normal_s: float
     exponential_s: float
     fixed_max_s: float
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlarmRow:
-    """Hold the false alarms of fixed timeouts, an hour and connection."""
+    """Hold the false alarms of fixed timeouts per connection-hour."""
 
     trace: str
     at_1_5_s: float
@@ -96,13 +97,13 @@
 @dataclass(frozen=True, slots=True)
 class _TraceResult:
     levels: tuple[float, ...]
-    """Highest levels of the gaps between messages of a living peer, highest first."""
+    """Highest suspicion levels at the arrivals from a live peer, in falling order."""
     silent_detectors: tuple[tuple[FailureDetector, float], ...]
-    """Detectors when their connections go silent, and the silence by then."""
+    """Detectors as their connections go silent, and seconds since a heartbeat."""
 
 
 def make_arrivals(kind: TraceKind, random: Random, *, hours: float) -> Iterator[float]:
-    """Yield the times at which the heartbeats of one connection arrive."""
+    """Yield the arrival times of the heartbeats of one connection."""
     sent_at = last_at = 0.0
     stall_at = random.expovariate(1 / _STALL_INTERVAL_S)
     while sent_at < hours * 3600:
@@ -133,7 +134,7 @@
 def observe(
     kind: TraceKind, make_detector: Callable[[], FailureDetector], seed: int
 ) -> _TraceResult:
-    """Run one detector over all connections of a kind."""
+    """Run one kind of detector over all connections of one kind of trace."""
     levels: list[float] = []
     silent_detectors: list[tuple[FailureDetector, float]] = []
     for connection in range(_CONNECTIONS):
@@ -145,19 +146,19 @@
                 levels.append(detector.get_level(now))
             detector.observe(now)
             last_at = now
-        # The connection goes silent at some moment between two heartbeats.
+        # The connection goes silent at a random time between two heartbeats.
         silent_detectors.append((detector, random.uniform(0, _HEARTBEAT_S)))
     levels.sort(reverse=True)
     return _TraceResult(tuple(levels[:_MAX_LEVELS]), tuple(silent_detectors))
 
 
 def find_threshold(observed: _TraceResult, allowed: int) -> float:
-    """Return the least threshold with at most this many false alarms."""
+    """Return the lowest threshold with at most `allowed` false alarms."""
     return observed.levels[allowed]
 
 
 def measure(observed: _TraceResult, *, threshold: float) -> tuple[int, float, float]:
-    """Return false alarms and the mean and greatest detection time."""
+    """Return the number of false alarms and the mean and maximum detection time."""
     alarms = sum(level > threshold for level in observed.levels)
     times = [
         max(0.0, detector.find_silence(threshold, longest_s=_MAX_SILENCE_S) - elapsed_s)
@@ -167,7 +168,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the table."""
+    """Run all detectors on all traces and print tables."""
     options = parse_options("detectors", arguments)
     results = {
         (name, kind.name): observe(kind, make_detector, options.seed)
@@ -182,7 +183,7 @@
     ]
     print(f"{_CONNECTIONS * _HOURS_EACH:.0f} connection-hours of each kind of trace")
     print_table(rows)
-    print("false alarms of a fixed timeout, an hour and connection")
+    print("false alarms of a fixed timeout per connection-hour")
     alarms = [_count_alarms(kind.name, results["fixed", kind.name]) for kind in TRACES]
     print_table(alarms)
     document = {
@@ -210,8 +211,9 @@
     allowed: int,
     trace: str,
 ) -> DetectorRow:
-    # A process knows its connections' intervals, not how its network will fail: one
-    # setting must serve them all. Each trace's own best is shown beside it.
+    # A process knows the heartbeat intervals of its connections but not how the network
+    # will fail, so one threshold must suit all traces. The best threshold for each
+    # trace alone is reported for comparison.
     traces = (
         [kind.name for kind in TRACES if not kind.stalls_tcp]
         if setting == "one for all"
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Compare outcomes for callers at 1x, 2x and 5x of capacity."""
+"""Compare the outcomes of requests at 1x, 2x and 5x of the capacity."""
 
 import argparse
 import json
@@ -23,7 +23,7 @@
 from hyssopvane._internal.policy.scheduler import Scheduler
 
 FACTORS = (1.0, 2.0, 5.0)
-# The first seconds fill the targets and tell nothing of the load.
+# The targets are still filling up in the first seconds, which aren't representative.
 _WARM_UP_S = DEADLINE_S
 _IMMEDIATE_S = 0.05
 _SEED = 4
@@ -32,27 +32,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcomes:
-    """Tell how the callers of one run fared."""
+    """Summarize the outcomes of the requests of one run."""
 
     scenario: str
     factor: float
     policy: str
     requests: int
     in_time: float
-    """Share answered within the deadline."""
+    """Share answered before the deadline."""
     refused_at_once: float
     refused_later: float
-    """Share refused after a wait, before anything ran."""
+    """Share refused after a wait, without having been sent to a target."""
     late: float
-    """Share that ran, but not to its end by the deadline, or was lost."""
+    """Share that was sent to a target but lost or not finished by the deadline."""
     goodput: float
-    """Tokens a second of the answers in time."""
+    """Tokens per second of the answers in time."""
     fairness: float
-    """Jain's index of what customers got, to their share."""
+    """Jain's fairness index of the answered tokens relative to each fair share."""
     worst_within_share: float
-    """Least share in time among the customers within their share."""
+    """Lowest share in time of any customer that stays within its fair share."""
     wait_within_p99_s: float
-    """Their longest waits, and so on for all that were sent to a target."""
+    """99th percentile for customers within their share; the next two cover all."""
     wait_p50_s: float
     wait_p99_s: float
 
@@ -82,7 +82,7 @@
 def measure_outcomes(
     scenario: Scenario, results: Sequence[Result], *, factor: float, policy: str
 ) -> Outcomes:
-    """Summarize one run."""
+    """Summarize the results of one run."""
     counted = [one for one in results if one.arrival.at >= _WARM_UP_S]
     total = max(1, len(counted))
     unsent = [one for one in counted if one.refusal and not one.attempts]
@@ -116,7 +116,7 @@
 
 
 def count_refusals(results: Sequence[Result]) -> Counter[RefusalReason | None]:
-    """Count the results by reason; None is an answer."""
+    """Count the results by reason of refusal; `None` counts the answered ones."""
     return Counter(one.refusal for one in results)
 
 
@@ -152,7 +152,7 @@
 def _compute_fair_shares(
     requested: Mapping[str, int], total: float
 ) -> dict[str, float]:
-    """Divide what was answered so that nobody gets more than asked (max-min)."""
+    """Divide the answered tokens max-min fairly: no share exceeds its request."""
     shares: dict[str, float] = {}
     remaining = total
     for number, name in enumerate(sorted(requested, key=requested.__getitem__)):
@@ -168,7 +168,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print a table of all scenarios, loads and policies."""
+    """Run all scenarios, load factors and policies, and print a table."""
     parser = argparse.ArgumentParser(prog="bench load", description=__doc__)
     parser.add_argument("--json", type=Path, help="write the figures to this file")
     parser.add_argument("--scenario", choices=sorted(SCENARIOS), action="append")
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,4 +1,4 @@
-"""Tell from the logs of a run by what each second's requests were lost or late."""
+"""Report from the logs of a run why requests were lost or late, by second."""
 
 import argparse
 from collections import Counter
@@ -9,14 +9,14 @@
 from hyssopvane._internal.utils.log_lines import parse_line
 
 BEHIND_SKEW = 2.0
-"""Skew of a set above which its map counts as behind the demand."""
+"""Skew of an expert set above which its map counts as behind the demand."""
 
 _ANSWERED = "answered"
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSample:
-    """Hold what a group's leader told at one moment."""
+    """Hold the state that a group's leader logged at one time."""
 
     at: float
     phase: str
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Hold one request that was lost or late, and why."""
+    """Hold the time and cause of one lost or late request."""
 
     at: float
-    """Time at which it was lost, or at which its longest pause ended."""
+    """Time at which the request was lost, or at which its longest pause ended."""
     cause: str
     large: bool
-    """Whether its prompt is among the largest tenth."""
+    """Whether the prompt is among the largest 10 percent."""
 
 
 def read_losses(lines: Iterable[str]) -> tuple[list[Loss], int]:
-    """Return the losses of a log, and the number of its requests."""
+    """Return the lost and late requests of a log, and its number of requests."""
     requests: list[Mapping[str, str]] = []
     groups: list[GroupSample] = []
     for line in lines:
@@ -62,7 +62,7 @@
 
 
 def _classify(fields: Mapping[str, str]) -> tuple[str | None, float]:
-    """Return why a request was lost or late, and how long before its line."""
+    """Return the cause of a loss, if any, and its milliseconds before the log line."""
     if fields["outcome"] != _ANSWERED:
         return fields["outcome"], 0.0
     total, first, placed = (
@@ -78,10 +78,10 @@
 
 
 def _get_group_state(groups: Sequence[GroupSample], at: float) -> str:
-    """Return what a group was doing at a time, by its leader's next line."""
+    """Return the state of a group at a time, from its leader's next log line."""
     later = [one for one in groups if at <= one.at < at + 1.5]
     if not later:
-        return "no leader told its state"
+        return "no leader logged its state"
     sample = later[0]
     if sample.phase not in {"idle", "preparing"}:
         return f"change {sample.phase}"
@@ -102,7 +102,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the losses by cause, and by second."""
+    """Print the losses by cause and by second."""
     parser = argparse.ArgumentParser(prog="python -m bench losses")
     parser.add_argument("log", help="a file with the lines of all entries and agents")
     options = parser.parse_args(arguments)
