--- a/bench/maps.py
+++ b/bench/maps.py
@@ -1,4 +1,4 @@
-"""Measure the choice of expert maps against plain baselines on drifting loads."""
+"""Compare the choice of expert maps with simple baselines on drifting loads."""
 
 import argparse
 import json
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Describe a group."""
+    """Describe the size of a group; `slots` is how many experts fit on a rank."""
 
     name: str
     ranks: int
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """Describe how popularity drifts and what the service's cells say."""
+    """Describe how popularity drifts, and the rules from the service's table cells."""
 
     name: str
     rules: MoveRules
@@ -59,9 +59,10 @@
 
 
 WORKLOADS = (
-    # Surnames by season and paperwork deadline: slow and strong.
+    # Surnames, by season and paperwork deadline: a slow and strong drift.
     Workload("registry", MoveRules(skew_worth=10.0, move_cost=1.0), 6 * 3600.0, 0.5),
-    # Lots by make and damage type: a new sale an hour; day staff only, 0 to 10 UTC.
+    # Lots, by make and damage type: one new sale per hour; staff only during the day,
+    # from 0 to 10 UTC.
     Workload(
         "tengerkhuv",
         MoveRules(skew_worth=1.0, move_cost=5.0, from_hour=0, to_hour=10),
@@ -72,7 +73,7 @@
 
 
 def make_costs(size: Size) -> GroupCosts:
-    """Return the costs of a group."""
+    """Return the cost parameters of a group of the given size."""
     return GroupCosts(
         slots=size.slots,
         bytes_per_expert=300_000_000,
@@ -83,7 +84,7 @@
 
 
 class LoadDrift:
-    """Make the tokens of each expert in a step, interval by interval."""
+    """Generate the tokens of each expert per step, interval by interval."""
 
     def __init__(self, size: Size, workload: Workload, seed: int) -> None:
         self._size = size
@@ -124,7 +125,7 @@
 
 
 class MapPolicy(ABC):
-    """Choose the map of a group, interval by interval."""
+    """Choose the expert map of a group, once per interval."""
 
     def __init__(self, size: Size, workload: Workload) -> None:
         self.size = size
@@ -134,18 +135,18 @@
 
     @abstractmethod
     def choose(self, loads: Sequence[float], now: float) -> ExpertMap | None:
-        """Return a new map, or nothing."""
+        """Return a new map, or `None` to keep the current one."""
 
 
 class NeverMove(MapPolicy):
-    """Keep the first map."""
+    """Keep the initial map."""
 
     def choose(self, loads: Sequence[float], now: float) -> ExpertMap | None:
         return None
 
 
 class MoveWheneverBetter(MapPolicy):
-    """Take the map that is best for the last sample, whatever it costs."""
+    """Switch to the best map for the last sample, regardless of the cost."""
 
     def choose(self, loads: Sequence[float], now: float) -> ExpertMap | None:
         candidate = choose_map(
@@ -158,7 +159,7 @@
 
 
 class GreedyWithoutCost(MoveWheneverBetter):
-    """Take a better map for the averaged loads, keeping experts where they are."""
+    """Switch to a better map for the mean loads, keeping experts in place."""
 
     def __init__(self, size: Size, workload: Workload) -> None:
         super().__init__(size, workload)
@@ -172,7 +173,7 @@
 
 
 class CostAware(MapPolicy):
-    """Weigh gain against cost, as the product does."""
+    """Compare the gain with the cost of a move, as the product does."""
 
     def __init__(self, size: Size, workload: Workload) -> None:
         super().__init__(size, workload)
@@ -205,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """Hold the figures of one policy on one trace."""
+    """Hold the results of one policy on one trace."""
 
     workload: str
     size: str
@@ -260,7 +261,7 @@
 
 
 def run_swapped_cells(hours: float, seed: int) -> list[Result]:
-    """Run each trace with the other service's cells: only the cells differ."""
+    """Run each trace with the rules of the other service; nothing else differs."""
     registry, tengerkhuv = WORKLOADS
     swapped = (
         replace(registry, name="registry+t", rules=tengerkhuv.rules),
@@ -273,7 +274,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print a table and write JSON where asked."""
+    """Print a table, and write it as JSON if requested."""
     parser = argparse.ArgumentParser(prog="python -m bench maps")
     parser.add_argument("--json", type=Path)
     parser.add_argument("--hours", type=float, default=24.0)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,4 +1,4 @@
-"""Compare placement with plain baselines, apart from admission and queueing."""
+"""Compare placement with simple baselines, without admission control."""
 
 from abc import ABC, abstractmethod
 from collections import Counter, OrderedDict
@@ -31,18 +31,18 @@
 _MEAN_TOKENS = 400
 _START_S = 0.05
 _PREFILL_S = 0.4
-"""Time to read a prompt of which nothing is cached."""
+"""Time to read a prompt without a cached prefix."""
 _CACHED_GROUPS = 8
 _PREFIXES_PER_PROMPT = 4
 _DURATION_S = 120.0
 _WARM_UP_S = 20.0
 _SEEDS = 3
 _CAPACITY = _TARGETS * _TOKENS_PER_S / _MEAN_TOKENS
-"""Requests a second of all targets."""
+"""Requests per second of all targets together."""
 
 
 class Chooser(ABC):
-    """Choose targets for one entry."""
+    """Choose the targets for the requests of one entry."""
 
     def __init__(self, random: Random, zone: str) -> None:
         self.random = random
@@ -52,24 +52,24 @@
 
     @abstractmethod
     def choose(self, names: list[str]) -> str:
-        """Choose among the targets with room."""
+        """Choose one of the targets with free slots."""
 
     def connect(self, info: TargetInfo, now: float) -> None:
-        """Take note of a target."""
+        """Make a target available for placement."""
         self.targets[info.name] = info
 
     def disconnect(self, name: str) -> None:
-        """Forget a target."""
+        """Remove a target from placement."""
         self.targets.pop(name, None)
 
     def observe(self, name: str, report: LoadReport, now: float) -> None:
-        """Ignore reports."""
+        """Ignore load reports."""
         return None
 
     def place(
         self, request: WorkRequest, tried: set[str], now: float
     ) -> TargetInfo | None:
-        """Choose a target and count the request there."""
+        """Choose a target and count the request as in flight there."""
         names = [one for one in self.targets if self.in_flight[one] < _CONCURRENCY]
         if not names:
             return None
@@ -80,40 +80,40 @@
     def release(
         self, request: WorkRequest, name: str, report: AttemptReport, now: float
     ) -> None:
-        """Take note of an attempt's end."""
+        """Record the end of an attempt."""
         self.in_flight[name] -= 1
 
 
 class RoundRobin(Chooser):
-    """Take one target after the other."""
+    """Choose the targets in turn."""
 
     position = 0
 
     def choose(self, names: list[str]) -> str:
-        """Return the next."""
+        """Return the next target."""
         self.position += 1
         return names[self.position % len(names)]
 
 
 class LeastConnections(Chooser):
-    """Take the target with the fewest requests of this entry."""
+    """Choose the target with the fewest requests of this entry."""
 
     def choose(self, names: list[str]) -> str:
-        """Return the least loaded, at random among equals."""
+        """Return the least loaded target, with ties broken at random."""
         return min(names, key=lambda name: (self.in_flight[name], self.random.random()))
 
 
 class TwoChoices(Chooser):
-    """Take the target with fewer requests of this entry, of two at random."""
+    """Choose two targets at random and use the one with fewer requests."""
 
     def choose(self, names: list[str]) -> str:
-        """Return the less loaded of two."""
+        """Return the less loaded of two random targets."""
         one, other = self.random.choice(names), self.random.choice(names)
         return one if self.in_flight[one] <= self.in_flight[other] else other
 
 
 class PlacerChooser(Chooser):
-    """Let the product's placement choose."""
+    """Choose targets with the product's `Placer`."""
 
     def __init__(self, random: Random, zone: str) -> None:
         super().__init__(random, zone)
@@ -126,31 +126,31 @@
         self._placer.update_table(Table(services={"draft": row}))
 
     def choose(self, names: list[str]) -> str:
-        """Never called."""
+        """Not used; `place` calls the `Placer`."""
         raise NotImplementedError
 
     def connect(self, info: TargetInfo, now: float) -> None:
-        """Take note of a target."""
+        """Make a target available for placement."""
         self._placer.connect(info, now=now)
 
     def disconnect(self, name: str) -> None:
-        """Forget a target."""
+        """Remove a target from placement."""
         self._placer.disconnect(name)
 
     def observe(self, name: str, report: LoadReport, now: float) -> None:
-        """Take note of a report."""
+        """Record a load report."""
         self._placer.observe_load(name, report, now=now)
 
     def place(
         self, request: WorkRequest, tried: set[str], now: float
     ) -> TargetInfo | None:
-        """Choose a target and count the request there."""
+        """Choose a target and count the request as in flight there."""
         return self._placer.place(request, now=now, tried=tried)
 
     def release(
         self, request: WorkRequest, name: str, report: AttemptReport, now: float
     ) -> None:
-        """Take note of an attempt's end."""
+        """Record the end of an attempt."""
         self._placer.release(request.request_id, report, now=now)
 
 
@@ -171,7 +171,7 @@
 
 
 class PlacementOnly:
-    """Place at once where there is room, else in order of arrival."""
+    """Place requests at once if a target has room, else queue them in FIFO order."""
 
     def __init__(self, chooser: Chooser) -> None:
         self._chooser = chooser
@@ -180,15 +180,15 @@
         self._now = 0.0
 
     def connect_target(self, info: TargetInfo) -> None:
-        """Start to place work on a target."""
+        """Make a target available for placement."""
         self._chooser.connect(info, self._now)
 
     def disconnect_target(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Remove a target from placement."""
         self._chooser.disconnect(name)
 
     def observe_load(self, name: str, report: LoadReport) -> None:
-        """Pass a report on."""
+        """Forward a load report to the chooser."""
         self._chooser.observe(name, report, self._now)
 
     def submit(self, request: WorkRequest, *, now: float) -> Decision:
@@ -200,7 +200,7 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> Decision | None:
-        """Free the place; try again what may run again."""
+        """Free the slot; place or queue the request again if a retry is safe."""
         self._now = now
         one = self._open[request_id]
         self._chooser.release(one.request, one.target, report, now)
@@ -210,11 +210,11 @@
         return None
 
     def withdraw(self, request_id: str) -> None:
-        """Never called: no caller hangs up here."""
+        """Not used, as no caller disconnects in these scenarios."""
         raise NotImplementedError
 
     def collect(self, *, now: float) -> list[tuple[str, Decision]]:
-        """Place what waits."""
+        """Place queued requests in order of arrival."""
         self._now = now
         decided: list[tuple[str, Decision]] = []
         while self._queue:
@@ -242,7 +242,7 @@
 
 @dataclass(slots=True)
 class CachingTarget(FakeTarget):
-    """Read prompts faster whose prefix was read lately."""
+    """Simulate a target that reads prompts with a recently cached prefix faster."""
 
     cached: OrderedDict[int, None] = field(default_factory=OrderedDict)
     hits: int = 0
@@ -251,7 +251,7 @@
     prefill_s: dict[str, float] = field(default_factory=dict)
 
     def get_service_time(self, request: WorkRequest) -> float:
-        """Return the seconds in a slot; the prompt is in the cache afterwards."""
+        """Return the seconds that a request uses a slot, and cache its prompt."""
         self.tokens_done += request.tokens
         self.prefill_s[request.request_id] = self._read_prompt(request) * self.slowness
         per_slot = self.tokens_per_s / self.slots
@@ -273,7 +273,7 @@
 
 
 class PlacementReplay(Replay):
-    """Note the time to the first token of each request."""
+    """Record the time to the first token of each request."""
 
     reports_until = float("inf")
 
@@ -302,11 +302,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Describe a load and what happens to the targets meanwhile."""
+    """Describe a load and the faults of the targets during it."""
 
     name: str
     load: float = 0.7
-    """Share of the capacity."""
+    """Offered load as a share of the capacity."""
     first_entry_share: float = 1 / _ENTRIES
     long_share: float = 0.0
     groups: int = 0
@@ -330,7 +330,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRow:
-    """Hold what one policy did in one scenario."""
+    """Hold the results of one policy in one scenario."""
 
     scenario: str
     policy: str
@@ -340,13 +340,13 @@
     first_token_p99_s: float
     cache_hits: float
     imbalance: float
-    """Max to mean of tokens done by target; the slow one apart."""
+    """Maximum to mean of processed tokens by target, without the first target."""
     slow_share: float
-    """Tokens done by the first target, to the mean of the others."""
+    """Tokens processed by the first target, relative to the mean of the others."""
 
 
 def make_arrivals(scenario: Scenario, random: Random) -> Iterator[Arrival]:
-    """Yield seeded arrivals."""
+    """Yield the arrivals of a scenario, drawn from a seeded generator."""
     now, number = 0.0, 0
     short_tokens = _MEAN_TOKENS
     if scenario.long_share:
@@ -407,7 +407,7 @@
 
 
 def measure(scenario: Scenario, policy: str, seed: int) -> PlacementRow:
-    """Run some seeds and join their figures."""
+    """Run several seeds and combine their results."""
     replays = [run(scenario, policy, seed * 100 + n) for n in range(_SEEDS)]
     waits = sorted(wait for one in replays for wait in one.first_token_s.values())
     results = [result for one in replays for result in one.results.values()]
@@ -439,7 +439,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the table."""
+    """Run all scenarios and policies and print a table."""
     options = parse_options("placement", arguments)
     rows = [
         measure(scenario, policy, options.seed)
--- a/bench/poison.py
+++ b/bench/poison.py
@@ -1,4 +1,4 @@
-"""Count the targets that one body crashes while its caller keeps sending it."""
+"""Count the targets that one request body crashes while its caller keeps retrying."""
 
 import heapq
 from collections.abc import Callable, Sequence
@@ -23,36 +23,36 @@
 
 _TARGETS = 12
 _RUN_S = 1.0
-# A target reads the prompt for some time before it crashes on it.
+# Time that a target reads the prompt before it crashes.
 _CRASH_S = 0.2
 _RESTART_S = 20.0
-# Word of a crash travels by the page of the key-value service.
+# Time until a crash report reaches other entries through a key-value service page.
 _REPORT_DELAY_S = 0.05
 _DURATION_S = 120.0
 _POISON = b"poison"
 
 
 class DisabledSuspectTracker(SuspectTracker):
-    """Hold nothing against any body."""
+    """Disable the tracking of suspect bodies."""
 
     def record_crash(self, *arguments: object, **details: object) -> None:
-        """Do nothing."""
+        """Ignore the crash."""
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """Describe one run."""
+    """Describe the parameters of one run."""
 
     entries: int
     copies: int
-    """Copies that the caller sends at once through each entry."""
+    """Copies that the caller sends simultaneously through each entry."""
     protected: bool = True
     shared: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class PoisonRow:
-    """Hold what one run showed."""
+    """Hold the results of one run."""
 
     entries: int
     copies: int
@@ -67,7 +67,7 @@
 
 
 class PoisonRun:
-    """Let some entries serve innocent callers and one that sends a poison body."""
+    """Simulate entries that serve harmless requests and repeated poison requests."""
 
     def __init__(self, case: Case, *, seed: int) -> None:
         self.case = case
@@ -87,7 +87,7 @@
             self._connect(name, incarnation)
 
     def run(self) -> PoisonRow:
-        """Run to the end and return the figures."""
+        """Run the simulation and return its results."""
         for entry in range(self.case.entries):
             self._schedule(0.0, partial(self._send_harmless, entry))
             for _ in range(self.case.copies):
@@ -183,7 +183,7 @@
             if decision.reason is RefusalReason.QUARANTINED:
                 self.refused[poison] += 1
             if poison:
-                # The caller sends it again, at once when it hears nothing better.
+                # The caller retries after a short fixed delay, ignoring Retry-After.
                 retry_at = self._now + 0.5
                 self._schedule(retry_at, lambda: self._send_poison(entry))
 
@@ -254,7 +254,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the table."""
+    """Run all cases and print a table."""
     options = parse_options("poison", arguments)
     rows = [PoisonRun(case, seed=options.seed).run() for case in CASES]
     print_table(rows)
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,4 +1,4 @@
-"""Replay a timed workload against schedulers over fake targets, without sockets."""
+"""Replay a timed workload against schedulers and fake targets, without sockets."""
 
 import heapq
 from collections import deque
@@ -24,16 +24,16 @@
 
 
 class SchedulerLike(Protocol):
-    """Describe what a replay asks of a scheduler or of a baseline."""
+    """Define the methods that a replay needs from a scheduler or a baseline."""
 
     def connect_target(self, info: TargetInfo) -> None:
-        """Start to place work on a target."""
+        """Make a target available for placement."""
 
     def disconnect_target(self, name: str) -> None:
-        """Stop to place work on a target."""
+        """Remove a target from placement."""
 
     def observe_load(self, name: str, report: LoadReport) -> None:
-        """Take note of a target's report."""
+        """Record a target's load report."""
 
     def submit(self, request: WorkRequest, *, now: float) -> Decision:
         """Place, queue or refuse a new request."""
@@ -41,35 +41,35 @@
     def finish(
         self, request_id: str, report: AttemptReport, *, now: float
     ) -> Decision | None:
-        """Take note of an attempt's end."""
+        """Record the end of an attempt; return the next decision, if any."""
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
 
     def collect(self, *, now: float) -> list[tuple[str, Decision]]:
-        """Return new decisions about waiting requests."""
+        """Return new decisions about queued requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """Bring one request to one entry."""
+    """Describe the arrival of one request at one entry."""
 
     at: float
     request: WorkRequest
     entry: int = 0
     leaves_at: float | None = None
-    """When the caller hangs up, if it does."""
+    """Time at which the caller disconnects, if it does."""
 
 
 @dataclass(slots=True)
 class Result:
-    """Tell how one request fared."""
+    """Record the outcome of one request."""
 
     arrival: Arrival
     decided_at: float = 0.0
-    """When it was first sent to a target, or refused."""
+    """Time at which the request was first sent to a target, or refused."""
     finished_at: float | None = None
-    """When its whole answer had come."""
+    """Time at which the answer was complete."""
     refusal: RefusalReason | None = None
     retry_after_s: float | None = None
     attempts: int = 0
@@ -77,13 +77,13 @@
 
     @property
     def in_time(self) -> bool:
-        """Tell whether the whole answer came before the deadline."""
+        """Return whether the answer was complete by the deadline."""
         deadline = self.arrival.request.deadline
         return self.finished_at is not None and self.finished_at <= deadline
 
     @property
     def wait_s(self) -> float:
-        """Return the time from arrival to the first placement or the refusal."""
+        """Return the seconds from arrival to the first placement or the refusal."""
         return self.decided_at - self.arrival.at
 
 
@@ -99,33 +99,33 @@
 
 @dataclass(slots=True)
 class FakeTarget:
-    """Run requests in slots of equal speed; more of them wait in order of arrival."""
+    """Simulate a target with slots of equal speed and a FIFO backlog."""
 
     info: TargetInfo
     slots: int = 32
     tokens_per_s: float = 3_200.0
-    """Of all slots together."""
+    """Tokens per second of all slots together."""
     start_s: float = 0.05
     slowness: float = 1.0
-    """2 takes twice as long for everything."""
+    """Factor on all durations; 2 takes twice as long."""
     alive: bool = True
     running: set[str] = field(default_factory=set)
     jobs: dict[str, _Job] = field(default_factory=dict)
     backlog: deque[str] = field(default_factory=deque)
 
     def get_service_time(self, request: WorkRequest) -> float:
-        """Return the seconds that a request holds a slot."""
+        """Return the seconds that a request occupies a slot."""
         per_slot = self.tokens_per_s / self.slots
         return (self.start_s + request.tokens / per_slot) * self.slowness
 
     def report_load(self) -> LoadReport:
-        """Return what the agent reports."""
+        """Return the load that the target's agent would report."""
         tokens = sum(job.request.tokens for job in self.jobs.values())
         return LoadReport(running=len(self.jobs), tokens_in_flight=tokens)
 
 
 class Replay:
-    """Drive schedulers and fake targets from one heap of events."""
+    """Drive schedulers and fake targets from one event queue."""
 
     def __init__(
         self,
@@ -152,7 +152,7 @@
             scheduler.connect_target(self.targets[name].info)
 
     def kill(self, name: str) -> None:
-        """Let a target die: its requests are lost, its connections close."""
+        """Kill a target: its requests are lost and its connections close."""
         target = self.targets[name]
         target.alive = False
         lost = list(target.jobs.values())
@@ -166,11 +166,11 @@
             self._finish(job, AttemptReport(AttemptResult.LOST, "connection-lost"))
 
     def schedule(self, at: float, action: Callable[[], None]) -> None:
-        """Carry out an action at a time."""
+        """Schedule an action for a simulated time."""
         heapq.heappush(self._events, (at, next(self._sequence), action))
 
     def run(self, arrivals: Iterable[Arrival], *, until: float) -> list[Result]:
-        """Run until a time; return the results in order of arrival."""
+        """Run until a simulated time; return the results in order of arrival."""
         for arrival in arrivals:
             self.schedule(arrival.at, partial(self._submit, arrival))
         self.schedule(_COLLECT_INTERVAL_S, self._collect_all)
