--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,4 +1,4 @@
-"""Measure the time from an accepted edit until it is in force at the last process."""
+"""Measure the time from an accepted edit until it is in force at all entries."""
 
 import json
 import statistics
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpreadRow:
-    """Hold the times for one number of entries, in milliseconds."""
+    """Hold the times in milliseconds for one number of entries."""
 
     entries: int
     rounds: int
@@ -59,7 +59,7 @@
 def _wait_in_force(
     cluster: Cluster, vms: Sequence[str], revision: int, accepted_at: float
 ) -> float:
-    """Return the seconds until the last entry has the revision, or infinity."""
+    """Return the seconds until all entries have the revision, or infinity."""
     pending = list(vms)
     while pending:
         elapsed_s = time.perf_counter() - accepted_at
@@ -109,7 +109,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure with three to six entries of one zone, and print a line for each."""
+    """Measure three to six entries in one zone, and print a row for each number."""
     options = parse_options("spread", arguments)
     lines = [_measure(entries) for entries in _ENTRIES]
     print_table(lines)
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,4 +1,4 @@
-"""Measure how soon a process of the direct path serves after its start."""
+"""Measure the time from the start of a direct path process until it serves."""
 
 import argparse
 import json
@@ -58,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Hold what one start of a process took, in seconds and bytes."""
+    """Hold the times and resources that one process start took."""
 
     listening_s: float
     answered_s: float
-    """Time until the first caller had its answer; 0 for an agent."""
+    """Time until the first caller received its answer; 0 for an agent."""
     processor_s: float
     resident_bytes: int
 
 
 async def start_process(settings: Path, role: str) -> tuple[trio.Process, float]:
-    """Start a role; return its process and the time of its start."""
+    """Start a role as a process; return the process and its start time."""
     command = [sys.executable, "-m", "hyssopvane", "run", role, str(settings)]
     started_at = time.monotonic()
     process = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE)
@@ -76,7 +76,7 @@
 
 
 async def read_started(process: trio.Process) -> dict[str, str]:
-    """Return the fields of the line that a process writes when it listens."""
+    """Return the fields of the log line with which a process reports its start."""
     assert process.stdout is not None
     text = b""
     async for part in process.stdout:
@@ -85,11 +85,11 @@
             fields = parse_line(line)
             if fields is not None and fields["event"] == "started":
                 return dict(fields)
-    raise RuntimeError(f"the process ended: {text[-500:]!r}")
+    raise RuntimeError(f"process exited before it started to serve: {text[-500:]!r}")
 
 
 async def wait_for_answer(address: str) -> None:
-    """Call until a caller gets its answer from a replica."""
+    """Repeat a call until a replica answers it."""
     client = ReplicaClient()
     while True:
         try:
@@ -101,7 +101,7 @@
 
 
 async def measure_start(settings: Path, role: str) -> Start:
-    """Start a process, let it serve once, and end it."""
+    """Start a process, wait until it serves, and kill it."""
     process, started_at = await start_process(settings, role)
     try:
         fields = await read_started(process)
@@ -118,7 +118,7 @@
 
 
 async def measure(folder: Path, runs: int) -> None:
-    """Measure entries and agents in turn, and print the medians."""
+    """Measure the starts of entries, then of agents, and print the medians."""
     store, replica = DirectStore(), DirectReplica("i-1", answer_whole)
     async with trio.open_nursery() as nursery:
         address = await nursery.start(
@@ -144,7 +144,7 @@
 
 
 def print_starts(role: str, starts: Sequence[Start]) -> None:
-    """Print the medians of some starts."""
+    """Print the medians of several starts of one role."""
     listening, answered, processor, resident = (
         median(getattr(one, name) for one in starts)
         for name in ("listening_s", "answered_s", "processor_s", "resident_bytes")
@@ -157,7 +157,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure and print."""
+    """Measure process starts and print the medians."""
     parser = argparse.ArgumentParser(prog="python -m bench start")
     parser.add_argument("--runs", type=int, default=_RUNS)
     options = parser.parse_args(arguments)
--- a/bench/subsets.py
+++ b/bench/subsets.py
@@ -1,4 +1,4 @@
-"""Measure how even the subsets are, what a change moves, and what they cost."""
+"""Measure the evenness of subsets, connections moved by changes, and their cost."""
 
 import time
 from collections import Counter
@@ -14,11 +14,12 @@
     add_minimum_targets,
 )
 
-# The target: 960 entries, 10,000 targets, 6 services, 14 zones in 4 regions.
+# The intended fleet has 960 entries, 10,000 targets, 6 services and 14 zones in 4
+# regions.
 _ZONES = {f"z{number}": f"region{number % 4}" for number in range(14)}
 _SERVICES = 6
-# A heartbeat's frame, as the codec writes it, with TCP/IP headers, and with the
-# acknowledgement that it draws.
+# A heartbeat frame as encoded by the codec, its TCP/IP headers, and the headers of the
+# acknowledgement.
 _HEARTBEAT_BYTES = 92 + 52 + 52
 _HEARTBEAT_S = 4.0
 
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubsetRow:
-    """Hold the figures of one way and fleet."""
+    """Hold the results of one subsetting method for one fleet."""
 
     way: str
     entries: int
@@ -37,17 +38,17 @@
     targets_per_entry: float
     entry_max_to_mean: float
     target_load_max_to_mean: float
-    """When each entry spreads equal work evenly over its targets."""
+    """Imbalance if each entry distributes equal work evenly over its targets."""
     two_choices_max_to_mean: float
-    """When each request goes to the less loaded of two targets of its entry."""
+    """Imbalance if each request goes to the less loaded of two random targets."""
     moved_entry_leaves: float
-    """Share of all connections."""
+    """Share of all connections that change if one entry leaves."""
     moved_target_leaves: float
     control_bytes_per_s: float
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the table."""
+    """Measure all methods and fleet sizes and print a table."""
     options = parse_options("subsets", arguments)
     rows = [
         measure(way, entries, targets)
@@ -64,7 +65,7 @@
 
 
 def measure(way: str, entry_count: int, target_count: int) -> SubsetRow:
-    """Measure one way at one size."""
+    """Measure one subsetting method for one fleet size."""
     entries, targets = make_members(entry_count, target_count)
     before = choose(way, entries, targets)
     per_target = [len(names) for names in before.values()]
@@ -95,7 +96,7 @@
 def make_members(
     entry_count: int, target_count: int
 ) -> tuple[list[Member], list[Member]]:
-    """Return a fleet spread evenly over zones and services."""
+    """Return a fleet distributed evenly over zones and services."""
     zones = list(_ZONES)
     entries = [Member(f"e{n}", zones[n % len(zones)]) for n in range(entry_count)]
     targets = [
@@ -108,7 +109,7 @@
 def choose(
     way: str, entries: Sequence[Member], targets: Sequence[Member]
 ) -> dict[Member, frozenset[str]]:
-    """Return the entries of each target."""
+    """Return the entries that connect to each target."""
     if way == "picks":
         return choose_by_picks(entries, targets)
     return choose_by_shuffle(entries, targets)
@@ -117,7 +118,7 @@
 def choose_by_picks(
     entries: Sequence[Member], targets: Sequence[Member]
 ) -> dict[Member, frozenset[str]]:
-    """Choose as the entries do, worked out once for all of them."""
+    """Choose subsets as the entries do, computed once for all of them."""
     zones = ZoneMap(entries, _ZONES)
     picks = {one: set(zones.pick_all(one)) for one in targets}
     by_name = {one.name: one for one in targets}
@@ -134,9 +135,10 @@
 def choose_by_shuffle(
     entries: Sequence[Member], targets: Sequence[Member]
 ) -> dict[Member, frozenset[str]]:
-    """Deal shuffled targets of each service and region to entries in rounds.
+    """Assign shuffled targets of each service and region to entries in rounds.
 
-    The usual deterministic subsetting: even by construction, but dealt by position.
+    This is the usual deterministic subsetting. It is even by construction, but a
+    subset depends on the entry's position in the list.
     """
     picks: dict[Member, set[str]] = {one: set() for one in targets}
     for region in sorted(set(_ZONES.values())):
@@ -167,7 +169,7 @@
 
 
 def measure_load(picks: Picks) -> float:
-    """Return max to mean of the targets' expected load, by service."""
+    """Return the highest ratio, over services, of maximum to mean expected load."""
     per_entry: Counter[tuple[str, str]] = Counter()
     for target, names in picks.items():
         per_entry.update((name, target.service) for name in names)
@@ -183,13 +185,14 @@
 
 
 def measure_two_choices(picks: Picks) -> float:
-    """Return max to mean of requests at targets, chosen by two random choices."""
+    """Return the ratio of maximum to mean requests with two random choices."""
     random = Random(1)
     per_entry: dict[tuple[str, str], list[Member]] = {}
     for target, names in picks.items():
         for name in sorted(names):
             per_entry.setdefault((name, target.service), []).append(target)
-    # 20 requests in flight at each target, as many from each entry and service.
+    # Simulates 20 requests in flight per target, equally many from each entry and
+    # service.
     count = 20 * len(picks) // len(per_entry)
     load: Counter[Member] = Counter()
     for _ in range(count):
@@ -204,7 +207,7 @@
 
 
 def count_moved(before: Picks, after: Picks) -> int:
-    """Return the connections between members of both that are new or gone."""
+    """Count added and removed connections between members of both fleets."""
     entries = {name for names in after.values() for name in names}
     return sum(
         len((after[target] ^ names) & entries)
@@ -214,7 +217,7 @@
 
 
 def measure_cost(entry_count: int, target_count: int) -> dict[str, float]:
-    """Return the milliseconds that one entry takes for its map."""
+    """Return the milliseconds that one entry takes to update its subset."""
     entries, targets = make_members(entry_count, target_count)
     subset = SubsetMap(entries[0], region_of=_ZONES)
     steps: dict[str, tuple[Iterable[Member], Iterable[Member]]] = {
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -1,4 +1,4 @@
-"""Make seeded workloads for one entry and a dozen targets."""
+"""Generate seeded workloads for one entry and twelve targets."""
 
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 SLOTS = 32
 TOKENS_PER_S = 3_200.0
 CAPACITY = TARGETS * TOKENS_PER_S
-"""Tokens a second of all targets."""
+"""Tokens per second of all targets together."""
 CUSTOMERS = 10
 DEADLINE_S = 20.0
 DURATION_S = 60.0
@@ -29,19 +29,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Name a load, and what happens to the targets meanwhile."""
+    """Describe a load and the faults of the targets during it."""
 
     name: str
     summary: str
     make_arrivals: _MakeArrivals
     prepare: _PrepareReplay = lambda replay: None
     within_share: frozenset[str] = frozenset()
-    """Customers that ask for less than their share; they must not lose."""
+    """Customers that request less than their fair share, which must be served."""
 
 
 @dataclass(slots=True)
 class _Source:
-    """Emit the requests of one customer at a rate of tokens a second."""
+    """Generate the requests of one customer at a rate in tokens per second."""
 
     customer: str
     tokens_per_s: float
@@ -50,7 +50,7 @@
     modulate: Callable[[float], float] = field(default=lambda now: 1.0)
 
     def emit(self, random: Random, peak: float) -> Iterator[tuple[float, int]]:
-        """Yield times and tokens, thinned from a Poisson process at the peak."""
+        """Yield times and tokens, from a Poisson process at the peak rate, thinned."""
         now = 0.0
         rate = self.tokens_per_s / self.mean_tokens * peak
         while rate > 0:
@@ -62,7 +62,7 @@
 
 
 def make_targets() -> list[FakeTarget]:
-    """Return the targets of a site."""
+    """Return twelve equal targets."""
     return [
         FakeTarget(
             TargetInfo(f"draft-{number}", SERVICE, "arima", incarnation=number + 1),
@@ -74,7 +74,7 @@
 
 
 def make_table() -> Table:
-    """Return the table of a site, with equal customers."""
+    """Return a table with one service and equal customers."""
     names = [get_customer(number) for number in range(CUSTOMERS)]
     return Table(
         revision=1,
@@ -139,7 +139,7 @@
 
 
 def _make_bursts(random: Random, factor: float) -> Iterator[Arrival]:
-    """Send everything in the first fifth of each ten seconds."""
+    """Send all requests in the first 2 of every 10 seconds."""
     rate_per_customer = CAPACITY * factor / CUSTOMERS
     sources = [
         _Source(
@@ -155,7 +155,7 @@
 
 
 def _make_skewed(random: Random, factor: float) -> Iterator[Arrival]:
-    """Let nine customers send half their share; the first sends all the rest."""
+    """Nine customers send half of their fair share; the first sends the rest."""
     low_rate = CAPACITY / CUSTOMERS / 2
     first_rate = CAPACITY * factor - low_rate * (CUSTOMERS - 1)
     sources = [_Source(get_customer(0), first_rate, _choose_even, _MEAN_TOKENS)]
@@ -190,17 +190,17 @@
 SCENARIOS: Mapping[str, Scenario] = {
     one.name: one
     for one in (
-        Scenario("steady", "ten equal customers; saturated above 1x", _make_steady),
-        Scenario("bursts", "all in two of every ten seconds", _make_bursts),
+        Scenario("steady", "ten equal customers; overloaded above 1x", _make_steady),
+        Scenario("bursts", "all requests in two of every ten seconds", _make_bursts),
         Scenario(
             "skew",
-            "nine customers at half their share, one sends the rest",
+            "nine customers at half of their fair share, one sends the rest",
             _make_skewed,
             within_share=frozenset(
                 get_customer(number) for number in range(1, CUSTOMERS)
             ),
         ),
-        Scenario("mix", "one in ten is twenty-five times as long", _make_mixed),
+        Scenario("mix", "one request in ten is twenty-five times as long", _make_mixed),
         Scenario(
             "slow",
             "one target takes five times as long",
@@ -209,7 +209,7 @@
         ),
         Scenario(
             "half",
-            "half of the targets gone half-way",
+            "half of the targets lost half-way",
             _make_steady,
             _kill_half_at_midpoint,
         ),
