--- a/src/hyssopvane/_internal/assembly.py
+++ b/src/hyssopvane/_internal/assembly.py
@@ -90,7 +90,7 @@
 def _make_rank_agent(settings: RankAgentSettings) -> Role:
     from hyssopvane._internal.platform.ranks import PlatformRanks
     from hyssopvane._internal.platform.store import (
-        AGENT_REST_S,
+        AGENT_WATCH_PAUSE_S,
         AGENT_WATCH_S,
         PlatformStore,
     )
@@ -100,7 +100,7 @@
     return RankAgent(
         settings,
         store=PlatformStore(
-            address=settings.store, watch_s=AGENT_WATCH_S, rest_s=AGENT_REST_S
+            address=settings.store, watch_s=AGENT_WATCH_S, pause_s=AGENT_WATCH_PAUSE_S
         ),
         format=PlatformFormat(),
         ranks=PlatformRanks(),
--- a/src/hyssopvane/_internal/platform/ranks.py
+++ b/src/hyssopvane/_internal/platform/ranks.py
@@ -12,12 +12,12 @@
 )
 from hyssopvane._internal.exceptions import ConfigurationError
 from hyssopvane._internal.platform.reports import (
+    COUNTS_PATH,
     MAP_PATH,
     ORDER_PATH,
-    PICKS_PATH,
     REPORT_PATH,
+    decode_counts,
     decode_experts,
-    decode_picks,
     decode_report,
     encode_order,
 )
@@ -56,7 +56,7 @@
         return _decode(decode_report, await self._get(address, REPORT_PATH))
 
     async def read_counts(self, address: str) -> Counts:
-        return _decode(decode_picks, await self._get(address, PICKS_PATH)).counts
+        return _decode(decode_counts, await self._get(address, COUNTS_PATH)).counts
 
     async def read_experts(self, address: str) -> ExpertsBySet:
         return _decode(decode_experts, await self._get(address, MAP_PATH))
--- a/src/hyssopvane/_internal/platform/reports.py
+++ b/src/hyssopvane/_internal/platform/reports.py
@@ -23,7 +23,7 @@
 )
 
 REPORT_PATH = b"/api/report"
-PICKS_PATH = b"/api/picked"
+COUNTS_PATH = b"/api/picked"
 MAP_PATH = b"/api/picked?lists=1"
 ORDER_PATH = b"/api/order"
 
@@ -36,7 +36,7 @@
 MAX_REQUESTS = 65_535
 """Requests of a replica that are believed: messages hold no larger number."""
 
-_SHOWN_BYTES = 200
+_MAX_LOGGED_BYTES = 200
 """Bytes of an unreadable document that are logged."""
 
 Requests = Annotated[int, Field(ge=0, le=MAX_REQUESTS)]
@@ -114,7 +114,7 @@
     counts: Annotated[tuple[Count, ...], Field(max_length=MAX_EXPERTS, strict=False)]
 
 
-def decode_picks(body: bytes) -> Picks:
+def decode_counts(body: bytes) -> Picks:
     """Return the counts of a rank."""
     return _read(Picks, body)
 
@@ -138,7 +138,7 @@
 
 
 def _read(kind: type[_Kind], body: bytes) -> _Kind:
-    context = body[:_SHOWN_BYTES].decode("latin1")
+    context = body[:_MAX_LOGGED_BYTES].decode("latin1")
     return read_document(kind, body, context=context, hint="the rank is asked again")
 
 
--- a/src/hyssopvane/_internal/platform/store.py
+++ b/src/hyssopvane/_internal/platform/store.py
@@ -41,7 +41,7 @@
 """Time that an agent's watch waits for a change before it is asked again: it has more
 time than an entry's, each call is paid for, and the store allows 30 s."""
 
-REST_S = 0.4
+WATCH_PAUSE_S = 0.4
 """Pause after a watch has brought changes, before it is asked again.
 
 Replicas register one by one when they start, for some seconds. Asked again at once, a
@@ -49,7 +49,7 @@
 is a fifth of the two seconds that an accepted change may take.
 """
 
-AGENT_REST_S = 5.0
+AGENT_WATCH_PAUSE_S = 5.0
 """As above, for agents, which only have to find each other."""
 
 _MAX_BODY_BYTES = 16 * 1024 * 1024
@@ -82,15 +82,15 @@
     """Speak to the store over one pool of connections."""
 
     def __init__(
-        self, *, address: str, watch_s: float = WATCH_S, rest_s: float = REST_S
+        self, *, address: str, watch_s: float = WATCH_S, pause_s: float = WATCH_PAUSE_S
     ) -> None:
         self._address = address
         self.watch_s = watch_s
-        self._rest_s = rest_s
+        self._pause_s = pause_s
         self._client = ReplicaClient()
         self._era = 0
         """How often the store has come back from an older copy; 0 where not told."""
-        self._waiting: dict[trio.CancelScope, int] = {}
+        self._pending_watches: dict[trio.CancelScope, int] = {}
         """Scopes of the watches that wait for changes, and their eras."""
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -169,8 +169,8 @@
         await self._write("DELETE", f"/api/kv-lease-end/{lease}", None)
 
     def end_watches(self, era: int) -> None:
-        for scope, began_in in self._waiting.items():
-            if began_in < era:
+        for scope, watch_era in self._pending_watches.items():
+            if watch_era < era:
                 scope.cancel()
 
     @asynccontextmanager
@@ -179,11 +179,11 @@
     ) -> AsyncIterator[trio.MemoryReceiveChannel[WatchEvent]]:
         send, receive = trio.open_memory_channel[WatchEvent](0)
         async with trio.open_nursery() as nursery, receive:
-            nursery.start_soon(self._follow, prefix, start_revision, era, send)
+            nursery.start_soon(self._run_watch, prefix, start_revision, era, send)
             yield receive
             nursery.cancel_scope.cancel()
 
-    async def _follow(
+    async def _run_watch(
         self,
         prefix: str,
         start_revision: int,
@@ -195,15 +195,15 @@
         async with send:
             try:
                 while True:
-                    events, after = await self._wait_for_changes(prefix, after, era)
+                    events, after = await self._poll_changes(prefix, after, era)
                     for event in events:
                         await send.send(event)
                     if events:
-                        await trio.sleep(self._rest_s)
+                        await trio.sleep(self._pause_s)
             except (_HistoryGone, KeyValueUnavailable, trio.BrokenResourceError):
                 return
 
-    async def _wait_for_changes(
+    async def _poll_changes(
         self, prefix: str, after: int, era: int
     ) -> tuple[list[WatchEvent], int]:
         if era != self._era:
@@ -216,13 +216,13 @@
         }
         answer: _Answer | None = None
         with trio.CancelScope() as scope:
-            self._waiting[scope] = era
+            self._pending_watches[scope] = era
             try:
                 answer = await self._read(
                     "/api/kv-watch", query, timeout_s=watch_s + CALL_TIMEOUT_S
                 )
             finally:
-                del self._waiting[scope]
+                del self._pending_watches[scope]
         # Revisions are given out again after a return: the watch may have missed what
         # was written at those that it has seen in the era before.
         if answer is None or answer.era != era or answer.status == _HISTORY_GONE:
@@ -276,14 +276,14 @@
                 context=f"{target}: {error!r}",
                 hint="read the keys back before writing them again",
             ) from error
-        era = self._note_era(era_header)
+        era = self._update_era(era_header)
         if era < self._era:
             raise KeyValueUnknown(
                 "the store has come back from a copy since it answered", context=target
             )
         return _Answer(status, _check_answer(status, answer, target), era)
 
-    def _note_era(self, header: bytes | None) -> int:
+    def _update_era(self, header: bytes | None) -> int:
         """Return the era of an answer, and end all watches when it is a new one."""
         if header is None or not header.isdigit() or len(header) > _MAX_ERA_DIGITS:
             return self._era
--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -10,8 +10,8 @@
 from hyssopvane._internal.platform.configuration import decode_configuration
 from hyssopvane._internal.platform.registrations import decode_replica
 from hyssopvane._internal.platform.reports import (
+    decode_counts,
     decode_experts,
-    decode_picks,
     decode_report,
 )
 from hyssopvane._internal.protocol.group_messages import (
@@ -54,7 +54,7 @@
         decode_report,
         REPORT | {"born": STARTED_MS},
     ),
-    "counts": (decode_picks, {"step": 8, "epoch": 1, "counts": [5, 6, 7, 8]}),
+    "counts": (decode_counts, {"step": 8, "epoch": 1, "counts": [5, 6, 7, 8]}),
     "experts": (
         decode_experts,
         {"epoch": 0, "expert-map": {"version": 0, "experts": [[0, 2], [1, 3]]}},
--- a/tests/unit/test_platform_formats.py
+++ b/tests/unit/test_platform_formats.py
@@ -8,8 +8,8 @@
 from hyssopvane._internal.platform.configuration import decode_configuration
 from hyssopvane._internal.platform.registrations import decode_replica
 from hyssopvane._internal.platform.reports import (
+    decode_counts,
     decode_experts,
-    decode_picks,
     decode_report,
     encode_order,
 )
@@ -104,7 +104,7 @@
 
 
 def test_counts_and_experts_are_decoded():
-    picks = decode_picks(encode({"step": 8, "epoch": 1, "counts": [5, 6, 7, 8]}))
+    picks = decode_counts(encode({"step": 8, "epoch": 1, "counts": [5, 6, 7, 8]}))
     assert picks.counts == (5, 6, 7, 8)
     lists = {"epoch": 0, "expert-map": {"version": 0, "experts": [[0, 2], [1, 3]]}}
     assert decode_experts(encode(lists)) == ((0, 2), (1, 3))
