--- a/src/hyssopvane/_internal/cli/role_process.py
+++ b/src/hyssopvane/_internal/cli/role_process.py
@@ -46,4 +46,4 @@
             hint=f"use `hyssopvane run {settings.role}`",
         )
     drained = run_process(settings, path=path)
-    return StatusCode.OK if drained else StatusCode.CUT
+    return StatusCode.OK if drained else StatusCode.DRAIN_TIMEOUT
--- a/src/hyssopvane/_internal/cli/status_codes.py
+++ b/src/hyssopvane/_internal/cli/status_codes.py
@@ -19,7 +19,7 @@
     BAD_SETTINGS = 3
     CONFLICT = 4
     UNAVAILABLE = 5
-    CUT = 6
+    DRAIN_TIMEOUT = 6
     """A shutdown reached its time limit with requests still in progress."""
 
 
--- a/src/hyssopvane/_internal/commands/explain.py
+++ b/src/hyssopvane/_internal/commands/explain.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.cli.status_codes import StatusCode
 from hyssopvane._internal.exceptions import OperatorRequestError
 
-_TOLD_FIRST = frozenset({"time", "vm", "event", "level", "role", "request"})
+_EXCLUDED_FIELDS = frozenset({"time", "vm", "event", "level", "role", "request"})
 
 
 class ExplainCommand(OperatorCommand):
@@ -25,36 +25,36 @@
 
     def show(self) -> StatusCode:
         if self.option("log"):
-            return self._show_story(self.option("log"))
-        return self._show_remembered()
+            return self._show_logged(self.option("log"))
+        return self._show_recorded()
 
-    def _show_story(self, path: str) -> StatusCode:
+    def _show_logged(self, path: str) -> StatusCode:
         """Print the lines on a request from a log of any number of processes."""
-        from hyssopvane._internal.utils.log_lines import find_story
+        from hyssopvane._internal.utils.log_lines import find_request_lines
 
         request_id = self.argument("request")
         try:
             with open(0 if path == "-" else path, encoding="utf-8") as log:
-                story = list(find_story(log, request_id))
+                lines = list(find_request_lines(log, request_id))
         except (OSError, UnicodeDecodeError) as error:
             raise OperatorRequestError(
                 f"the log can't be read: {error}",
                 context=path,
                 hint="name a text file of log lines, or - for input",
             ) from error
-        if not story:
+        if not lines:
             raise OperatorRequestError(
                 f"no line speaks of request {request_id}",
                 context=path,
                 hint="read the logs of all entries of the time in question",
             )
-        for fields in story:
-            rest = {k: v for k, v in fields.items() if k not in _TOLD_FIRST}
-            told = " ".join(f"{name}={value}" for name, value in rest.items())
-            self.line(f"{fields['time']}  {fields['vm']}  {fields['event']}  {told}")
+        for fields in lines:
+            remaining = {k: v for k, v in fields.items() if k not in _EXCLUDED_FIELDS}
+            pairs = " ".join(f"{name}={value}" for name, value in remaining.items())
+            self.line(f"{fields['time']}  {fields['vm']}  {fields['event']}  {pairs}")
         return StatusCode.OK
 
-    def _show_remembered(self) -> StatusCode:
+    def _show_recorded(self) -> StatusCode:
         request_id = self.argument("request")
         document = self.read_page(f"/explain-all?{urlencode({'id': request_id})}")
         asked, answered = document["asked"], document["answered"]
--- a/src/hyssopvane/_internal/commands/status.py
+++ b/src/hyssopvane/_internal/commands/status.py
@@ -12,7 +12,7 @@
     "zone", None, "Only the VMs of this availability zone.", flag=False
 )
 
-_GAP = "  "
+_COLUMN_GAP = "  "
 
 
 class StatusCommand(OperatorCommand):
@@ -57,7 +57,9 @@
     for row, vm in zip(rows, [None, *vms], strict=True):
         cells = [text.ljust(width) for text, width in zip(row, widths, strict=True)]
         behind = vm is not None and vm["in_force"] != "newest"
-        lines.append(("* " if behind else _GAP) + _GAP.join(cells).rstrip())
+        lines.append(
+            ("* " if behind else _COLUMN_GAP) + _COLUMN_GAP.join(cells).rstrip()
+        )
     return lines
 
 
--- a/src/hyssopvane/_internal/commands/table_show.py
+++ b/src/hyssopvane/_internal/commands/table_show.py
@@ -12,7 +12,7 @@
     from hyssopvane._internal.coordination.key_value import KeyValueStore
     from hyssopvane._internal.state.table import Table
 
-_NARROWEST = 80
+_MIN_WIDTH = 80
 
 
 class TableShowCommand(TableCommand):
@@ -45,7 +45,7 @@
                 context="kinds: customers, services, targets",
                 hint="name one of these, or a row as in customer/alice",
             )
-        width = max(_NARROWEST, shutil.get_terminal_size().columns)
+        width = max(_MIN_WIDTH, shutil.get_terminal_size().columns)
         lines = [f"table revision {table.revision}"]
         for kind in kinds:
             lines += ["", *format_rows(table, kind, width=width)]
--- a/src/hyssopvane/_internal/models/refusals.py
+++ b/src/hyssopvane/_internal/models/refusals.py
@@ -65,12 +65,12 @@
     @property
     def proves_not_run(self) -> bool:
         """Tell whether the attempt never ran and never will."""
-        return self not in _PROVE_NOTHING
+        return self not in _MAY_HAVE_RUN
 
 
 # An earlier copy of the attempt, or another attempt of the key, has started; or what is
 # known of the key has been forgotten.
-_PROVE_NOTHING = frozenset(
+_MAY_HAVE_RUN = frozenset(
     {
         AgentRefusal.DUPLICATE_ATTEMPT,
         AgentRefusal.KEY_HELD,
--- a/src/hyssopvane/_internal/models/settings.py
+++ b/src/hyssopvane/_internal/models/settings.py
@@ -11,7 +11,7 @@
 Address = Annotated[str, Field(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
 """An IP number and a port, such as 10.0.0.7:8080; port 0 lets the kernel choose."""
 
-_END_MARGIN_S = 0.3
+_KILL_MARGIN_S = 0.3
 _BITS_PER_MEGABIT = 1e6
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
@@ -71,7 +71,7 @@
     def drain_limit_s(self) -> float:
         """Return the time that a graceful shutdown may take."""
         # What is still running is ended in order just before the process is killed.
-        return self.grace_s - _END_MARGIN_S
+        return self.grace_s - _KILL_MARGIN_S
 
 
 class DirectEntrySettings(_DirectSettings):
--- a/src/hyssopvane/_internal/utils/deferred_metrics.py
+++ b/src/hyssopvane/_internal/utils/deferred_metrics.py
@@ -56,18 +56,18 @@
         kept = self._durations.setdefault(service, array("d"))
         kept.append(seconds)
         if len(kept) >= MOST_KEPT:
-            self._pass_on()
+            self._flush()
 
     def render(self) -> bytes:
         """Return all instruments in the Prometheus text format."""
-        return self._pass_on().render()
+        return self._flush().render()
 
     def close(self) -> None:
         """Release the instruments."""
         if self._metrics is not None:
             self._metrics.close()
 
-    def _pass_on(self) -> "Metrics":
+    def _flush(self) -> "Metrics":
         from hyssopvane._internal.utils.metrics import Metrics
 
         if self._metrics is None:
--- a/src/hyssopvane/_internal/utils/log_lines.py
+++ b/src/hyssopvane/_internal/utils/log_lines.py
@@ -15,25 +15,27 @@
     at = line.find(_START)
     if at < 0:
         return None
-    rest = line[at:].rstrip("\n")
+    remaining = line[at:].rstrip("\n")
     fields: dict[str, str] = {}
-    while rest:
-        name, found, rest = rest.partition("=")
+    while remaining:
+        name, found, remaining = remaining.partition("=")
         if not found or not name:
             return None
-        if rest.startswith('"'):
+        if remaining.startswith('"'):
             try:
-                value, end = _JSON.raw_decode(rest)
+                value, end = _JSON.raw_decode(remaining)
             except ValueError:
                 return None
             fields[name] = str(value)
-            rest = rest[end:].removeprefix(" ")
+            remaining = remaining[end:].removeprefix(" ")
         else:
-            fields[name], _, rest = rest.partition(" ")
+            fields[name], _, remaining = remaining.partition(" ")
     return fields if "event" in fields else None
 
 
-def find_story(lines: Iterable[str], request_id: str) -> Iterator[Mapping[str, str]]:
+def find_request_lines(
+    lines: Iterable[str], request_id: str
+) -> Iterator[Mapping[str, str]]:
     """Yield the lines on one request, of all processes, in order of their times."""
     found = [
         fields
--- a/src/hyssopvane/_internal/utils/log_sink.py
+++ b/src/hyssopvane/_internal/utils/log_sink.py
@@ -21,7 +21,7 @@
         self._pending_bytes = 0
         self.dropped = 0
         """Lines dropped since the start."""
-        self._dropped_now = 0
+        self._unreported_drops = 0
 
     def start(self) -> None:
         """Take the descriptor into use."""
@@ -38,13 +38,13 @@
         self._flush()
         if self._pending_bytes + len(data) > MAX_PENDING_BYTES:
             self.dropped += 1
-            self._dropped_now += 1
+            self._unreported_drops += 1
             return
-        if self._dropped_now and not self._pending:
+        if self._unreported_drops and not self._pending:
             self._append(
-                f"event=log-lines-dropped count={self._dropped_now}\n".encode()
+                f"event=log-lines-dropped count={self._unreported_drops}\n".encode()
             )
-            self._dropped_now = 0
+            self._unreported_drops = 0
         self._append(data)
         self._flush()
 
@@ -64,8 +64,8 @@
                 self._pending_bytes = 0
                 return
             self._pending_bytes -= written
-            rest = self._pending[0][written:]
-            if rest:
-                self._pending[0] = rest
+            remaining = self._pending[0][written:]
+            if remaining:
+                self._pending[0] = remaining
             else:
                 self._pending.popleft()
--- a/src/hyssopvane/_internal/utils/logs.py
+++ b/src/hyssopvane/_internal/utils/logs.py
@@ -9,7 +9,7 @@
 
 from hyssopvane._internal.utils.log_sink import LogSink
 
-_PLAIN = frozenset(
+_UNQUOTED_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+,@%"
 )
 
@@ -50,7 +50,7 @@
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
-    return text if text and _PLAIN.issuperset(text) else json.dumps(text)
+    return text if text and _UNQUOTED_CHARACTERS.issuperset(text) else json.dumps(text)
 
 
 def _format_record(record: Any) -> str:
