--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -95,7 +95,7 @@
     assert_others_are_served(site)
 
 
-def test_half_a_body_and_gone(site):
+def test_caller_that_closes_in_the_middle_of_a_body_is_counted(site):
     before = count_refusals(site, "caller-gone")
     half = open_request(
         "POST",
--- a/tests/functional/test_build.py
+++ b/tests/functional/test_build.py
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     ("arguments", "text"), [(["--help"], "Usage:"), (["list"], "run entry")]
 )
-def test_program_tells_its_commands(program, arguments, text):
+def test_program_lists_its_commands(program, arguments, text):
     done = subprocess.run(
         [*program, *arguments], capture_output=True, text=True, check=True
     )
--- a/tests/functional/test_operations.py
+++ b/tests/functional/test_operations.py
@@ -21,7 +21,7 @@
 PAGE = Path(__file__).parents[2] / "docs/OPERATIONS.md"
 
 
-def play(tmp_path, test):
+def record_log(tmp_path, test):
     """Run a direct path and return the file of its log lines."""
     log = tmp_path / "entries.log"
 
@@ -53,7 +53,7 @@
     return done.stdout
 
 
-def test_refused_request_shows_the_load_that_refused_it(tmp_path):
+def test_refused_request_shows_the_load_at_its_refusal(tmp_path):
     """A caller was told to come back later, and asks why."""
 
     async def hang(replica, stream, request):
@@ -69,18 +69,18 @@
             assert answer.status == 503
             nursery.cancel_scope.cancel()
 
-    story = explain(play(tmp_path, test), "the-one")
-    assert "outcome=overloaded" in story
-    in_flight = float(re.search(r"in_flight=(\S+)", story)[1])
-    limit = float(re.search(r"limit=(\S+)", story)[1])
-    assert in_flight >= limit or "heard=0" in story
+    output = explain(record_log(tmp_path, test), "the-one")
+    assert "outcome=overloaded" in output
+    in_flight = float(re.search(r"in_flight=(\S+)", output)[1])
+    limit = float(re.search(r"limit=(\S+)", output)[1])
+    assert in_flight >= limit or "heard=0" in output
 
 
 async def _call_quietly(site, request_id):
     await site.call("/drafts/7", request_id=request_id)
 
 
-def test_cut_stream_shows_the_replica_that_broke_off(tmp_path):
+def test_cut_stream_shows_the_replica_that_failed(tmp_path):
     """A clerk's draft ended in the middle, and nobody knows which machine it was."""
 
     async def break_off(replica, stream, request):
@@ -93,8 +93,8 @@
         with pytest.raises(ReplicaFailed):
             await site.call("/once/7", request_id="the-one")
 
-    story = explain(play(tmp_path, test), "the-one")
-    first, second = story.splitlines()
+    output = explain(record_log(tmp_path, test), "the-one")
+    first, second = output.splitlines()
     assert "attempt-failed" in first
     assert "replica=i-broken" in first
     assert "outcome=cut" in second
@@ -112,10 +112,10 @@
         await site.add_replica("i-slow", answer_late)
         assert (await site.call("/status/7", request_id="the-one")).status == 200
 
-    story = explain(play(tmp_path, test), "the-one")
-    placed = int(re.search(r"placed_ms=(\S+)", story)[1])
-    first = int(re.search(r"first_ms=(\S+)", story)[1])
-    assert "replica=i-slow" in story
+    output = explain(record_log(tmp_path, test), "the-one")
+    placed = int(re.search(r"placed_ms=(\S+)", output)[1])
+    first = int(re.search(r"first_ms=(\S+)", output)[1])
+    assert "replica=i-slow" in output
     assert first - placed >= 250
 
 
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -64,7 +64,7 @@
     run(test)
 
 
-def test_swap_is_carried_out_or_shows_what_is_there():
+def test_swap_is_applied_or_returns_the_current_items():
     async def test(stand_in, store):
         swapped = await store.compare_and_swap([Swap("a", b"1", ABSENT)])
         assert isinstance(swapped, Swapped)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_refused_call_was_not_carried_out(status):
+def test_refused_call_is_reported_as_unavailable(status):
     async def test(stand_in, store):
         stand_in.answer_status = status
         with pytest.raises(KeyValueUnavailable):
@@ -103,7 +103,7 @@
     run(test)
 
 
-def test_lost_answer_of_a_write_says_that_nothing_is_known(monkeypatch):
+def test_write_with_a_lost_answer_has_an_unknown_outcome(monkeypatch):
     """The store carries a write out, and its answer is lost.
 
     Whoever took it for refused would write twice, or give up what it holds.
@@ -121,7 +121,7 @@
     run(test)
 
 
-def test_watch_gives_changes_in_order_and_ends_when_history_is_gone():
+def test_watch_yields_changes_in_order_and_ends_when_history_is_compacted():
     """The store forgets its history while a watch waits; changes would be missed."""
 
     async def test(stand_in, store):
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("written_since", [0, 1, 3])
-def test_watch_ends_when_the_store_has_come_back_from_a_copy(written_since):
+def test_watch_ends_when_the_store_is_restored_from_a_copy(written_since):
     """Guards against a watch that waits from a revision of before the return."""
 
     async def test(stand_in, store):
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("header", [b"", b"x", b"-1", b"1" * 5_000])
-def test_unreadable_era_tells_nothing(header):
+def test_invalid_era_header_is_ignored(header):
     """Guards against a damaged header that ends the process or drops all answers."""
 
     async def test(stand_in, store):
@@ -204,7 +204,7 @@
     run(test)
 
 
-def test_changes_of_a_later_era_are_not_given_to_a_watch():
+def test_watch_yields_no_changes_of_a_later_era():
     """Guards against changes that are counted on from a revision of before a return."""
 
     async def test(stand_in, store):
--- a/tests/lib/golden.py
+++ b/tests/lib/golden.py
@@ -9,11 +9,11 @@
 
 FOLDER = Path(__file__).parent.parent / "golden"
 # In this order: an id holds digits that the later patterns would touch.
-_PATTERNS = (
+_NUMBERED = (
     (r"[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}", "id"),
     (r"127\.0\.0\.1:\d+", "address"),
 )
-_DROPPED = (
+_REPLACED = (
     (r"time=\S+ ", ""),
     (r"seconds=\S+", "seconds=<seconds>"),
     (r"incarnation=\d+", "incarnation=<number>"),
@@ -49,9 +49,9 @@
     def render(self) -> str:
         """Return the session with ids, addresses and times normalised."""
         text = "\n".join(self._sections)
-        for pattern, replacement in _DROPPED:
+        for pattern, replacement in _REPLACED:
             text = re.sub(pattern, replacement, text)
-        for pattern, kind in _PATTERNS:
+        for pattern, kind in _NUMBERED:
             text = _number(text, pattern, kind)
         return text
 
--- a/tests/unit/test_deferred_metrics.py
+++ b/tests/unit/test_deferred_metrics.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("rounds", [1, 2])
-def test_all_that_was_counted_is_rendered_once(metrics, rounds):
+def test_each_count_is_rendered_once(metrics, rounds):
     for _ in range(rounds):
         count_some(metrics)
         text = metrics.render().decode()
@@ -39,7 +39,7 @@
     assert find("request_seconds_count", "drafting") == rounds
 
 
-def test_durations_are_bounded_until_somebody_collects_them(metrics, monkeypatch):
+def test_uncollected_durations_are_bounded(metrics, monkeypatch):
     monkeypatch.setattr(deferred_metrics, "MOST_KEPT", 10)
     for _ in range(25):
         metrics.record_duration(service="drafting", seconds=0.05)
--- a/tests/unit/test_deploy.py
+++ b/tests/unit/test_deploy.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("name", SYSTEM["roles"])
-def test_rendered_settings_fit_the_role_that_is_run(name):
+def test_rendered_settings_are_valid_for_their_role(name):
     role = SYSTEM["roles"][name]
     command = " ".join(role["run"].split()[3:5])
     assert command in COMMANDS
--- a/tests/unit/test_layers.py
+++ b/tests/unit/test_layers.py
@@ -54,7 +54,7 @@
         assert not found & IMPURE_MODULES, path.name
 
 
-def test_only_the_assembly_and_the_adapter_import_the_platform():
+def test_only_assembly_imports_the_platform_adapter():
     for path in sorted(ROOT.rglob("*.py")):
         if path.parent.name == "platform" or path == ROOT / "assembly.py":
             continue
@@ -62,7 +62,7 @@
         assert not found, path.relative_to(ROOT)
 
 
-def test_the_platforms_names_stand_in_its_folder_only():
+def test_platform_names_appear_only_in_the_adapter():
     words = ("kv-", "/api/", "x-tenant", "X-Tenant", "expert-map", "op/config")
     for path in sorted(ROOT.rglob("*.py")):
         if path.parent.name != "platform":
--- a/tests/unit/test_main.py
+++ b/tests/unit/test_main.py
@@ -32,7 +32,7 @@
         (["table", "show"], False),
     ],
 )
-def test_reload_during_the_start_ends_no_process(monkeypatch, arguments, ignored):
+def test_sighup_during_startup_is_ignored(monkeypatch, arguments, ignored):
     """Settings change on many machines while a process is just being started there.
 
     It has not yet loaded what takes the signal, and would end: the machine serves
@@ -49,7 +49,7 @@
     assert (found.found == signal.SIG_IGN) is ignored
 
 
-def test_role_starts_without_the_library_of_the_command_line():
+def test_role_starts_without_importing_cleo():
     """All machines have lost power, and callers wait for each entry's start."""
     loaded = subprocess.run(
         [
--- a/tests/unit/test_platform_formats.py
+++ b/tests/unit/test_platform_formats.py
@@ -57,7 +57,7 @@
         encode(make_configuration("x")),
     ],
 )
-def test_unreadable_configuration_is_an_error_with_a_remedy(value):
+def test_unreadable_configuration_is_an_error_with_a_hint(value):
     with pytest.raises(ConfigurationError) as raised:
         decode_configuration(value)
     assert raised.value.hint
