--- a/src/hyssopvane/_internal/platform/configuration.py
+++ b/src/hyssopvane/_internal/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decode the operators' configuration."""
+"""Decode the routes, services and tenants that operators configure."""
 
 from types import MappingProxyType
 from typing import Annotated, Literal
@@ -28,7 +28,7 @@
 
 CONFIGURATION_KEY = "op/config"
 
-_HINT = "write a new version; the last one that could be read stays in force"
+_HINT = "write a new version; the last readable one stays in force"
 _MILLISECONDS = 1_000.0
 _TOKENS_PER_K = 1_000.0
 _KINDS = {
@@ -73,9 +73,9 @@
     chunk: Count = 0
     expert_sets: Count | None = Field(None, alias="expert-sets")
     experts: Positive = 1
-    # The name says where experts are put; it holds how many fit.
+    # Despite its name, the number of experts that fit on a rank.
     placement: Positive = 1
-    # The name says free places; it holds how many experts an order may add.
+    # Despite its name, the number of experts that one order may add.
     spare: Count = 0
     expert_share: Annotated[float, Field(ge=0, le=1)] = Field(0.0, alias="expert-share")
     expert_mb: Measure = Field(0.0, alias="expert-mb")
@@ -105,7 +105,7 @@
 
 
 class Configuration(Document):
-    """Describe all routes, services and tenants."""
+    """Represent the configuration document of all routes, services and tenants."""
 
     version: Count
     routes: list[_Route]
@@ -115,7 +115,7 @@
 
 
 def decode_configuration(value: bytes) -> RoutingTable:
-    """Return the configuration that a value holds."""
+    """Return the routing table of a stored value; raise `ConfigurationError`."""
     document = read_document(
         Configuration,
         value,
@@ -144,7 +144,9 @@
         split = (SplitPart(item.service, 1),)
     if not sum(part.weight for part in split):
         raise ConfigurationError(
-            "a route leads to no service", context=item.name, hint=_HINT
+            "a route has no service with a positive weight",
+            context=item.name,
+            hint=_HINT,
         )
     return Route(
         name=item.name,
--- a/src/hyssopvane/_internal/platform/documents.py
+++ b/src/hyssopvane/_internal/platform/documents.py
@@ -1,4 +1,4 @@
-"""Check the documents that others write, before anything reads them."""
+"""Validate documents from outside the system before they are used."""
 
 from typing import Annotated, TypeVar
 
@@ -7,17 +7,17 @@
 from hyssopvane._internal.exceptions import ConfigurationError
 
 MAX_NUMBER = 2**53
-"""Largest whole number that is taken: the largest that each JSON reader keeps exact.
+"""Largest accepted whole number, which every JSON reader represents exactly.
 
-Larger ones don't fit the fields of the messages between processes, and a writer that
-means one has made a mistake.
+Larger ones don't fit the fields of the messages between processes, and are an error of
+the writer.
 """
 
 MAX_MILLISECONDS = 86_400_000.0
-"""Longest time that is taken, one day: longer ones overflow sums of clock values."""
+"""Longest accepted time, one day: longer ones overflow sums of clock values."""
 
 MAX_NAME = 256
-"""Longest name that is taken, in characters: keys of the store have 200 bytes."""
+"""Longest accepted name, in characters: keys of the store have 200 bytes."""
 
 Count = Annotated[int, Field(ge=0, le=MAX_NUMBER)]
 Name = Annotated[str, Field(min_length=1, max_length=MAX_NAME)]
@@ -26,10 +26,10 @@
 
 
 class Document(BaseModel):
-    """Hold one checked document; fields that are not known are left out.
+    """Validate one document; ignore unknown fields.
 
-    Types are taken as they are written: a number in quotes, a list for a name or a true
-    for a number is a mistake of the writer, and guessing at it would hide it.
+    Values are not converted between types: a number in quotes, a list for a name or a
+    true for a number is an error of the writer, which a conversion would hide.
     """
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
@@ -39,7 +39,7 @@
 
 
 def read_document(kind: type[_Kind], body: bytes, *, context: str, hint: str) -> _Kind:
-    """Return a checked document; raise `ConfigurationError`."""
+    """Parse and validate a JSON document; raise `ConfigurationError`."""
     try:
         return kind.model_validate_json(body)
     except ValidationError as error:
@@ -51,12 +51,12 @@
 
 
 def _describe(error: ValidationError) -> str:
-    """Return the first fault only: a hostile document has thousands."""
+    """Return the first error and their count: a hostile document has thousands."""
     first = error.errors(include_url=False, include_context=False, include_input=False)
     where = ".".join(str(part) for part in first[0]["loc"][:4])
     why = f"{where}: {first[0]['msg']}"[:_MAX_REASON]
-    return f"{why} ({error.error_count()} faults)"
+    return f"{why} ({error.error_count()} errors)"
 
 
 _MAX_REASON = 160
-"""Longest reason that is logged, in characters."""
+"""Longest logged reason, in characters."""
--- a/src/hyssopvane/_internal/platform/ranks.py
+++ b/src/hyssopvane/_internal/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Call the ranks of groups."""
+"""Read reports of ranks and send them orders over HTTP."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -31,10 +31,10 @@
 from hyssopvane._internal.utils.logs import log_event
 
 ANSWER_TIMEOUT_S = 0.15
-"""Time for a report: a rank answers in a millisecond, or not at all."""
+"""Timeout of a report: a rank answers in a millisecond, or not at all."""
 
 ORDER_TIMEOUT_S = 0.06
-"""Time for an order, after which it is given again: a pass may be held meanwhile."""
+"""Timeout of an order, after which it is resent: a pass may be held meanwhile."""
 
 _MAX_BODY_BYTES = 8 * 1024 * 1024
 _JSON = (b"content-type", b"application/json")
@@ -47,7 +47,7 @@
 
 
 class PlatformRanks(RankControl):
-    """Speak to ranks over kept connections."""
+    """Call ranks over a pool of persistent connections."""
 
     def __init__(self) -> None:
         self._client = ReplicaClient()
--- a/src/hyssopvane/_internal/platform/registrations.py
+++ b/src/hyssopvane/_internal/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Decode what replicas write of themselves into the store."""
+"""Decode the registrations that replicas write to the store."""
 
 import re
 from typing import Annotated, Literal
@@ -17,41 +17,43 @@
 REPLICAS_PREFIX = "servers/"
 
 MAX_SLOTS = 65_535
-"""Largest number of requests at once that is believed: messages hold no larger one."""
+"""Largest accepted number of concurrent requests, a 16-bit field in messages."""
 
 MAX_REGISTRATION_BYTES = 65_536
-"""Largest registration that is read. Real ones have some 300 bytes, and each process
-reads all of them again at each start."""
+"""Largest registration that is decoded.
+
+Real ones have some 300 bytes, and each process reads all of them at each start.
+"""
 
 _ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
-"""An id is sent on in a header, where a line break would begin another one."""
+"""Ids are forwarded in a header, where a line break would begin another header."""
 
 _OCTET = r"(25[0-5]|2[0-4]\d|1?\d?\d)"
 Address = Annotated[str, Field(pattern=rf"^{_OCTET}(\.{_OCTET}){{3}}:[1-9]\d{{0,4}}$")]
 
 _MAX_PORT = 65_535
-_HINT = "the replica is left out until it registers again"
+_HINT = "the replica is ignored until it registers again"
 
 
 class Registration(Document):
-    """Describe a replica as it registered itself."""
+    """Represent the registration document of a replica."""
 
     service: Name
     address: Address
     zone: Name
     slots: Annotated[int, Field(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
-    # The millisecond of the replica's start by its own clock. Not all deployments tell
-    # it; a start that is told as anything but a whole number is no start.
+    # The replica's start by its own clock, in ms. Not all deployments send it. Anything
+    # but a whole number makes the registration invalid.
     born: Count = 0
 
 
 def decode_replica(key: str, value: bytes) -> Replica:
-    """Return the replica that a registration describes."""
+    """Return the replica of a registration; raise `ConfigurationError`."""
     replica_id = key.removeprefix(REPLICAS_PREFIX)
     if not _ID.fullmatch(replica_id):
         raise ConfigurationError(
-            "the id of a replica may hold letters, digits and . _ : - only",
+            "the id of a replica may contain only letters, digits and . _ : -",
             context=repr(key[:200]),
             hint=_HINT,
         )
@@ -62,7 +64,7 @@
     found = read_document(Registration, value, context=key, hint=_HINT)
     if int(found.address.rpartition(":")[2]) > _MAX_PORT:
         raise ConfigurationError(
-            f"no address: {found.address}", context=key, hint=_HINT
+            f"the port is out of range: {found.address}", context=key, hint=_HINT
         )
     return Replica(
         id=replica_id,
--- a/src/hyssopvane/_internal/platform/reports.py
+++ b/src/hyssopvane/_internal/platform/reports.py
@@ -1,4 +1,4 @@
-"""Decode what a rank reports, and encode the orders that it takes."""
+"""Decode the reports of ranks, and encode orders to them."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -28,13 +28,13 @@
 ORDER_PATH = b"/api/order"
 
 MAX_RANKS = 4_096
-"""Largest group that is believed; the largest that is planned for has 64 ranks."""
+"""Largest accepted group; the largest that is planned for has 64 ranks."""
 
 MAX_EXPERTS = 65_535
-"""Experts of all sets that are believed: messages number them in two bytes."""
+"""Largest accepted number of experts of all sets: messages use two-byte numbers."""
 
 MAX_REQUESTS = 65_535
-"""Requests of a replica that are believed: messages hold no larger number."""
+"""Largest accepted number of requests of a replica, a 16-bit field in messages."""
 
 _MAX_LOGGED_BYTES = 200
 """Bytes of an unreadable document that are logged."""
@@ -58,7 +58,7 @@
 
 
 class Report(Document):
-    """Describe a replica as it reports of itself."""
+    """Represent the report document of a replica."""
 
     group: _Group | None = None
     size: Annotated[int, Field(ge=1, le=MAX_RANKS)] = 1
@@ -73,14 +73,14 @@
     armed: _Armed | Count | list[_Armed] | None = None
     held: Count | _Armed | None = None
     busy: bool = False
-    # The name says sequence; it counts the orders that were accepted since the start.
+    # Despite its name, the number of orders that the rank accepted since its start.
     seq: Count = 0
-    # The millisecond of the replica's start by its own clock, where it is told.
+    # The replica's start by its own clock, in ms; 0 if it is not sent.
     born: Count = 0
 
 
 def decode_report(body: bytes) -> RankReport:
-    """Return the report of a rank."""
+    """Return the report of a rank; raise `ConfigurationError`."""
     item = _read(Report, body)
     group = item.group
     armed = item.armed[0] if isinstance(item.armed, list) and item.armed else item.armed
@@ -106,16 +106,16 @@
 
 
 class Picks(Document):
-    """Hold how often each expert was chosen, set by set, since the rank started."""
+    """Represent how often each expert was chosen since the rank started."""
 
     step: Count
     epoch: Count
-    # One list for all sets, one set behind the other.
+    # One list of all sets, in order of the sets.
     counts: Annotated[tuple[Count, ...], Field(max_length=MAX_EXPERTS, strict=False)]
 
 
 def decode_counts(body: bytes) -> Picks:
-    """Return the counts of a rank."""
+    """Return the expert counts of a rank; raise `ConfigurationError`."""
     return _read(Picks, body)
 
 
@@ -124,14 +124,14 @@
 
 
 class Experts(Document):
-    """Hold the experts of one rank."""
+    """Represent the experts of one rank."""
 
-    # Despite the name this holds one rank's experts, not the whole map.
+    # Despite its name, the experts of one rank and not the whole map.
     lists: _Experts | _ExpertsBySet = Field(alias="expert-map")
 
 
 def decode_experts(body: bytes) -> tuple[tuple[int, ...], ...]:
-    """Return the experts on a rank, by set."""
+    """Return the experts on a rank, by set; raise `ConfigurationError`."""
     lists = _read(Experts, body).lists
     found = lists.experts if isinstance(lists, _Experts) else lists
     return tuple(tuple(one) for one in found)
@@ -139,11 +139,11 @@
 
 def _read(kind: type[_Kind], body: bytes) -> _Kind:
     context = body[:_MAX_LOGGED_BYTES].decode("latin1")
-    return read_document(kind, body, context=context, hint="the rank is asked again")
+    return read_document(kind, body, context=context, hint="the rank is polled again")
 
 
 def encode_order(order: RankOrder) -> bytes:
-    """Return the body of an order."""
+    """Return an order as the JSON body of a request."""
     return json.dumps(_describe(order)).encode()
 
 
--- a/src/hyssopvane/_internal/platform/store.py
+++ b/src/hyssopvane/_internal/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's metadata store."""
+"""Implement the key-value store on the platform's metadata store."""
 
 import base64
 import json
@@ -35,22 +35,25 @@
 from hyssopvane._internal.utils.logs import log_event
 
 CALL_TIMEOUT_S = 1.0
-"""Time for an answer: the store answers in 4 ms, and in 0.3 s when it is slow."""
+"""Timeout of a call: the store answers in 4 ms, and in 0.3 s when it is slow."""
 
 AGENT_WATCH_S = 20.0
-"""Time that an agent's watch waits for a change before it is asked again: it has more
-time than an entry's, each call is paid for, and the store allows 30 s."""
+"""Time that an agent's watch waits for a change before it polls again.
+
+An agent may learn of changes later than an entry, and each call has a cost. The store
+allows 30 s.
+"""
 
 WATCH_PAUSE_S = 0.4
-"""Pause after a watch has brought changes, before it is asked again.
+"""Pause of a watch after it has received changes, before it polls again.
 
-Replicas register one by one when they start, for some seconds. Asked again at once, a
-watch costs a call for each registration and process, and calls are paid for. The pause
-is a fifth of the two seconds that an accepted change may take.
+Replicas that start register one by one for some seconds. Without a pause, a watch makes
+a call for each registration in each process, and calls have a cost. The pause is a
+fifth of the two seconds in which an accepted change must take effect.
 """
 
 AGENT_WATCH_PAUSE_S = 5.0
-"""As above, for agents, which only have to find each other."""
+"""Pause of an agent's watch: agents need the store only to find each other."""
 
 _MAX_BODY_BYTES = 16 * 1024 * 1024
 _JSON = (b"content-type", b"application/json")
@@ -66,12 +69,12 @@
 
 
 class _HistoryGone(Exception):
-    """Tell that changes since a revision are no longer known."""
+    """Report that the store no longer has the changes since a revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """Hold an answer of the store."""
+    """Hold the status, the decoded body and the era of an answer."""
 
     status: int
     document: Any
@@ -79,7 +82,7 @@
 
 
 class PlatformStore(KeyValueStore):
-    """Speak to the store over one pool of connections."""
+    """Call the platform's store over one pool of connections."""
 
     def __init__(
         self, *, address: str, watch_s: float = WATCH_S, pause_s: float = WATCH_PAUSE_S
@@ -89,12 +92,12 @@
         self._pause_s = pause_s
         self._client = ReplicaClient()
         self._era = 0
-        """How often the store has come back from an older copy; 0 where not told."""
+        """Number of the store's restores from older copies; 0 until it sends one."""
         self._pending_watches: dict[trio.CancelScope, int] = {}
-        """Scopes of the watches that wait for changes, and their eras."""
+        """Cancel scopes of the watches in progress, with their eras."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Do nothing: connections are opened when they are needed."""
+        """Do nothing: connections are opened on demand."""
 
     async def close(self) -> None:
         await self._client.close()
@@ -112,7 +115,8 @@
             first = first or answer
             if answer.era != first.era:
                 raise KeyValueUnavailable(
-                    "the store came back from a copy between two pages", context=prefix
+                    "the store was restored from a copy between two pages",
+                    context=prefix,
                 )
             page = answer.document
             items += [_read_item(item) for item in page["items"]]
@@ -120,8 +124,8 @@
                 break
             query["after"] = items[-1].key
         kept = tuple(item for item in items if item.revision >= min_revision)
-        # Pages are read one after the other: changes since the first are seen again by
-        # whoever watches from its revision.
+        # The pages are read one by one. The snapshot has the revision of the first one,
+        # so a watch from there receives the changes made during the read once more.
         return Snapshot(int(first.document["at"]), kept, first.era)
 
     async def compare_and_swap(
@@ -152,7 +156,7 @@
             return SwapLost(tuple(_read_item(item) for item in items))
         if answer.status == _NOT_FOUND:
             raise KeyValueRefused(
-                "the lease of a key has ended", hint="take a new lease and try again"
+                "the lease of a key has expired", hint="grant a new lease and retry"
             )
         return Swapped(int(answer.document["revision"]))
 
@@ -190,7 +194,7 @@
         era: int,
         send: trio.MemorySendChannel[WatchEvent],
     ) -> None:
-        # The store gives the changes after a revision, the interface those from one on.
+        # The store returns the changes after a revision; `watch` takes the first.
         after = start_revision - 1
         async with send:
             try:
@@ -223,8 +227,8 @@
                 )
             finally:
                 del self._pending_watches[scope]
-        # Revisions are given out again after a return: the watch may have missed what
-        # was written at those that it has seen in the era before.
+        # The store reuses revisions after a restore. The watch may have missed writes
+        # at revisions that it had already passed in the previous era.
         if answer is None or answer.era != era or answer.status == _HISTORY_GONE:
             raise _HistoryGone
         events = [_read_event(event) for event in answer.document["events"]]
@@ -241,7 +245,7 @@
         try:
             return await self._call("GET", target, None, timeout_s=timeout_s)
         except KeyValueUnknown as error:
-            # A read changes nothing: without an answer it may just be asked again.
+            # A read changes nothing, so it may be retried without an answer.
             raise KeyValueUnavailable(error.message, context=target) from error
 
     async def _write(self, method: str, path: str, body: Any) -> _Answer:
@@ -279,12 +283,12 @@
         era = self._update_era(era_header)
         if era < self._era:
             raise KeyValueUnknown(
-                "the store has come back from a copy since it answered", context=target
+                "the store was restored from a copy after this answer", context=target
             )
         return _Answer(status, _check_answer(status, answer, target), era)
 
     def _update_era(self, header: bytes | None) -> int:
-        """Return the era of an answer, and end all watches when it is a new one."""
+        """Return the era of an answer; on a new era, end the watches of older ones."""
         if header is None or not header.isdigit() or len(header) > _MAX_ERA_DIGITS:
             return self._era
         era = int(header)
@@ -296,7 +300,7 @@
 
 
 def _check_answer(status: int, answer: bytes, target: str) -> Any:
-    """Return the document of an answer; raise where nothing was done or understood."""
+    """Return the JSON of an answer; raise `KeyValueError` if it is not usable."""
     if status in _BUSY:
         raise KeyValueUnavailable(f"the store answered {status}", context=target)
     if status not in {_OK, _NOT_FOUND, _CONFLICT, _HISTORY_GONE}:
@@ -309,7 +313,7 @@
         return json.loads(answer) if answer else {}
     except ValueError as error:
         raise KeyValueUnknown(
-            "the store's answer is no JSON", context=target
+            "the store's answer is not JSON", context=target
         ) from error
 
 
--- a/src/hyssopvane/_internal/platform/wire.py
+++ b/src/hyssopvane/_internal/platform/wire.py
@@ -1,4 +1,4 @@
-"""Name the platform's headers, keys and paths, and decode by them."""
+"""Define the platform's headers and paths, and its format of routing data."""
 
 from hyssopvane._internal.coordination.routing_feed import RoutingFormat
 from hyssopvane._internal.platform.configuration import (
@@ -32,7 +32,7 @@
 
 
 class PlatformFormat(RoutingFormat):
-    """Decode the operators' configuration and the replicas' registrations."""
+    """Decode the configuration and the registrations in the platform's format."""
 
     configuration_key = CONFIGURATION_KEY
     replicas_prefix = REPLICAS_PREFIX
