--- a/src/hyssopvane/_internal/__init__.py
+++ b/src/hyssopvane/_internal/__init__.py
@@ -1,1 +1,1 @@
-"""Hold everything that is not public."""
+"""Contain the implementation, which is not a public interface."""
--- a/src/hyssopvane/_internal/assembly.py
+++ b/src/hyssopvane/_internal/assembly.py
@@ -1,7 +1,7 @@
-"""Put the roles together from their parts.
+"""Create the roles from their components and run them.
 
-Imports are made where they are used: a process loads only what its own role needs,
-since the memory of hundreds of processes is paid for.
+Imports are local, so that a process loads only the modules of its own role: the memory
+of hundreds of processes has a cost.
 """
 
 import gc
@@ -28,7 +28,7 @@
 
 
 def run_process(settings: AnySettings, *, path: str) -> bool:
-    """Run until SIGTERM or SIGINT, drain, close; tell whether all requests ended."""
+    """Run until SIGTERM or SIGINT and drain; return whether all requests ended."""
     reload: Callable[[], AnySettings] = partial(load_settings, path)
     level, role, vm = settings.log_level, settings.role, settings.vm
     if isinstance(settings, EntrySettings | AgentSettings):
@@ -46,14 +46,14 @@
 
 async def _run(settings: AnySettings, reload: Callable[[], AnySettings]) -> bool:
     role = make_role(settings)
-    # What was loaded stays until the end: it need not be looked through for garbage.
+    # Loaded modules live until the process ends, so the collector need not scan them.
     gc.freeze()
     gc.enable()
     return await run_until_signal(role, settings, reload=reload)
 
 
 def make_role(settings: AnySettings) -> Role:
-    """Create the role that the settings name."""
+    """Create the role of the settings."""
     match settings:
         case EntrySettings():
             from hyssopvane._internal.roles.entry import Entry
--- a/src/hyssopvane/_internal/exceptions.py
+++ b/src/hyssopvane/_internal/exceptions.py
@@ -1,8 +1,8 @@
-"""Define every error that a user of the system can meet."""
+"""Define the errors that the system reports to its users."""
 
 
 class HyssopvaneError(Exception):
-    """Tell what went wrong, where, and what to do next."""
+    """Report an error with its context and a hint on what to do."""
 
     def __init__(self, message: str, *, context: str = "", hint: str = "") -> None:
         super().__init__(message)
@@ -17,15 +17,15 @@
 
 
 class SettingsError(HyssopvaneError):
-    """Report a settings file that can't be used."""
+    """Report invalid settings."""
 
 
 class TableError(HyssopvaneError):
-    """Report an edit or an import that the table refuses."""
+    """Report an edit or an import that the table rejects."""
 
 
 class EditConflict(TableError):
-    """Report a cell that another operator changed first."""
+    """Report a cell that another operator has changed in the meantime."""
 
 
 class KeyValueError(HyssopvaneError):
@@ -33,15 +33,15 @@
 
 
 class KeyValueUnavailable(KeyValueError):
-    """Report a call that was certainly not carried out."""
+    """Report a call that was certainly not applied."""
 
 
 class KeyValueUnknown(KeyValueError):
-    """Report a write that may or may not have been carried out."""
+    """Report a write that may or may not have been applied."""
 
 
 class KeyValueRefused(KeyValueError):
-    """Report a call that the service refuses and that must not be sent again as is."""
+    """Report a rejected call, which must not be retried unchanged."""
 
 
 class ClaimExpired(HyssopvaneError):
@@ -49,24 +49,24 @@
 
 
 class VmListError(HyssopvaneError):
-    """Report the platform's list of VMs that can't be read."""
+    """Report a failure to read the platform's list of VMs."""
 
 
 class ProtocolError(HyssopvaneError):
-    """Report a peer that does not keep to the internal protocol."""
+    """Report a peer that violates the internal protocol."""
 
 
 class PeerLost(HyssopvaneError):
-    """Report a connection to a peer that closed or went silent."""
+    """Report a connection to a peer that was closed or timed out."""
 
 
 class OperatorRequestError(HyssopvaneError):
-    """Report an operators' call that a process did not answer as asked."""
+    """Report a request of an operator that can't be answered."""
 
 
 class MapSwitchError(HyssopvaneError):
-    """Report a record, an order or an engine of an expert map that can't be used."""
+    """Report an unusable record, order or engine of an expert map."""
 
 
 class ConfigurationError(HyssopvaneError):
-    """Report a configuration, a registration or a report that can't be read."""
+    """Report an invalid configuration, registration or report."""
--- a/src/hyssopvane/_internal/models/__init__.py
+++ b/src/hyssopvane/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small value types."""
+"""Define the settings and the refusals that callers and entries receive."""
--- a/src/hyssopvane/_internal/models/direct_refusals.py
+++ b/src/hyssopvane/_internal/models/direct_refusals.py
@@ -1,11 +1,11 @@
-"""Name why a caller on the direct path got no answer of a replica."""
+"""Define the refusals on the direct path, where entries call replicas directly."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class DirectRefusal(StrEnum):
-    """Name a reason."""
+    """List the reasons why an entry answers instead of a replica."""
 
     NOT_READY = "not-ready"
     MALFORMED = "malformed"
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectAnswer:
-    """Hold an entry's own answer.
+    """Represent an answer of the entry itself.
 
-    A status of 502 or 504 promises nothing; all others say that the request has not
-    run and never will.
+    A status of 502 or 504 leaves open whether the request ran. All others guarantee
+    that it has not run and never will.
     """
 
     reason: DirectRefusal
--- a/src/hyssopvane/_internal/models/refusals.py
+++ b/src/hyssopvane/_internal/models/refusals.py
@@ -1,11 +1,11 @@
-"""Define what a caller is told about its request: outcomes and refusals."""
+"""Define the outcomes and refusals that callers receive."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """Tell whether a request ran at a target."""
+    """State whether a request ran at a target."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -13,7 +13,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Name why a request got no answer from a target."""
+    """List the reasons why a request got no answer from a target."""
 
     MALFORMED = "malformed"
     UNKNOWN_CALLER = "unknown-caller"
@@ -46,7 +46,7 @@
 
 
 class AgentRefusal(StrEnum):
-    """Name why an agent did not start an attempt."""
+    """List the reasons why an agent did not start an attempt."""
 
     LEAVING = "leaving"
     WRONG_INCARNATION = "wrong-incarnation"
@@ -60,16 +60,16 @@
     KEY_OTHER = "key-other"
     CANCELLED = "cancelled"
     NOT_CONNECTED = "not-connected"
-    """Said by the entry itself, which never sent the attempt."""
+    """Set by the entry itself, which never sent the attempt."""
 
     @property
     def proves_not_run(self) -> bool:
-        """Tell whether the attempt never ran and never will."""
+        """Return whether the attempt certainly never ran and never will."""
         return self not in _MAY_HAVE_RUN
 
 
-# An earlier copy of the attempt, or another attempt of the key, has started; or what is
-# known of the key has been forgotten.
+# An earlier copy of the attempt or another attempt of the key has started, or the
+# record of the key was removed.
 _MAY_HAVE_RUN = frozenset(
     {
         AgentRefusal.DUPLICATE_ATTEMPT,
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalRule:
-    """Describe how a refusal reads to the caller."""
+    """Define the HTTP status and the hint that a caller receives with a refusal."""
 
     status: int
     remedy: str
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Tell a caller why it gets no answer, what is known, and when to come back."""
+    """Represent a refusal: its reason, the request's outcome and when to retry."""
 
     reason: RefusalReason
     outcome: Outcome
--- a/src/hyssopvane/_internal/models/settings.py
+++ b/src/hyssopvane/_internal/models/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings that a process reads at its start."""
+"""Define and validate the settings of a process."""
 
 import json
 from pathlib import Path
@@ -9,7 +9,7 @@
 from hyssopvane._internal.exceptions import SettingsError
 
 Address = Annotated[str, Field(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
-"""An IP number and a port, such as 10.0.0.7:8080; port 0 lets the kernel choose."""
+"""An IP address and a port, as in 10.0.0.7:8080; the kernel chooses for port 0."""
 
 _KILL_MARGIN_S = 0.3
 _BITS_PER_MEGABIT = 1e6
@@ -28,26 +28,26 @@
     vm_list: Address
     """Address of the platform's list of live and leaving VMs."""
     token: Annotated[str, Field(min_length=16)]
-    """Shared secret of the system's own processes and its operators."""
+    """Shared secret of the system's processes and its operators."""
     operators: Address = "127.0.0.1:0"
     """Address of the operators' listener."""
     heartbeat_s: Annotated[float, Field(gt=0, le=10)] = 0.5
     silence_s: Annotated[float, Field(gt=0, le=60)] = 3.0
-    """Silence on an internal connection after which it is closed."""
+    """Time without data after which an internal connection is closed."""
     shutdown_delay_s: Annotated[float, Field(ge=0, le=300)] = 3.0
-    """Time for the platform's balancer to see that the process is leaving."""
+    """Time for the platform's balancer to detect that the process is leaving."""
     longest_request_s: Annotated[float, Field(gt=0, le=86_400)] = 600.0
-    """Time that requests in progress get to end at a graceful shutdown."""
+    """Time limit of requests in progress at a graceful shutdown."""
     log_level: Literal["debug", "info", "warning", "error"] = "info"
 
     @property
     def drain_limit_s(self) -> float:
-        """Return the time that a graceful shutdown may take."""
+        """Return the time limit of a graceful shutdown."""
         return self.shutdown_delay_s + self.longest_request_s
 
 
 class _DirectSettings(BaseModel):
-    """Describe a process on the direct path, where no VM keeps anything."""
+    """Hold the settings of a process on the direct path, where VMs store no data."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -56,11 +56,11 @@
     store: Address
     """Address of the platform's key-value service."""
     messages: Address
-    """Address for datagrams between the system's own processes."""
+    """Address for datagrams between the system's processes."""
     agent_port: Annotated[int, Field(ge=0, le=65_535)]
-    """Port on which agents take datagrams."""
+    """Port on which agents receive datagrams."""
     entry_port: Annotated[int, Field(ge=0, le=65_535)]
-    """Port on which entries take datagrams and give what they know."""
+    """Port on which entries receive datagrams and serve their store snapshot."""
     metrics: Address
     """Address on which metrics are served."""
     grace_s: Annotated[float, Field(gt=0, le=86_400)] = 8.0
@@ -69,67 +69,67 @@
 
     @property
     def drain_limit_s(self) -> float:
-        """Return the time that a graceful shutdown may take."""
-        # What is still running is ended in order just before the process is killed.
+        """Return the time limit of a graceful shutdown."""
+        # Remaining requests are ended in an orderly way just before SIGKILL.
         return self.grace_s - _KILL_MARGIN_S
 
 
 class DirectEntrySettings(_DirectSettings):
-    """Describe an entry that speaks to replicas directly."""
+    """Hold the settings of an entry that calls replicas directly."""
 
     role: Literal["direct-entry"]
     callers: Address
     readiness: Address
-    """Address on which the balancer asks whether the entry takes requests."""
+    """Address on which the balancer checks whether the entry accepts requests."""
     beliefs: Address
-    """Address on which other entries read what this one has learnt from the store."""
+    """Address on which other entries read this entry's snapshot of the store."""
     seeds: tuple[Address, ...] = ()
-    """Such addresses of other entries, some of which may be out of date."""
+    """Snapshot addresses of other entries; some may be out of date."""
     repeat_share: Annotated[float, Field(ge=0, le=1)] = 0.1
-    """Repeats that are allowed for each fresh request of a service."""
+    """Retries allowed for each new request of a service."""
     repeat_slack: Annotated[int, Field(ge=0)] = 10
-    """Repeats that are allowed beyond the share, in each window."""
+    """Retries allowed in addition to the share, in each window."""
 
 
 class RankAgentSettings(_DirectSettings):
-    """Describe the agent beside a replica that others speak to directly."""
+    """Hold the settings of the agent of a replica that entries call directly."""
 
     role: Literal["rank-agent"]
     replica: Address
     service: Annotated[str, Field(min_length=1)]
     link_mbps: Annotated[float, Field(gt=0)] = 1_000.0
-    """Speed of the VM's own link: large messages are sent at its pace."""
+    """Speed of the VM's network link: large messages are sent at this rate."""
 
     @property
     def link_bits_per_s(self) -> float:
-        """Return the speed of the VM's own link."""
+        """Return the speed of the VM's network link in bit/s."""
         return self.link_mbps * _BITS_PER_MEGABIT
 
 
 class EntrySettings(_Settings):
-    """Describe one entry process."""
+    """Hold the settings of an entry."""
 
     role: Literal["entry"]
     callers: Address
     """Address of the callers' listener."""
     peers: Address
-    """Address on which the entry listens for other entries."""
+    """Address of the listener for other entries."""
     max_body_bytes: Annotated[int, Field(ge=1)] = 16 * 1024 * 1024
     max_connections: Annotated[int, Field(ge=1)] = 10_000
 
 
 class AgentSettings(_Settings):
-    """Describe one agent process."""
+    """Hold the settings of an agent."""
 
     role: Literal["agent"]
     target: Address
-    """Address of the target beside the agent."""
+    """Address of the target on the agent's VM."""
     service: Name
-    """Service that the target belongs to."""
+    """Service of the target."""
     entries: Address
-    """Address on which the agent listens for entries."""
+    """Address of the listener for entries."""
     group: Annotated[str, Field(pattern=r"^([a-z0-9][a-z0-9-]{0,62})?$")] = ""
-    """Group whose expert map the target's rank uses; empty when it is in none."""
+    """Group whose expert map the target's rank uses; empty if it is in none."""
 
 
 AnySettings = EntrySettings | AgentSettings | DirectEntrySettings | RankAgentSettings
@@ -138,27 +138,27 @@
 
 
 def load_settings(path: str | Path) -> AnySettings:
-    """Read and check a settings file; raise `SettingsError` when it can't be used."""
+    """Read and validate a settings file; raise `SettingsError`."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
         raise SettingsError(
             f"the settings file can't be read: {error.strerror}",
             context=str(path),
-            hint="name a readable JSON file",
+            hint="give the path of a readable JSON file",
         ) from error
     return parse_settings(text, source=str(path))
 
 
 def parse_settings(text: str, *, source: str) -> AnySettings:
-    """Check settings given as JSON text."""
+    """Validate settings given as JSON text; raise `SettingsError`."""
     try:
         document = json.loads(text)
     except json.JSONDecodeError as error:
         raise SettingsError(
             f"the settings are not JSON: {error.msg}",
             context=f"{source}, line {error.lineno}, column {error.colno}",
-            hint="correct the text at this place",
+            hint="correct the JSON at this position",
         ) from error
     try:
         return _ADAPTER.validate_python(document)
