--- a/src/hyssopvane/_internal/cli/application.py
+++ b/src/hyssopvane/_internal/cli/application.py
@@ -18,12 +18,12 @@
     """Run commands and return their exit codes."""
 
     def run_arguments(self, arguments: list[str]) -> int:
-        """Run the command that the arguments name."""
+        """Run the command given by the arguments and return its exit code."""
         return int(self.run(ArgvInput(["hyssopvane", *arguments])))
 
 
 def build_application() -> HyssopvaneApplication:
-    """Create the application with every command of the registry."""
+    """Create the application with all commands of the registry."""
     application = HyssopvaneApplication("hyssopvane", __version__)
     application.auto_exits(False)
     application.set_command_loader(
--- a/src/hyssopvane/_internal/cli/base.py
+++ b/src/hyssopvane/_internal/cli/base.py
@@ -1,4 +1,4 @@
-"""Share the behaviour of every command."""
+"""Define the base class of all commands."""
 
 from abc import abstractmethod
 
@@ -9,11 +9,11 @@
 
 
 class BaseCommand(CleoCommand):
-    """Turn a typed error into a message and an exit code."""
+    """Convert a `HyssopvaneError` to a message and an exit code."""
 
     @abstractmethod
     def run_command(self) -> StatusCode:
-        """Carry out the command."""
+        """Run the command and return its exit code."""
 
     def handle(self) -> int:
         try:
--- a/src/hyssopvane/_internal/cli/main.py
+++ b/src/hyssopvane/_internal/cli/main.py
@@ -1,4 +1,4 @@
-"""Start the command that the arguments name."""
+"""Define the entry point of the command line."""
 
 import gc
 import signal
@@ -12,12 +12,13 @@
     """Run one command and return its exit code."""
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given[:1] == [_RUN]:
-        # Loading a role takes a second. The default action of SIGHUP would end a
-        # process that is told meanwhile to read its settings, which it will do anyway.
+        # Loading a role takes a second. A SIGHUP that asks for a reload of the settings
+        # in that time would end the process by its default action. Ignoring it loses
+        # nothing, since the settings are read after that.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        # Nothing that is loaded becomes garbage, and looking for it is a seventh of the
-        # time that loading an entry takes. After a failure of all VMs callers wait for
-        # that. The role turns it on again.
+        # Loading creates no garbage, and collection takes a seventh of the time to load
+        # an entry. Callers wait for that after a failure of all VMs. The process of the
+        # role enables collection again.
         gc.disable()
 
     from hyssopvane._internal.cli.role_process import is_plain_run, run_plain
--- a/src/hyssopvane/_internal/cli/operator_base.py
+++ b/src/hyssopvane/_internal/cli/operator_base.py
@@ -1,4 +1,4 @@
-"""Share the behaviour of the commands that ask an entry's operators' listener."""
+"""Define the base class of commands that query an entry's operators' listener."""
 
 import os
 from abc import abstractmethod
@@ -20,31 +20,31 @@
     option(
         "entry",
         None,
-        "IP number and port of an entry's operators' listener; "
-        f"else {ENTRY_VARIABLE}, or the settings' own.",
+        "IP address and port of an entry's operators' listener; "
+        f"default: {ENTRY_VARIABLE}, or the address in the settings.",
         flag=False,
     ),
     option(
         "settings",
         None,
-        f"Settings file that has the token; else {TOKEN_VARIABLE}.",
+        f"Settings file with the token; default: {TOKEN_VARIABLE}.",
         flag=False,
     ),
 ]
 
 
 class OperatorCommand(BaseCommand):
-    """Ask one entry, which gathers what the others say."""
+    """Query one entry, which collects the answers of the other processes."""
 
     @abstractmethod
     def show(self) -> StatusCode:
-        """Ask for a page and print it."""
+        """Query a page and print it."""
 
     def run_command(self) -> StatusCode:
         return self.show()
 
     def read_page(self, path: str) -> Any:
-        """Return the JSON document of a page of the entry."""
+        """Return the decoded JSON of a page of the entry; raise `HyssopvaneError`."""
         from hyssopvane._internal.transport.operator_client import read_operators_page
 
         settings = self._load_settings()
@@ -74,7 +74,7 @@
         address = self.option("entry") or os.environ.get(ENTRY_VARIABLE, "")
         if not address and settings is not None and settings.role == "entry":
             address = settings.operators
-        # Port 0 in the settings was chosen by the kernel and is only in the log.
+        # For port 0 the kernel chooses a port, which is only in the log.
         if not address or address.endswith(":0"):
             raise SettingsError(
                 "the address of an entry's operators' listener is not known",
--- a/src/hyssopvane/_internal/cli/registry.py
+++ b/src/hyssopvane/_internal/cli/registry.py
@@ -1,11 +1,11 @@
-"""List the commands; a command's module is imported only when it runs."""
+"""Register the commands; the module of a command is imported when it runs."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class CommandEntry:
-    """Name a command's module and class."""
+    """Hold the names of a command's module and class."""
 
     module: str
     class_name: str
--- a/src/hyssopvane/_internal/cli/role_process.py
+++ b/src/hyssopvane/_internal/cli/role_process.py
@@ -1,8 +1,8 @@
-"""Run the process of a role without loading the command line's library.
+"""Run the process of a role without importing the command-line library.
 
-There is a process beside each replica, and after a loss of power callers wait for each
-entry's start. The library that reads arguments and prints help costs time and some
-megabytes of each, and a role needs nothing of it.
+The library costs each process start-up time and some megabytes, and a role does not
+need it. There is a process on the machine of each replica, and callers wait for the
+start of each entry after a power failure.
 """
 
 import sys
@@ -17,7 +17,7 @@
 
 
 def is_plain_run(arguments: Sequence[str]) -> bool:
-    """Tell whether the arguments name a role and its settings file, and no option."""
+    """Return whether the arguments are `run ROLE FILE` without options."""
     match arguments:
         case [command, role, path]:
             return command == _RUN and role in ROLES and not path.startswith("-")
@@ -25,7 +25,7 @@
 
 
 def run_plain(role: str, path: str) -> int:
-    """Run a role and return the exit code, like the command of that name."""
+    """Run a role; print errors and return the exit code as its command does."""
     try:
         return int(run_role(role, path))
     except HyssopvaneError as error:
@@ -34,14 +34,14 @@
 
 
 def run_role(role: str, path: str) -> StatusCode:
-    """Run a role by its settings file until SIGTERM; raise `SettingsError`."""
+    """Run a role with its settings file until SIGTERM; raise `SettingsError`."""
     from hyssopvane._internal.assembly import run_process
     from hyssopvane._internal.models.settings import load_settings
 
     settings = load_settings(path)
     if settings.role != role:
         raise SettingsError(
-            f"these are settings of an {settings.role}",
+            f"the settings are for the role {settings.role}",
             context=path,
             hint=f"use `hyssopvane run {settings.role}`",
         )
--- a/src/hyssopvane/_internal/cli/run_base.py
+++ b/src/hyssopvane/_internal/cli/run_base.py
@@ -1,4 +1,4 @@
-"""Share the behaviour of the commands that run a role."""
+"""Define the base class of commands that run a role."""
 
 from cleo.helpers import argument
 
--- a/src/hyssopvane/_internal/cli/status_codes.py
+++ b/src/hyssopvane/_internal/cli/status_codes.py
@@ -1,4 +1,4 @@
-"""Name the exit codes of the command line."""
+"""Define the exit codes of the command line."""
 
 from enum import IntEnum
 
@@ -11,7 +11,7 @@
 
 
 class StatusCode(IntEnum):
-    """Tell a shell how a command ended."""
+    """List the exit codes."""
 
     OK = 0
     ERROR = 1
@@ -20,7 +20,7 @@
     CONFLICT = 4
     UNAVAILABLE = 5
     DRAIN_TIMEOUT = 6
-    """A shutdown reached its time limit with requests still in progress."""
+    """The shutdown reached its time limit with requests in progress."""
 
 
 _STATUS_BY_ERROR: tuple[tuple[type[HyssopvaneError], StatusCode], ...] = (
@@ -32,7 +32,7 @@
 
 
 def get_status(error: HyssopvaneError) -> StatusCode:
-    """Return the exit code for an error."""
+    """Return the exit code of an error."""
     for kind, status in _STATUS_BY_ERROR:
         if isinstance(error, kind):
             return status
--- a/src/hyssopvane/_internal/cli/table_base.py
+++ b/src/hyssopvane/_internal/cli/table_base.py
@@ -1,4 +1,4 @@
-"""Share the behaviour of the commands that read or edit the table."""
+"""Define the base class of commands that read or edit the table."""
 
 import os
 from abc import abstractmethod
@@ -21,24 +21,24 @@
 PLATFORM_OPTION = option(
     "platform",
     None,
-    f"IP number and port of the key-value service; else {PLATFORM_VARIABLE}.",
+    f"IP address and port of the key-value service; default: {PLATFORM_VARIABLE}.",
     flag=False,
 )
 
 EDIT_ID_OPTION = option(
     "edit-id",
     None,
-    "Id of an edit whose outcome is unknown, to send it again without doing it twice.",
+    "Id of an edit whose outcome is unknown, to retry it without applying it twice.",
     flag=False,
 )
 
 
 class TableCommand(BaseCommand):
-    """Call the key-value service that holds the table."""
+    """Run a command with a client of the key-value service of the table."""
 
     @abstractmethod
     async def run_with_store(self, store: "KeyValueStore") -> None:
-        """Carry out the command with a store that is ready for calls."""
+        """Run the command with a started store."""
 
     def run_command(self) -> StatusCode:
         import trio
@@ -49,7 +49,7 @@
         return StatusCode.OK
 
     async def load_table(self, store: "KeyValueStore") -> "Table":
-        """Return the table as it is in the key-value service."""
+        """Return the current table from the key-value service."""
         from random import Random
 
         from hyssopvane._internal.coordination.table_store import TableReader
@@ -57,7 +57,7 @@
         return await TableReader(store, random=Random()).load()
 
     async def commit(self, store: "KeyValueStore", edit: "TableEdit") -> "EditAccepted":
-        """Carry out an edit once."""
+        """Apply an edit exactly once."""
         from random import Random
 
         from hyssopvane._internal.coordination.table_store import TableEditor
@@ -65,7 +65,7 @@
         return await TableEditor(store, random=Random()).commit(edit)
 
     def get_edit_id(self) -> str:
-        """Return the edit id that was given, or a new one."""
+        """Return the id given with --edit-id, or a new one."""
         import uuid6
 
         return self.option("edit-id") or str(uuid6.uuid7())
--- a/src/hyssopvane/_internal/commands/__init__.py
+++ b/src/hyssopvane/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one module for each command."""
+"""Implement the commands, one in each module."""
--- a/src/hyssopvane/_internal/commands/demo.py
+++ b/src/hyssopvane/_internal/commands/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole path on loopback, with stand-ins, in one process."""
+"""Run an installation with stand-ins of services in one process on loopback."""
 
 from cleo.helpers import argument
 
--- a/src/hyssopvane/_internal/commands/explain.py
+++ b/src/hyssopvane/_internal/commands/explain.py
@@ -1,4 +1,4 @@
-"""Show why a request fared as it did."""
+"""Show the events and decisions that led to the outcome of a request."""
 
 from datetime import UTC, datetime
 from urllib.parse import urlencode
@@ -16,11 +16,16 @@
     """Show the decisions about one request on all VMs that an entry reaches."""
 
     name = "explain"
-    description = "Show why a request fared as it did."
-    arguments = [argument("request", "The request id that the answer's header names.")]
+    description = "Show why a request had its outcome."
+    arguments = [argument("request", "The request id in the header of the answer.")]
     options = [
         *OPERATOR_OPTIONS,
-        option("log", None, "A file of log lines to read; - for input.", flag=False),
+        option(
+            "log",
+            None,
+            "A file of log lines to read; - for standard input.",
+            flag=False,
+        ),
     ]
 
     def show(self) -> StatusCode:
@@ -29,7 +34,7 @@
         return self._show_recorded()
 
     def _show_logged(self, path: str) -> StatusCode:
-        """Print the lines on a request from a log of any number of processes."""
+        """Print the log lines of a request; the log may be of several processes."""
         from hyssopvane._internal.utils.log_lines import find_request_lines
 
         request_id = self.argument("request")
@@ -40,13 +45,13 @@
             raise OperatorRequestError(
                 f"the log can't be read: {error}",
                 context=path,
-                hint="name a text file of log lines, or - for input",
+                hint="give a text file of log lines, or - for standard input",
             ) from error
         if not lines:
             raise OperatorRequestError(
-                f"no line speaks of request {request_id}",
+                f"no line of the log has request {request_id}",
                 context=path,
-                hint="read the logs of all entries of the time in question",
+                hint="read the logs of all entries for the time of the request",
             )
         for fields in lines:
             remaining = {k: v for k, v in fields.items() if k not in _EXCLUDED_FIELDS}
@@ -62,7 +67,7 @@
             raise OperatorRequestError(
                 f"nothing is remembered of request {request_id}",
                 context=f"{answered} of {asked} processes answered",
-                hint="decisions are kept for some minutes; ask an entry of the zone "
+                hint="decisions are kept for some minutes; query an entry of the zone "
                 "that answered the caller",
             )
         for one in document["decisions"]:
@@ -73,6 +78,6 @@
         if not document["entry_told"]:
             self.line(
                 "the entry that took the request is missing: it did not answer, or the "
-                "platform's list does not name it yet; ask that entry with --entry"
+                "platform's list does not contain it yet; query that entry with --entry"
             )
         return StatusCode.OK
--- a/src/hyssopvane/_internal/commands/run_rank_agent.py
+++ b/src/hyssopvane/_internal/commands/run_rank_agent.py
@@ -4,8 +4,8 @@
 
 
 class RunRankAgentCommand(RunCommand):
-    """Run the agent beside a replica of the direct path, until SIGTERM."""
+    """Run the agent of a replica on the direct path, until SIGTERM."""
 
     name = "run rank-agent"
-    description = "Run the agent beside a replica of the direct path, until SIGTERM."
+    description = "Run the agent of a replica on the direct path, until SIGTERM."
     role = "rank-agent"
--- a/src/hyssopvane/_internal/commands/status.py
+++ b/src/hyssopvane/_internal/commands/status.py
@@ -1,4 +1,4 @@
-"""Show what every VM of the platform's list says of itself."""
+"""Show the status that each VM of the platform's list reports."""
 
 from typing import Any, ClassVar
 from urllib.parse import urlencode
@@ -16,10 +16,10 @@
 
 
 class StatusCommand(OperatorCommand):
-    """Show table, load and leaving of every VM, those that lag behind marked."""
+    """Show the table, the load and the state of every VM; mark those that lag."""
 
     name = "status"
-    description = "Show what is in force on every VM, and how it fares."
+    description = "Show the table in force, the load and the state of every VM."
     options = [*OPERATOR_OPTIONS, ZONE_OPTION]
     columns: ClassVar[dict[str, str]] = {
         "vm": "vm",
--- a/src/hyssopvane/_internal/commands/table_export.py
+++ b/src/hyssopvane/_internal/commands/table_export.py
@@ -11,10 +11,10 @@
 
 
 class TableExportCommand(TableCommand):
-    """Write the cells that were set as CSV, in the form that import reads."""
+    """Write the cells that were set as CSV, in the format of `table import`."""
 
     name = "table export"
-    description = "Write the table as CSV, in the form that `table import` reads."
+    description = "Write the table as CSV, in the format of `table import`."
     options = [PLATFORM_OPTION]
 
     async def run_with_store(self, store: "KeyValueStore") -> None:
--- a/src/hyssopvane/_internal/commands/table_import.py
+++ b/src/hyssopvane/_internal/commands/table_import.py
@@ -17,7 +17,7 @@
 
 
 class TableImportCommand(TableCommand):
-    """Bring every line of a CSV file into the table, or none of them."""
+    """Apply all lines of a CSV file to the table, or none."""
 
     name = "table import"
     description = "Import all lines of a CSV file, or none."
@@ -44,5 +44,5 @@
         raise TableError(
             f"the file can't be read: {error}",
             context=str(path),
-            hint="name a readable CSV file; nothing was changed",
+            hint="give a readable CSV file; nothing was changed",
         ) from error
--- a/src/hyssopvane/_internal/commands/table_set.py
+++ b/src/hyssopvane/_internal/commands/table_set.py
@@ -16,7 +16,7 @@
 
 
 class TableSetCommand(TableCommand):
-    """Set one cell, unless another operator was first."""
+    """Set one cell, unless its revision differs from the expected one."""
 
     name = "table set"
     description = "Set one cell of the table."
@@ -29,7 +29,7 @@
         option(
             "expect",
             None,
-            "Refuse when the cell's revision is another one; see `table show ROW`.",
+            "Fail if the cell has a different revision; see `table show ROW`.",
             flag=False,
         ),
         EDIT_ID_OPTION,
@@ -58,7 +58,7 @@
         if not text.isdecimal():
             raise TableError(
                 f"--expect {text!r} is not a cell revision",
-                hint="take the number from `hyssopvane table show ROW`; "
+                hint="use the number that `hyssopvane table show ROW` prints; "
                 "nothing was changed",
             )
         return int(text)
--- a/src/hyssopvane/_internal/commands/table_show.py
+++ b/src/hyssopvane/_internal/commands/table_show.py
@@ -1,4 +1,4 @@
-"""Show the table like a spreadsheet."""
+"""Show the table as text."""
 
 import shutil
 from typing import TYPE_CHECKING
@@ -41,9 +41,9 @@
         kinds = [kind for kind in RowKind if what in {"", f"{kind}s", str(kind)}]
         if not kinds:
             raise TableError(
-                f"there is nothing in the table called {what!r}",
+                f"the table has no kind or row {what!r}",
                 context="kinds: customers, services, targets",
-                hint="name one of these, or a row as in customer/alice",
+                hint="use one of these, or a row as in customer/alice",
             )
         width = max(_MIN_WIDTH, shutil.get_terminal_size().columns)
         lines = [f"table revision {table.revision}"]
--- a/src/hyssopvane/_internal/commands/table_status.py
+++ b/src/hyssopvane/_internal/commands/table_status.py
@@ -6,7 +6,7 @@
 
 
 class TableStatusCommand(StatusCommand):
-    """Show the table's revision on every VM, those that lag behind marked."""
+    """Show the table's revision on every VM; mark those that lag."""
 
     name = "table status"
     description = "Show on which VMs the newest table is in force."
--- a/tests/functional/test_operations.py
+++ b/tests/functional/test_operations.py
@@ -129,4 +129,4 @@
         timeout=HANG_S,
     )
     assert done.returncode != 0
-    assert "no line speaks of request x" in done.stderr
+    assert "no line of the log has request x" in done.stderr
