--- a/src/hyssopvane/_internal/utils/__init__.py
+++ b/src/hyssopvane/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Hold helpers, each module named by its one job."""
+"""Provide helpers for logs, metrics, addresses, back-off and rate limits."""
--- a/src/hyssopvane/_internal/utils/backoff.py
+++ b/src/hyssopvane/_internal/utils/backoff.py
@@ -1,4 +1,4 @@
-"""Space out attempts with random, growing delays."""
+"""Compute random delays between attempts that grow exponentially."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -6,10 +6,10 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Give the delay before each next attempt.
+    """Compute the delay before each attempt, with jitter.
 
-    Delays are drawn at random below a bound that doubles, so that many processes
-    which lost the same service at one moment don't come back at one moment.
+    Each delay is random below a bound that doubles. So processes that lost the same
+    service at the same time do not all retry at the same time.
     """
 
     random: Random
@@ -27,5 +27,5 @@
         return delay
 
     def reset(self) -> None:
-        """Start again with the first delay."""
+        """Reset the bound to the first delay."""
         self._bound_s = self.first_s
--- a/src/hyssopvane/_internal/utils/deferred_metrics.py
+++ b/src/hyssopvane/_internal/utils/deferred_metrics.py
@@ -1,4 +1,4 @@
-"""Count at little cost until somebody collects what was counted."""
+"""Count at low cost, and create the metrics when they are first read."""
 
 from array import array
 from collections import Counter
@@ -8,15 +8,15 @@
     from hyssopvane._internal.utils.metrics import Metrics
 
 MOST_KEPT = 4_096
-"""Durations that are kept before the instruments are made for them: 32 KB."""
+"""Durations kept for each service before the instruments are created: 32 KB."""
 
 
 class DeferredMetrics:
-    """Hold what was counted, and make the instruments when they are first read.
+    """Buffer counts and durations, and create the instruments on the first read.
 
-    The instruments and their exporter take 5 MB and 80 ms of a process. There is an
-    agent beside each replica, and hardly any of them is ever asked. After a loss of
-    power callers wait for each entry's start.
+    The instruments and their exporter cost a process 5 MB and 80 ms. There is an agent
+    for each replica, and the metrics of most agents are never read. After a power
+    failure callers wait for the start of each entry.
     """
 
     def __init__(self, *, role: str, vm: str) -> None:
@@ -28,11 +28,11 @@
         self._requests: Counter[tuple[str, str]] = Counter()
         self._levels: dict[str, int] = {}
         self._durations: dict[str, array[float]] = {}
-        """Seconds of each request, by service."""
+        """Durations of requests in seconds, by service."""
         self._metrics: Metrics | None = None
 
     def count_event(self, event: str, amount: int = 1) -> None:
-        """Count something an operator may want to watch."""
+        """Count an event that operators monitor."""
         self._events[event] += amount
 
     def count_refusal(self, reason: str) -> None:
@@ -48,11 +48,11 @@
         self._requests[service, outcome] += 1
 
     def set_level(self, level: str, value: int) -> None:
-        """Tell how something stands that goes up and down."""
+        """Set the current value of a gauge."""
         self._levels[level] = value
 
     def record_duration(self, *, service: str, seconds: float) -> None:
-        """Record the time of a request from its head to its last byte."""
+        """Record the time from the head of a request to the last byte of its answer."""
         kept = self._durations.setdefault(service, array("d"))
         kept.append(seconds)
         if len(kept) >= MOST_KEPT:
@@ -63,7 +63,7 @@
         return self._flush().render()
 
     def close(self) -> None:
-        """Release the instruments."""
+        """Shut down the instruments."""
         if self._metrics is not None:
             self._metrics.close()
 
--- a/src/hyssopvane/_internal/utils/ip_addresses.py
+++ b/src/hyssopvane/_internal/utils/ip_addresses.py
@@ -1,16 +1,16 @@
-"""Tell whether a text names a port of a machine."""
+"""Check addresses that consist of an IP address and a port."""
 
 import ipaddress
 from functools import lru_cache
 
 _MAX_PORT = 65_535
 _MAX_LENGTH = 64
-"""Characters of the longest address that is looked at: IPv6 with a port has 47."""
+"""Longest text that is parsed, in characters: IPv6 with a port has 47."""
 
 
 @lru_cache(maxsize=4_096)
 def is_address(text: str) -> bool:
-    """Tell whether a text is an IP number and a port, as in 10.0.0.7:8080."""
+    """Return whether a text is an IP address and a port, as in 10.0.0.7:8080."""
     if len(text) > _MAX_LENGTH:
         return False
     host, _, port = text.rpartition(":")
--- a/src/hyssopvane/_internal/utils/log_lines.py
+++ b/src/hyssopvane/_internal/utils/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the log lines that `utils.logs` writes."""
+"""Parse the log lines that `utils.logs` writes."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -8,9 +8,9 @@
 
 
 def parse_line(line: str) -> Mapping[str, str] | None:
-    """Return the fields of a line, or None when it is none of ours.
+    """Return the fields of a line, or None if it has another format.
 
-    Whoever collects the logs may have put something before the line.
+    A log collector may have added a prefix, which is ignored.
     """
     at = line.find(_START)
     if at < 0:
@@ -36,7 +36,7 @@
 def find_request_lines(
     lines: Iterable[str], request_id: str
 ) -> Iterator[Mapping[str, str]]:
-    """Yield the lines on one request, of all processes, in order of their times."""
+    """Yield the lines of one request from all processes, ordered by time."""
     found = [
         fields
         for line in lines
--- a/src/hyssopvane/_internal/utils/log_sink.py
+++ b/src/hyssopvane/_internal/utils/log_sink.py
@@ -1,18 +1,18 @@
-"""Write log lines without ever waiting for whoever reads them."""
+"""Write log lines without blocking on their reader."""
 
 import os
 from collections import deque
 
 MAX_PENDING_BYTES = 256 * 1024
-"""Lines that are kept while the reader takes none; about a second at the worst load."""
+"""Size of buffered lines while the reader stalls; about a second at peak load."""
 
 
 class LogSink:
-    """Write lines to a file descriptor, and drop the newest ones when it is stuck.
+    """Write lines to a file descriptor, and drop the newest ones while it is blocked.
 
-    A reader of standard output that stops would otherwise stop the whole process with
-    all its requests at the next line. What was dropped is counted in the first line
-    that goes out again.
+    Otherwise a stalled reader of standard output would block the process and all its
+    requests at the next line. The first line written after that has the number of
+    dropped lines.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -20,20 +20,20 @@
         self._pending: deque[bytes] = deque()
         self._pending_bytes = 0
         self.dropped = 0
-        """Lines dropped since the start."""
+        """Number of lines dropped since the start."""
         self._unreported_drops = 0
 
     def start(self) -> None:
-        """Take the descriptor into use."""
+        """Make the descriptor non-blocking."""
         os.set_blocking(self._descriptor, False)
 
     def close(self) -> None:
-        """Write what is kept, waiting for the reader, and release the descriptor."""
+        """Make the descriptor blocking and write all buffered lines."""
         os.set_blocking(self._descriptor, True)
         self._flush()
 
     def write(self, line: str) -> None:
-        """Write a line, or keep it until the reader takes it."""
+        """Write a line; buffer or drop it while the reader is stalled."""
         data = line.encode("utf-8", "replace")
         self._flush()
         if self._pending_bytes + len(data) > MAX_PENDING_BYTES:
@@ -59,7 +59,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read again; the process goes on without its log.
+                # The reader is gone for good; the process continues without a log.
                 self._pending.clear()
                 self._pending_bytes = 0
                 return
--- a/src/hyssopvane/_internal/utils/logs.py
+++ b/src/hyssopvane/_internal/utils/logs.py
@@ -1,4 +1,4 @@
-"""Write logs: one line of key=value pairs for each event."""
+"""Write logs with one line of key=value pairs for each event."""
 
 import json
 import sys
@@ -17,7 +17,7 @@
 def configure_logs(
     *, level: str, role: str, vm: str, write: Callable[[str], None] | None = None
 ) -> None:
-    """Send every event to standard error or `write`, with the process's role and VM."""
+    """Write all events to standard error or `write`, with the process's role and VM."""
     logger.remove()
     logger.configure(extra={"role": role, "vm": vm})
     logger.add(
@@ -29,7 +29,7 @@
 
 
 def configure_stdout_logs(*, level: str, role: str, vm: str) -> LogSink:
-    """Send every event to standard output, without ever waiting for its reader."""
+    """Write all events to standard output, without blocking on its reader."""
     sink = LogSink(sys.stdout.fileno())
     sink.start()
     configure_logs(level=level, role=role, vm=vm, write=sink.write)
@@ -65,6 +65,6 @@
             **extra.get("fields", {}),
         }
     )
-    # loguru formats the returned text once more, so braces and tags are escaped.
+    # loguru formats the returned text again, so braces and tags are escaped.
     escaped = pairs.replace("{", "{{").replace("}", "}}").replace("<", r"\<")
     return escaped + "\n{exception}"
--- a/src/hyssopvane/_internal/utils/metrics.py
+++ b/src/hyssopvane/_internal/utils/metrics.py
@@ -1,4 +1,4 @@
-"""Count what a process does, by OpenTelemetry, and render it for Prometheus."""
+"""Record metrics with OpenTelemetry and render them for Prometheus."""
 
 from collections.abc import Iterable, Mapping
 
@@ -11,10 +11,10 @@
 
 
 class Metrics:
-    """Hold the instruments of one process."""
+    """Hold the OpenTelemetry instruments of one process."""
 
     def __init__(self, *, role: str, vm: str) -> None:
-        # A registry of its own: the demo runs several roles in one process.
+        # Not the global registry: the demo runs several roles in one process.
         self._registry = CollectorRegistry()
         self._reader = PrometheusMetricReader(
             disable_target_info=True, scope_info_enabled=False, registry=self._registry
@@ -49,7 +49,7 @@
         self._retries.add(1, {**self._labels, "reason": reason})
 
     def count_event(self, event: str, amount: int = 1) -> None:
-        """Count something an operator may want to watch."""
+        """Count an event that operators monitor."""
         self._events.add(amount, {**self._labels, "event": event})
 
     def add(
@@ -62,7 +62,7 @@
         levels: Mapping[str, int],
         durations: Mapping[str, Iterable[float]],
     ) -> None:
-        """Count what was gathered elsewhere; requests by service and outcome."""
+        """Add buffered counts and durations; requests are by service and outcome."""
         for event, amount in events.items():
             self._events.add(amount, {**self._labels, "event": event})
         by_reason = ((self._refusals, refusals), (self._retries, retries))
@@ -79,7 +79,7 @@
                 self.record_duration(service=service, seconds=one)
 
     def record_duration(self, *, service: str, seconds: float) -> None:
-        """Record the time of a request from its head to its last byte."""
+        """Record the time from the head of a request to the last byte of its answer."""
         self._duration.record(seconds, {**self._labels, "service": service})
 
     def render(self) -> bytes:
@@ -87,5 +87,5 @@
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Release the instruments, so that another process object can start."""
+        """Shut down the instruments, so that another role can start in the process."""
         self._provider.shutdown()
--- a/src/hyssopvane/_internal/utils/token_bucket.py
+++ b/src/hyssopvane/_internal/utils/token_bucket.py
@@ -1,8 +1,8 @@
-"""Bound how often something is done."""
+"""Limit the rate of an action."""
 
 
 class TokenBucket:
-    """Allow so many uses a second, and a few at once."""
+    """Limit uses to a rate per second and a burst."""
 
     def __init__(self, *, per_s: float, burst: float) -> None:
         self._per_s = per_s
@@ -11,7 +11,7 @@
         self._updated_at: float | None = None
 
     def take(self, now: float) -> bool:
-        """Use one token if there is one; `now` is in seconds of a steady clock."""
+        """Take a token if there is one; `now` is in seconds of a monotonic clock."""
         if self._updated_at is not None:
             refill = (now - self._updated_at) * self._per_s
             self._tokens = min(self._burst, self._tokens + max(0.0, refill))
