--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Test that bad input gets a clear answer and disturbs nobody, over processes."""
+"""Test that bad input is refused with a reason and does not affect other requests."""
 
 import socket
 import struct
@@ -75,10 +75,10 @@
 def test_request_refused_before_its_body_has_ended(
     site, http2, headers, path, size, status, reason
 ):
-    """A caller with a wrong key uploads a picture.
+    """A caller with a wrong key sends a large body.
 
-    The server kept the parts of the body for an application that had answered already:
-    over HTTP/1.1 the connection hung, over HTTP/2 the whole entry ended.
+    A server that keeps queueing the body after the application has answered hangs the
+    connection over HTTP/1.1, and ends the whole entry over HTTP/2.
     """
     with httpcore.ConnectionPool(http1=not http2, http2=http2) as pool:
         answer = pool.request(
@@ -112,7 +112,7 @@
 def test_connections_over_the_limit_are_refused(site):
     """A caller's client leaks connections.
 
-    Without a limit the entry runs out of descriptors, and then for everyone.
+    Without a limit the entry runs out of descriptors and fails for all callers.
     """
     address = site.callers
     kept = []
@@ -123,7 +123,7 @@
             kept.append(one)
             answers.append(one.read(65_536))
         refused = [one for one in answers if not one.startswith(b"HTTP/1.1 200")]
-        # One of an earlier test may still be about to close.
+        # A connection of an earlier test may still be closing.
         assert 3 <= len(refused) <= 4
         for one in refused:
             assert one.startswith(b"HTTP/1.1 503")
--- a/tests/functional/test_build.py
+++ b/tests/functional/test_build.py
@@ -1,4 +1,4 @@
-"""Test the one-file build, and that light commands load nothing heavy."""
+"""Test the one-file build, and that help commands import no large libraries."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def program(tmp_path_factory):
-    """Give the program's path, and unpack it into a temporary folder."""
+    """Return the command of the built program, which unpacks to a temporary folder."""
     if not PROGRAM.exists():
         subprocess.run([ROOT / "dev", "build"], check=True)
     before = os.environ.get("SHIV_ROOT")
--- a/tests/functional/test_doc_commands.py
+++ b/tests/functional/test_doc_commands.py
@@ -1,4 +1,4 @@
-"""Test that each command line of the pages works as it stands."""
+"""Test that the commands in the console blocks of the pages run without errors."""
 
 import re
 import shlex
@@ -21,14 +21,14 @@
 
 
 def read_commands(page):
-    """Return the commands of a page's console blocks in their order."""
+    """Yield the commands of a page's console blocks in order."""
     for block in BLOCK.findall((ROOT / page).read_text()):
         yield from (line[2:] for line in block.splitlines() if line.startswith("$ "))
 
 
 @pytest.fixture(scope="module")
 def environment(tmp_path_factory):
-    """Run an entry; give the variables that the pages tell to set."""
+    """Run an entry and return the environment variables that the pages require."""
     with open_cluster(tmp_path_factory.mktemp("docs")) as cluster:
         commit_table(cluster.platform)
         cluster.start_entry("entry-1")
--- a/tests/functional/test_golden.py
+++ b/tests/functional/test_golden.py
@@ -1,4 +1,4 @@
-"""Record whole sessions of separate processes and compare them with golden files."""
+"""Compare recorded sessions of separate processes with golden files."""
 
 import json
 import signal
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def site(tmp_path):
-    """Run one entry before a model engine and a plain service."""
+    """Run one entry with a model engine and a plain service as targets."""
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
         cluster.engine, _ = cluster.start_standin("engine_server", "--step-ms", "100")
@@ -92,7 +92,7 @@
     head, _, rest = (received + stream.read_to_end()).partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:])
-    # The chunks' borders are the network's, not the answer's.
+    # Chunk boundaries depend on the network and not on the answer, so they are removed.
     events = "".join(
         line + "\n\n" for line in rest.decode().split("\n") if line.startswith("data: ")
     )
--- a/tests/functional/test_operations.py
+++ b/tests/functional/test_operations.py
@@ -1,4 +1,4 @@
-"""Test that the way from a failed request's id to its cause needs the logs alone."""
+"""Test that the logs are sufficient to find the cause of a request's outcome."""
 
 import re
 import subprocess
@@ -22,7 +22,7 @@
 
 
 def record_log(tmp_path, test):
-    """Run a direct path and return the file of its log lines."""
+    """Run a test on the direct path and return its log file."""
     log = tmp_path / "entries.log"
 
     async def main():
@@ -40,7 +40,7 @@
 
 
 def explain(log, request_id):
-    """Run the command that the page gives for a request."""
+    """Run the explain command of the page for a request and return its output."""
     command = re.search(r"^hyssopvane (explain .*)$", PAGE.read_text(), re.MULTILINE)[1]
     words = command.replace("REQUEST", request_id).replace("LOG", str(log)).split()
     done = subprocess.run(
@@ -54,7 +54,7 @@
 
 
 def test_refused_request_shows_the_load_at_its_refusal(tmp_path):
-    """A caller was told to come back later, and asks why."""
+    """The log explains why a caller got a refusal with Retry-After."""
 
     async def hang(replica, stream, request):
         await trio.sleep_forever()
@@ -81,7 +81,7 @@
 
 
 def test_cut_stream_shows_the_replica_that_failed(tmp_path):
-    """A clerk's draft ended in the middle, and nobody knows which machine it was."""
+    """The log identifies the replica that ended a stream early."""
 
     async def break_off(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
@@ -101,7 +101,7 @@
 
 
 def test_late_answer_shows_where_the_time_went(tmp_path):
-    """A bidder's page stood still, though the answer came in the end."""
+    """The log shows which part of a slow request took the time."""
 
     async def answer_late(replica, stream, request):
         await trio.sleep(0.3)
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Test the adapter of the platform's store against a stand-in of it."""
+"""Test the adapter of the platform's store against a fake store."""
 
 from functools import partial
 
@@ -104,9 +104,9 @@
 
 
 def test_write_with_a_lost_answer_has_an_unknown_outcome(monkeypatch):
-    """The store carries a write out, and its answer is lost.
+    """The store applies a write, and its answer is lost.
 
-    Whoever took it for refused would write twice, or give up what it holds.
+    A writer that treats it as refused would write twice, or give up what it holds.
     """
     monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 0.2)
 
@@ -122,7 +122,7 @@
 
 
 def test_watch_yields_changes_in_order_and_ends_when_history_is_compacted():
-    """The store forgets its history while a watch waits; changes would be missed."""
+    """The store compacts its history during a watch, which would miss changes."""
 
     async def test(stand_in, store):
         stand_in.put("servers/1", 1)
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("written_since", [0, 1, 3])
 def test_watch_ends_when_the_store_is_restored_from_a_copy(written_since):
-    """Guards against a watch that waits from a revision of before the return."""
+    """Guards against a watch that continues from a revision before the restore."""
 
     async def test(stand_in, store):
         copy = stand_in.copy()
@@ -163,7 +163,7 @@
 
 
 def test_answer_of_an_earlier_era_is_dropped():
-    """Guards against an answer from before the store's return that arrives late."""
+    """Guards against a late answer from before a restore of the store."""
 
     async def test(stand_in, store):
         stand_in.era = 3
@@ -178,7 +178,7 @@
 
 
 def test_pages_of_two_eras_are_not_joined():
-    """Guards against a list of which one page is of before the store's return."""
+    """Guards against a list with pages from before and after a restore."""
 
     async def test(stand_in, store):
         for number in range(MAX_PAGE + 1):
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize("header", [b"", b"x", b"-1", b"1" * 5_000])
 def test_invalid_era_header_is_ignored(header):
-    """Guards against a damaged header that ends the process or drops all answers."""
+    """Guards against a corrupt header that ends the process or drops all answers."""
 
     async def test(stand_in, store):
         stand_in.era = 3
@@ -205,7 +205,7 @@
 
 
 def test_watch_yields_no_changes_of_a_later_era():
-    """Guards against changes that are counted on from a revision of before a return."""
+    """Guards against changes after a restore that follow a revision from before it."""
 
     async def test(stand_in, store):
         copy = stand_in.copy()
--- a/tests/lib/commands.py
+++ b/tests/lib/commands.py
@@ -1,4 +1,4 @@
-"""Run the command line in its own process."""
+"""Run the command line in a separate process."""
 
 import os
 import subprocess
@@ -8,7 +8,7 @@
 def run_hyssopvane(
     *arguments: str, platform: str = ""
 ) -> subprocess.CompletedProcess[str]:
-    """Run one command to its end."""
+    """Run one command and return the completed process."""
     return subprocess.run(
         [sys.executable, "-m", "hyssopvane", *arguments],
         capture_output=True,
--- a/tests/lib/golden.py
+++ b/tests/lib/golden.py
@@ -1,6 +1,6 @@
 """Compare a recorded session with its golden file.
 
-Set UPDATE_GOLDEN=1 to record the files anew; read the difference before committing it.
+Set UPDATE_GOLDEN=1 to rewrite the files; review the difference before you commit it.
 """
 
 import os
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 FOLDER = Path(__file__).parent.parent / "golden"
-# In this order: an id holds digits that the later patterns would touch.
+# The order matters: later patterns would match digits within an id.
 _NUMBERED = (
     (r"[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}", "id"),
     (r"127\.0\.0\.1:\d+", "address"),
@@ -22,7 +22,7 @@
 
 
 class Session:
-    """Collect what each side saw, one section for each."""
+    """Collect the answers and logs of a session in titled sections."""
 
     def __init__(self) -> None:
         self._sections: list[str] = []
@@ -32,7 +32,7 @@
         self._sections.append(f"== {title}\n{text.rstrip()}\n")
 
     def add_answer(self, title, answer) -> None:
-        """Append what a caller got; the date and lengths of ids vary."""
+        """Append a caller's answer without Date and Content-Length, which vary."""
         kept = sorted(
             f"{name}: {value}"
             for name, value in answer.headers.items()
@@ -42,12 +42,12 @@
         self.add(title, "\n".join([str(answer.status), *kept, "", body]))
 
     def add_log(self, vm: str, lines, events) -> None:
-        """Append a process's log lines of some events."""
+        """Append the log lines of a process that have one of the events."""
         wanted = re.compile(rf" event=({'|'.join(events)})\b")
         self.add(f"log of {vm}", "\n".join(one for one in lines if wanted.search(one)))
 
     def render(self) -> str:
-        """Return the session with ids, addresses and times normalised."""
+        """Return the session with normalised ids, addresses and times."""
         text = "\n".join(self._sections)
         for pattern, replacement in _REPLACED:
             text = re.sub(pattern, replacement, text)
@@ -57,7 +57,7 @@
 
 
 def compare(name: str, session: Session) -> None:
-    """Compare a session with its file, or record the file."""
+    """Compare a session with its golden file, or rewrite the file."""
     path = FOLDER / f"{name}.txt"
     if os.environ.get("UPDATE_GOLDEN"):
         path.parent.mkdir(exist_ok=True)
@@ -66,7 +66,7 @@
 
 
 def _number(text: str, pattern: str, kind: str) -> str:
-    """Replace each value by its number, so that the same one is seen as the same."""
+    """Replace each distinct value by a number of its own."""
     seen: dict[str, str] = {}
     return re.sub(
         pattern,
--- a/tests/lib/platform_documents.py
+++ b/tests/lib/platform_documents.py
@@ -1,4 +1,4 @@
-"""Hold documents as replicas write them."""
+"""Provide a registration and a report in the platform's format."""
 
 STARTED_MS = 1_700_000_000_000
 
--- a/tests/unit/test_deferred_metrics.py
+++ b/tests/unit/test_deferred_metrics.py
@@ -1,4 +1,4 @@
-"""Test that what is counted before somebody collects it is not lost."""
+"""Test that counts and durations are kept until the metrics are first read."""
 
 import pytest
 
--- a/tests/unit/test_deploy.py
+++ b/tests/unit/test_deploy.py
@@ -1,4 +1,4 @@
-"""Test that the files for the users' platform give settings that the roles take."""
+"""Test that the deployment files for the users' platform fit the roles."""
 
 import json
 import re
@@ -33,7 +33,7 @@
 
 
 def render(template):
-    """Fill a template in as the platform does, for the placeholders that we use."""
+    """Render a template as the platform does, for the placeholders in use."""
 
     def fill(match):
         value = FIELDS
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""Test that the pages tell what the code has, and nothing else."""
+"""Test that the pages list exactly the refusals, settings and events of the code."""
 
 import ast
 import re
@@ -25,7 +25,7 @@
 
 
 def read_rows(page, heading):
-    """Return the first cells and the rest of the rows below a heading."""
+    """Return the rest of each table row below a heading, by its first cell."""
     text = (DOCS / page).read_text()
     section = text.split(f"## {heading}\n")[1].split("\n## ")[0]
     return dict(ROW.findall(section))
@@ -63,7 +63,7 @@
 
 
 def list_counted_events():
-    """Return the first words of each event that the sources count."""
+    """Yield the names of counted events; of an f-string its first constant part."""
     for path in SOURCES.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not node.args:
--- a/tests/unit/test_layers.py
+++ b/tests/unit/test_layers.py
@@ -1,4 +1,4 @@
-"""Test that no layer imports one above it."""
+"""Test that each layer imports only the layers that it may use."""
 
 import ast
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 ROOT = Path(next(iter(hyssopvane._internal.__path__)))
 PACKAGE = "hyssopvane._internal"
-# What each layer may import, as docs/architecture.md tells it.
+# The imports that docs/architecture.md allows for each layer.
 SHARED = {"exceptions", "models", "utils"}
 ALLOWED = {
     "models": {"exceptions"},
@@ -20,7 +20,7 @@
     "transport": SHARED | {"state", "policy", "protocol", "transport"},
     "coordination": SHARED | {"state", "policy", "protocol", "coordination"},
 }
-# These decide from what they are given, so that a test needs no socket and no clock.
+# These layers decide by their arguments alone, so tests need no sockets and no clock.
 PURE = ("state", "policy")
 IMPURE_MODULES = {"trio", "socket", "time", "asyncio", "httpcore", "hypercorn"}
 
@@ -30,7 +30,7 @@
 
 
 def list_imports(path):
-    """Return the modules that a file imports."""
+    """Yield the modules that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
--- a/tests/unit/test_main.py
+++ b/tests/unit/test_main.py
@@ -1,4 +1,4 @@
-"""Test the entry of the command line."""
+"""Test the entry point of the command line."""
 
 import signal
 import subprocess
@@ -11,7 +11,7 @@
 
 
 class RecordingApplication:
-    """Remember what SIGHUP would do when the command begins to load."""
+    """Record the SIGHUP handler at the time when the command starts."""
 
     def __init__(self):
         self.found = None
@@ -33,10 +33,10 @@
     ],
 )
 def test_sighup_during_startup_is_ignored(monkeypatch, arguments, ignored):
-    """Settings change on many machines while a process is just being started there.
+    """Settings are reloaded by SIGHUP while a process is starting.
 
-    It has not yet loaded what takes the signal, and would end: the machine serves
-    nobody until it is started once more.
+    Its handler is not installed yet, so the default action would end the process, and
+    the machine would serve no requests until the next start.
     """
     before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
     found = RecordingApplication()
@@ -50,7 +50,7 @@
 
 
 def test_role_starts_without_importing_cleo():
-    """All machines have lost power, and callers wait for each entry's start."""
+    """After a power failure callers wait for each entry, so its start must be fast."""
     loaded = subprocess.run(
         [
             sys.executable,
--- a/tests/unit/test_platform_formats.py
+++ b/tests/unit/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""Test that the platform's formats are decoded into the product's own types."""
+"""Test decoding of the platform's documents and encoding of orders."""
 
 import json
 
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Test the check of settings files."""
+"""Test the validation of settings."""
 
 import json
 
