--- a/src/hyssopvane/_internal/commands/explain.py
+++ b/src/hyssopvane/_internal/commands/explain.py
@@ -70,9 +70,13 @@
                 hint="decisions are kept for some minutes; query an entry of the zone "
                 "that answered the caller",
             )
-        for one in document["decisions"]:
-            at = datetime.fromtimestamp(one["at"], UTC).isoformat("T", "milliseconds")
-            self.line(f"{at}  {one['vm']}  {one['decision']}  {one['why']}")
+        for decision in document["decisions"]:
+            at = datetime.fromtimestamp(decision["at"], UTC).isoformat(
+                "T", "milliseconds"
+            )
+            self.line(
+                f"{at}  {decision['vm']}  {decision['decision']}  {decision['why']}"
+            )
         if answered < asked:
             self.line(f"{asked - answered} of {asked} processes did not answer")
         if not document["entry_told"]:
--- a/src/hyssopvane/_internal/commands/status.py
+++ b/src/hyssopvane/_internal/commands/status.py
@@ -52,7 +52,7 @@
 def _format_lines(vms: list[dict[str, Any]], columns: dict[str, str]) -> list[str]:
     rows = [list(columns.values())]
     rows += [[_format_cell(vm, name) for name in columns] for vm in vms]
-    widths = [max(len(row[place]) for row in rows) for place in range(len(columns))]
+    widths = [max(len(row[index]) for row in rows) for index in range(len(columns))]
     lines = []
     for row, vm in zip(rows, [None, *vms], strict=True):
         cells = [text.ljust(width) for text, width in zip(row, widths, strict=True)]
--- a/src/hyssopvane/_internal/platform/registrations.py
+++ b/src/hyssopvane/_internal/platform/registrations.py
@@ -61,17 +61,17 @@
         raise ConfigurationError(
             f"the registration has {len(value)} bytes", context=key, hint=_HINT
         )
-    found = read_document(Registration, value, context=key, hint=_HINT)
-    if int(found.address.rpartition(":")[2]) > _MAX_PORT:
+    registration = read_document(Registration, value, context=key, hint=_HINT)
+    if int(registration.address.rpartition(":")[2]) > _MAX_PORT:
         raise ConfigurationError(
-            f"the port is out of range: {found.address}", context=key, hint=_HINT
+            f"the port is out of range: {registration.address}", context=key, hint=_HINT
         )
     return Replica(
         id=replica_id,
-        service=found.service,
-        address=found.address,
-        availability_zone=found.zone,
-        slots=found.slots,
-        draining=found.state == "draining",
-        started_ms=found.born,
+        service=registration.service,
+        address=registration.address,
+        availability_zone=registration.zone,
+        slots=registration.slots,
+        draining=registration.state == "draining",
+        started_ms=registration.born,
     )
--- a/src/hyssopvane/_internal/platform/reports.py
+++ b/src/hyssopvane/_internal/platform/reports.py
@@ -133,8 +133,8 @@
 def decode_experts(body: bytes) -> tuple[tuple[int, ...], ...]:
     """Return the experts on a rank, by set; raise `ConfigurationError`."""
     lists = _read(Experts, body).lists
-    found = lists.experts if isinstance(lists, _Experts) else lists
-    return tuple(tuple(one) for one in found)
+    by_set = lists.experts if isinstance(lists, _Experts) else lists
+    return tuple(tuple(one) for one in by_set)
 
 
 def _read(kind: type[_Kind], body: bytes) -> _Kind:
@@ -144,10 +144,10 @@
 
 def encode_order(order: RankOrder) -> bytes:
     """Return an order as the JSON body of a request."""
-    return json.dumps(_describe(order)).encode()
+    return json.dumps(_make_document(order)).encode()
 
 
-def _describe(order: RankOrder) -> Mapping[str, Any]:
+def _make_document(order: RankOrder) -> Mapping[str, Any]:
     match order:
         case Prepare():
             return {
--- a/src/hyssopvane/_internal/platform/store.py
+++ b/src/hyssopvane/_internal/platform/store.py
@@ -123,10 +123,10 @@
             if not page.get("has-more") or not page["items"]:
                 break
             query["after"] = items[-1].key
-        kept = tuple(item for item in items if item.revision >= min_revision)
+        recent = tuple(item for item in items if item.revision >= min_revision)
         # The pages are read one by one. The snapshot has the revision of the first one,
         # so a watch from there receives the changes made during the read once more.
-        return Snapshot(int(first.document["at"]), kept, first.era)
+        return Snapshot(int(first.document["at"]), recent, first.era)
 
     async def compare_and_swap(
         self, swaps: Sequence[Swap], *, checks: Sequence[Check] = ()
@@ -151,8 +151,8 @@
             {"expected": expected, "puts": puts, "remove": remove},
         )
         if answer.status == _CONFLICT:
-            found = answer.document["items"]
-            items = [item for item in found if item.get("value") is not None]
+            documents = answer.document["items"]
+            items = [item for item in documents if item.get("value") is not None]
             return SwapLost(tuple(_read_item(item) for item in items))
         if answer.status == _NOT_FOUND:
             raise KeyValueRefused(
--- a/src/hyssopvane/_internal/utils/deferred_metrics.py
+++ b/src/hyssopvane/_internal/utils/deferred_metrics.py
@@ -53,9 +53,9 @@
 
     def record_duration(self, *, service: str, seconds: float) -> None:
         """Record the time from the head of a request to the last byte of its answer."""
-        kept = self._durations.setdefault(service, array("d"))
-        kept.append(seconds)
-        if len(kept) >= MOST_KEPT:
+        durations = self._durations.setdefault(service, array("d"))
+        durations.append(seconds)
+        if len(durations) >= MOST_KEPT:
             self._flush()
 
     def render(self) -> bytes:
@@ -80,8 +80,8 @@
             levels=self._levels,
             durations=self._durations,
         )
-        for counted in (self._events, self._refusals, self._retries):
-            counted.clear()
+        for counter in (self._events, self._refusals, self._retries):
+            counter.clear()
         self._requests.clear()
         self._durations.clear()
         return self._metrics
--- a/src/hyssopvane/_internal/utils/log_lines.py
+++ b/src/hyssopvane/_internal/utils/log_lines.py
@@ -18,8 +18,8 @@
     remaining = line[at:].rstrip("\n")
     fields: dict[str, str] = {}
     while remaining:
-        name, found, remaining = remaining.partition("=")
-        if not found or not name:
+        name, separator, remaining = remaining.partition("=")
+        if not separator or not name:
             return None
         if remaining.startswith('"'):
             try:
@@ -37,10 +37,10 @@
     lines: Iterable[str], request_id: str
 ) -> Iterator[Mapping[str, str]]:
     """Yield the lines of one request from all processes, ordered by time."""
-    found = [
+    matching = [
         fields
         for line in lines
         if (fields := parse_line(line)) is not None
         and fields.get("request") == request_id
     ]
-    yield from sorted(found, key=lambda fields: fields["time"])
+    yield from sorted(matching, key=lambda fields: fields["time"])
--- a/src/hyssopvane/_internal/utils/metrics.py
+++ b/src/hyssopvane/_internal/utils/metrics.py
@@ -75,8 +75,8 @@
         for level, value in levels.items():
             self._levels.set(value, {**self._labels, "level": level})
         for service, seconds in durations.items():
-            for one in seconds:
-                self.record_duration(service=service, seconds=one)
+            for duration in seconds:
+                self.record_duration(service=service, seconds=duration)
 
     def record_duration(self, *, service: str, seconds: float) -> None:
         """Record the time from the head of a request to the last byte of its answer."""
--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -115,12 +115,12 @@
     Without a limit the entry runs out of descriptors and fails for all callers.
     """
     address = site.callers
-    kept = []
+    connections = []
     try:
         answers = []
         for _ in range(MAX_CONNECTIONS + 3):
             one = open_request("GET", address, "/check/lots/7", headers=CALLER)
-            kept.append(one)
+            connections.append(one)
             answers.append(one.read(65_536))
         refused = [one for one in answers if not one.startswith(b"HTTP/1.1 200")]
         # A connection of an earlier test may still be closing.
@@ -131,7 +131,7 @@
             assert b"hyssopvane-outcome: not-run" in one
         assert count_refusals(site, "too-many-connections") >= 3
     finally:
-        for one in kept:
+        for one in connections:
             one.close()
     wait_until(
         lambda: request("GET", address, "/check/lots/7", headers=CALLER).status == 200
--- a/tests/lib/golden.py
+++ b/tests/lib/golden.py
@@ -33,13 +33,13 @@
 
     def add_answer(self, title, answer) -> None:
         """Append a caller's answer without Date and Content-Length, which vary."""
-        kept = sorted(
+        fields = sorted(
             f"{name}: {value}"
             for name, value in answer.headers.items()
             if name not in {"date", "content-length"}
         )
         body = answer.body.decode()
-        self.add(title, "\n".join([str(answer.status), *kept, "", body]))
+        self.add(title, "\n".join([str(answer.status), *fields, "", body]))
 
     def add_log(self, vm: str, lines, events) -> None:
         """Append the log lines of a process that have one of the events."""
--- a/tests/unit/test_main.py
+++ b/tests/unit/test_main.py
@@ -14,10 +14,10 @@
     """Record the SIGHUP handler at the time when the command starts."""
 
     def __init__(self):
-        self.found = None
+        self.handler = None
 
     def run_arguments(self, arguments):
-        self.found = signal.getsignal(signal.SIGHUP)
+        self.handler = signal.getsignal(signal.SIGHUP)
         return 0
 
     def run_plain(self, role, path):
@@ -39,14 +39,14 @@
     the machine would serve no requests until the next start.
     """
     before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
-    found = RecordingApplication()
-    monkeypatch.setattr(application, "build_application", lambda: found)
-    monkeypatch.setattr(role_process, "run_plain", found.run_plain)
+    recorder = RecordingApplication()
+    monkeypatch.setattr(application, "build_application", lambda: recorder)
+    monkeypatch.setattr(role_process, "run_plain", recorder.run_plain)
     try:
         main(arguments)
     finally:
         signal.signal(signal.SIGHUP, before)
-    assert (found.found == signal.SIG_IGN) is ignored
+    assert (recorder.handler == signal.SIG_IGN) is ignored
 
 
 def test_role_starts_without_importing_cleo():
