--- a/src/hyssopvane/_internal/models/refusals.py
+++ b/src/hyssopvane/_internal/models/refusals.py
@@ -168,5 +168,5 @@
 
     @property
     def remedy(self) -> str:
-        """Return what the caller should do next."""
+        """Return a hint on what the caller can do."""
         return REFUSAL_RULES[self.reason].remedy
--- a/src/hyssopvane/_internal/models/settings.py
+++ b/src/hyssopvane/_internal/models/settings.py
@@ -9,7 +9,7 @@
 from hyssopvane._internal.exceptions import SettingsError
 
 Address = Annotated[str, Field(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
-"""An IP address and a port, as in 10.0.0.7:8080; the kernel chooses for port 0."""
+"""An IP address and a port, as in 10.0.0.7:8080; port 0 is any free port."""
 
 _KILL_MARGIN_S = 0.3
 _BITS_PER_MEGABIT = 1e6
--- a/src/hyssopvane/_internal/platform/configuration.py
+++ b/src/hyssopvane/_internal/platform/configuration.py
@@ -73,7 +73,7 @@
     chunk: Count = 0
     expert_sets: Count | None = Field(None, alias="expert-sets")
     experts: Positive = 1
-    # Despite its name, the number of experts that fit on a rank.
+    # Despite its name, the number of experts of a set that fit on a rank.
     placement: Positive = 1
     # Despite its name, the number of experts that one order may add.
     spare: Count = 0
--- a/src/hyssopvane/_internal/platform/store.py
+++ b/src/hyssopvane/_internal/platform/store.py
@@ -156,7 +156,8 @@
             return SwapLost(tuple(_read_item(item) for item in items))
         if answer.status == _NOT_FOUND:
             raise KeyValueRefused(
-                "the lease of a key has expired", hint="grant a new lease and retry"
+                "the lease of a key has expired or was revoked",
+                hint="grant a new lease and retry",
             )
         return Swapped(int(answer.document["revision"]))
 
--- a/tests/lib/golden.py
+++ b/tests/lib/golden.py
@@ -32,7 +32,10 @@
         self._sections.append(f"== {title}\n{text.rstrip()}\n")
 
     def add_answer(self, title, answer) -> None:
-        """Append a caller's answer without Date and Content-Length, which vary."""
+        """Append a caller's answer without Date and Content-Length.
+
+        The date varies, and so does the length of ids.
+        """
         fields = sorted(
             f"{name}: {value}"
             for name, value in answer.headers.items()
