--- a/src/hyssopvane/_internal/platform/ranks.py
+++ b/src/hyssopvane/_internal/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Call the ranks of groups."""
+"""Read reports of ranks and send them orders over HTTP."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -12,12 +12,12 @@
 )
 from hyssopvane._internal.exceptions import ConfigurationError
 from hyssopvane._internal.platform.reports import (
+    COUNTS_PATH,
     MAP_PATH,
     ORDER_PATH,
-    PICKS_PATH,
     REPORT_PATH,
+    decode_counts,
     decode_experts,
-    decode_picks,
     decode_report,
     encode_order,
 )
@@ -31,10 +31,10 @@
 from hyssopvane._internal.utils.logs import log_event
 
 ANSWER_TIMEOUT_S = 0.15
-"""Time for a report: a rank answers in a millisecond, or not at all."""
+"""Timeout of a report: a rank answers in a millisecond, or not at all."""
 
 ORDER_TIMEOUT_S = 0.06
-"""Time for an order, after which it is given again: a pass may be held meanwhile."""
+"""Timeout of an order, after which it is resent: a pass may be held meanwhile."""
 
 _MAX_BODY_BYTES = 8 * 1024 * 1024
 _JSON = (b"content-type", b"application/json")
@@ -47,7 +47,7 @@
 
 
 class PlatformRanks(RankControl):
-    """Speak to ranks over kept connections."""
+    """Call ranks over a pool of persistent connections."""
 
     def __init__(self) -> None:
         self._client = ReplicaClient()
@@ -56,7 +56,7 @@
         return _decode(decode_report, await self._get(address, REPORT_PATH))
 
     async def read_counts(self, address: str) -> Counts:
-        return _decode(decode_picks, await self._get(address, PICKS_PATH)).counts
+        return _decode(decode_counts, await self._get(address, COUNTS_PATH)).counts
 
     async def read_experts(self, address: str) -> ExpertsBySet:
         return _decode(decode_experts, await self._get(address, MAP_PATH))
--- a/tests/unit/test_main.py
+++ b/tests/unit/test_main.py
@@ -1,4 +1,4 @@
-"""Test the entry of the command line."""
+"""Test the entry point of the command line."""
 
 import signal
 import subprocess
@@ -11,13 +11,13 @@
 
 
 class RecordingApplication:
-    """Remember what SIGHUP would do when the command begins to load."""
+    """Record the SIGHUP handler at the time when the command starts."""
 
     def __init__(self):
-        self.found = None
+        self.handler = None
 
     def run_arguments(self, arguments):
-        self.found = signal.getsignal(signal.SIGHUP)
+        self.handler = signal.getsignal(signal.SIGHUP)
         return 0
 
     def run_plain(self, role, path):
@@ -32,25 +32,25 @@
         (["table", "show"], False),
     ],
 )
-def test_reload_during_the_start_ends_no_process(monkeypatch, arguments, ignored):
-    """Settings change on many machines while a process is just being started there.
+def test_sighup_during_startup_is_ignored(monkeypatch, arguments, ignored):
+    """Settings are reloaded by SIGHUP while a process is starting.
 
-    It has not yet loaded what takes the signal, and would end: the machine serves
-    nobody until it is started once more.
+    Its handler is not installed yet, so the default action would end the process, and
+    the machine would serve no requests until the next start.
     """
     before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
-    found = RecordingApplication()
-    monkeypatch.setattr(application, "build_application", lambda: found)
-    monkeypatch.setattr(role_process, "run_plain", found.run_plain)
+    recorder = RecordingApplication()
+    monkeypatch.setattr(application, "build_application", lambda: recorder)
+    monkeypatch.setattr(role_process, "run_plain", recorder.run_plain)
     try:
         main(arguments)
     finally:
         signal.signal(signal.SIGHUP, before)
-    assert (found.found == signal.SIG_IGN) is ignored
+    assert (recorder.handler == signal.SIG_IGN) is ignored
 
 
-def test_role_starts_without_the_library_of_the_command_line():
-    """All machines have lost power, and callers wait for each entry's start."""
+def test_role_starts_without_importing_cleo():
+    """After a power failure callers wait for each entry, so its start must be fast."""
     loaded = subprocess.run(
         [
             sys.executable,
