--- a/src/hyssopvane/_internal/utils/log_lines.py
+++ b/src/hyssopvane/_internal/utils/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the log lines that `utils.logs` writes."""
+"""Parse the log lines that `utils.logs` writes."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -8,37 +8,39 @@
 
 
 def parse_line(line: str) -> Mapping[str, str] | None:
-    """Return the fields of a line, or None when it is none of ours.
+    """Return the fields of a line, or None if it has another format.
 
-    Whoever collects the logs may have put something before the line.
+    A log collector may have added a prefix, which is ignored.
     """
     at = line.find(_START)
     if at < 0:
         return None
-    rest = line[at:].rstrip("\n")
+    remaining = line[at:].rstrip("\n")
     fields: dict[str, str] = {}
-    while rest:
-        name, found, rest = rest.partition("=")
-        if not found or not name:
+    while remaining:
+        name, separator, remaining = remaining.partition("=")
+        if not separator or not name:
             return None
-        if rest.startswith('"'):
+        if remaining.startswith('"'):
             try:
-                value, end = _JSON.raw_decode(rest)
+                value, end = _JSON.raw_decode(remaining)
             except ValueError:
                 return None
             fields[name] = str(value)
-            rest = rest[end:].removeprefix(" ")
+            remaining = remaining[end:].removeprefix(" ")
         else:
-            fields[name], _, rest = rest.partition(" ")
+            fields[name], _, remaining = remaining.partition(" ")
     return fields if "event" in fields else None
 
 
-def find_story(lines: Iterable[str], request_id: str) -> Iterator[Mapping[str, str]]:
-    """Yield the lines on one request, of all processes, in order of their times."""
-    found = [
+def find_request_lines(
+    lines: Iterable[str], request_id: str
+) -> Iterator[Mapping[str, str]]:
+    """Yield the lines of one request from all processes, ordered by time."""
+    matching = [
         fields
         for line in lines
         if (fields := parse_line(line)) is not None
         and fields.get("request") == request_id
     ]
-    yield from sorted(found, key=lambda fields: fields["time"])
+    yield from sorted(matching, key=lambda fields: fields["time"])
