--- a/src/hyssopvane/_internal/utils/token_bucket.py
+++ b/src/hyssopvane/_internal/utils/token_bucket.py
@@ -1,22 +1,22 @@
-"""Bound how often something is done."""
+"""Limit the rate of an action."""
 
 
 class TokenBucket:
-    """Allow so many uses a second, and a few at once."""
+    """Limit uses to a rate per second and a burst."""
 
     def __init__(self, *, per_s: float, burst: float) -> None:
         self._per_s = per_s
         self._burst = burst
-        self._left = burst
-        self._at: float | None = None
+        self._tokens = burst
+        self._updated_at: float | None = None
 
     def take(self, now: float) -> bool:
-        """Use one token if there is one; `now` is in seconds of a steady clock."""
-        if self._at is not None:
-            gained = (now - self._at) * self._per_s
-            self._left = min(self._burst, self._left + max(0.0, gained))
-        self._at = now
-        if self._left < 1:
+        """Take a token if there is one; `now` is in seconds of a monotonic clock."""
+        if self._updated_at is not None:
+            refill = (now - self._updated_at) * self._per_s
+            self._tokens = min(self._burst, self._tokens + max(0.0, refill))
+        self._updated_at = now
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
--- a/tests/lib/golden.py
+++ b/tests/lib/golden.py
@@ -1,6 +1,6 @@
 """Compare a recorded session with its golden file.
 
-Set UPDATE_GOLDEN=1 to record the files anew; read the difference before committing it.
+Set UPDATE_GOLDEN=1 to rewrite the files; review the difference before you commit it.
 """
 
 import os
@@ -8,12 +8,12 @@
 from pathlib import Path
 
 FOLDER = Path(__file__).parent.parent / "golden"
-# In this order: an id holds digits that the later patterns would touch.
-_PATTERNS = (
+# The order matters: later patterns would match digits within an id.
+_NUMBERED = (
     (r"[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}", "id"),
     (r"127\.0\.0\.1:\d+", "address"),
 )
-_DROPPED = (
+_REPLACED = (
     (r"time=\S+ ", ""),
     (r"seconds=\S+", "seconds=<seconds>"),
     (r"incarnation=\d+", "incarnation=<number>"),
@@ -22,7 +22,7 @@
 
 
 class Session:
-    """Collect what each side saw, one section for each."""
+    """Collect the answers and logs of a session in titled sections."""
 
     def __init__(self) -> None:
         self._sections: list[str] = []
@@ -32,32 +32,35 @@
         self._sections.append(f"== {title}\n{text.rstrip()}\n")
 
     def add_answer(self, title, answer) -> None:
-        """Append what a caller got; the date and lengths of ids vary."""
-        kept = sorted(
+        """Append a caller's answer without Date and Content-Length.
+
+        The date varies, and so does the length of ids.
+        """
+        fields = sorted(
             f"{name}: {value}"
             for name, value in answer.headers.items()
             if name not in {"date", "content-length"}
         )
         body = answer.body.decode()
-        self.add(title, "\n".join([str(answer.status), *kept, "", body]))
+        self.add(title, "\n".join([str(answer.status), *fields, "", body]))
 
     def add_log(self, vm: str, lines, events) -> None:
-        """Append a process's log lines of some events."""
+        """Append the log lines of a process that have one of the events."""
         wanted = re.compile(rf" event=({'|'.join(events)})\b")
         self.add(f"log of {vm}", "\n".join(one for one in lines if wanted.search(one)))
 
     def render(self) -> str:
-        """Return the session with ids, addresses and times normalised."""
+        """Return the session with normalised ids, addresses and times."""
         text = "\n".join(self._sections)
-        for pattern, replacement in _DROPPED:
+        for pattern, replacement in _REPLACED:
             text = re.sub(pattern, replacement, text)
-        for pattern, kind in _PATTERNS:
+        for pattern, kind in _NUMBERED:
             text = _number(text, pattern, kind)
         return text
 
 
 def compare(name: str, session: Session) -> None:
-    """Compare a session with its file, or record the file."""
+    """Compare a session with its golden file, or rewrite the file."""
     path = FOLDER / f"{name}.txt"
     if os.environ.get("UPDATE_GOLDEN"):
         path.parent.mkdir(exist_ok=True)
@@ -66,7 +69,7 @@
 
 
 def _number(text: str, pattern: str, kind: str) -> str:
-    """Replace each value by its number, so that the same one is seen as the same."""
+    """Replace each distinct value by a number of its own."""
     seen: dict[str, str] = {}
     return re.sub(
         pattern,
