--- a/bench/capacity_connections.py
+++ b/bench/capacity_connections.py
@@ -35,7 +35,7 @@
     return fit_slope(
         "heartbeats",
         points,
-        size_unit="connection, both ends, per second",
+        size_unit="connection, both ends, a second",
         value_unit="us",
     )
 
--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -88,7 +88,7 @@
             after = bench.read_usage(role, service="draft").resident_bytes
             points.append(Point(streams, (after - before) / _KIBIBYTE))
     return fit_slope(
-        f"streams-{role}", points, size_unit="open stream", value_unit="KiB"
+        f"streams-{role}", points, size_unit="stream that was open", value_unit="KiB"
     )
 
 
--- a/src/hyssopvane/_internal/standins/engine.py
+++ b/src/hyssopvane/_internal/standins/engine.py
@@ -57,7 +57,7 @@
 
     def __post_init__(self) -> None:
         if not 0 <= self.resume_from < self.max_tokens:
-            raise ValueError("resume_from must be between 0 and max_tokens - 1")
+            raise ValueError("resume_from must lie in 0 to max_tokens - 1")
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/hyssopvane/_internal/standins/key_value.py
+++ b/src/hyssopvane/_internal/standins/key_value.py
@@ -132,9 +132,7 @@
     def restore_copy(self, options: RestoreOptions) -> None:
         """Restore the saved copy, losing later writes, and end the watches."""
         if self._copy is None:
-            raise _Refusal(
-                400, _GRPC_INVALID_ARGUMENT, "no copy was saved; call POST /copy first"
-            )
+            raise _Refusal(400, _GRPC_INVALID_ARGUMENT, "no copy was kept")
         self.state = self._copy.copy_all()
         self._stale = None
         if options.new_cluster:
--- a/src/hyssopvane/_internal/standins/weight_store.py
+++ b/src/hyssopvane/_internal/standins/weight_store.py
@@ -53,7 +53,7 @@
 
     async def _answer(self, request: Request, responder: Responder) -> None:
         if request.method != "GET" or not request.path.startswith("/weights/"):
-            await responder.send_json(404, {"error": "expected GET /weights/NAME"})
+            await responder.send_json(404, {"error": "ask for GET /weights/NAME"})
             return
         length = int(request.query.get("bytes", self._config.object_bytes))
         await responder.run_while_connected(partial(self._send, length, responder))
