--- a/src/hyssopvane/_internal/protocol/demand.py
+++ b/src/hyssopvane/_internal/protocol/demand.py
@@ -11,25 +11,25 @@
 DEMAND_TOPIC = "demand"
 
 _SCHEMA_FILE = Path(__file__).with_name("demand.capnp")
-_MILLISECONDS = 1_000
+_MS_PER_S = 1_000
 
 
-def encode_asks(asks: Sequence[ShareRequest]) -> bytes:
+def encode_share_requests(requests: Sequence[ShareRequest]) -> bytes:
     """Encode asks to one entry."""
     message = load_schema(_SCHEMA_FILE).Asks.new_message()
-    builders = message.init("asks", len(asks))
-    for builder, ask in zip(builders, asks, strict=True):
-        builder.customer = ask.customer
-        builder.sequence = ask.sequence
-        builder.need = ask.need
-        builder.held = ask.held
+    builders = message.init("asks", len(requests))
+    for builder, request in zip(builders, requests, strict=True):
+        builder.customer = request.customer
+        builder.sequence = request.sequence
+        builder.need = request.need
+        builder.held = request.held
         # Rounded up: a giver must not count a grant for less time than it lasts.
-        builder.heldMs = int(ask.held_s * _MILLISECONDS) + 1
+        builder.heldMs = int(request.held_s * _MS_PER_S) + 1
     encoded: bytes = message.to_bytes_packed()
     return encoded
 
 
-def decode_asks(data: bytes) -> list[ShareRequest]:
+def decode_share_requests(data: bytes) -> list[ShareRequest]:
     """Decode asks; raise `ProtocolError` when they are none."""
     return [
         ShareRequest(
@@ -37,35 +37,35 @@
             sequence=one.sequence,
             need=one.need,
             held=one.held,
-            held_s=one.heldMs / _MILLISECONDS,
+            held_s=one.heldMs / _MS_PER_S,
         )
         for one in _read("Asks", data).asks
     ]
 
 
-def encode_answers(answers: Sequence[ShareGrant]) -> bytes:
+def encode_share_grants(grants: Sequence[ShareGrant]) -> bytes:
     """Encode the answers to asks."""
     message = load_schema(_SCHEMA_FILE).Answers.new_message()
-    builders = message.init("answers", len(answers))
-    for builder, answer in zip(builders, answers, strict=True):
-        builder.customer = answer.customer
-        builder.sequence = answer.sequence
-        builder.amount = answer.amount
-        builder.leaseMs = int(answer.lease_s * _MILLISECONDS)
-        builder.againMs = int(answer.retry_after_s * _MILLISECONDS)
+    builders = message.init("answers", len(grants))
+    for builder, grant in zip(builders, grants, strict=True):
+        builder.customer = grant.customer
+        builder.sequence = grant.sequence
+        builder.amount = grant.amount
+        builder.leaseMs = int(grant.lease_s * _MS_PER_S)
+        builder.againMs = int(grant.retry_after_s * _MS_PER_S)
     encoded: bytes = message.to_bytes_packed()
     return encoded
 
 
-def decode_answers(data: bytes) -> list[ShareGrant]:
+def decode_share_grants(data: bytes) -> list[ShareGrant]:
     """Decode answers; raise `ProtocolError` when they are none."""
     return [
         ShareGrant(
             customer=one.customer,
             sequence=one.sequence,
             amount=one.amount,
-            lease_s=one.leaseMs / _MILLISECONDS,
-            retry_after_s=one.againMs / _MILLISECONDS,
+            lease_s=one.leaseMs / _MS_PER_S,
+            retry_after_s=one.againMs / _MS_PER_S,
         )
         for one in _read("Answers", data).answers
     ]
