--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -43,19 +43,19 @@
 )
 
 _SCHEMA_FILE = Path(__file__).with_name("group.capnp")
-_MAX_BELIEF_WORDS = 8 * 1024 * 1024
-_MICROSECONDS = 1_000_000
+_MAX_SNAPSHOT_WORDS = 8 * 1024 * 1024
+_US_PER_S = 1_000_000
 _MAX_PASS_US = 2**32 - 1
 _MEMBER = struct.Struct("<HHBB")
-_MAX_WORD = 2**16 - 1
-_MAX_BYTE = 2**8 - 1
-_MILLISECONDS = 1_000
+_MAX_UINT16 = 2**16 - 1
+_MAX_UINT8 = 2**8 - 1
+_MS_PER_S = 1_000
 _MAX_AGE_MS = 2**32 - 1
-_PACE_UNITS = 16
-_AGE_UNITS = 100
+_PACE_STEPS_PER_UNIT = 16
+_AGE_UNITS_PER_S = 100
 _MAX_COUNTS = 2**16
 """Counts in one message: 16 sets of 4,096 experts."""
-_QUICK = 1
+_COMPRESSION_LEVEL = 1
 """Level of compression: the better ones take three times as long for a tenth less."""
 _CHECKSUM_BYTES = 4
 
@@ -80,48 +80,48 @@
             _write_order(datagram.init("order"), message)
         case ReplicaLimits():
             _write_limits(datagram.init("limits"), message)
-    return _seal(datagram.to_bytes_packed())
+    return _add_checksum(datagram.to_bytes_packed())
 
 
 def decode_message(data: bytes) -> GroupMessage:
     """Decode a datagram; raise `ProtocolError` when it is none of ours."""
     try:
-        body = _open(data)
+        body = _remove_checksum(data)
         datagram = load_schema(_SCHEMA_FILE).Datagram.from_bytes_packed(body)
         message = _READERS[str(datagram.which())](datagram)
     except (capnp.KjException, KeyError, ValueError, zlib.error) as error:
         raise ProtocolError("a datagram can't be read", context=str(error)) from error
-    _check(message)
+    _validate(message)
     return message
 
 
-def _check(message: GroupMessage) -> None:
+def _validate(message: GroupMessage) -> None:
     """Raise `ProtocolError` where a readable message holds what nobody sends.
 
     Addresses are sent to and numbers are counted with; a wrong one would end the
     process far from here, where nobody could tell who sent it.
     """
-    sound = True
+    is_valid = True
     match message:
         case EntryState():
             # An entry that gives nothing on names no address for its beliefs.
-            addresses = (message.address, *_present(message.beliefs, message.via))
+            addresses = (message.address, *_drop_empty(message.beliefs, message.via))
         case GroupLoad():
-            addresses = _present(message.forward)
-            sound = 0 < len(message.members) <= message.ranks
+            addresses = _drop_empty(message.forward)
+            is_valid = 0 < len(message.members) <= message.ranks
         case Roster():
             addresses = (
                 *(one.address for one in message.members),
                 *(one.address for one in message.entries),
-                *_present(message.forward),
+                *_drop_empty(message.forward),
             )
-            sound = bool(message.members)
+            is_valid = bool(message.members)
         case Presence():
             addresses = (message.messages,)
         case RankState():
             # A short word leaves out what the one before it has told.
-            addresses = _present(message.messages, message.replica)
-            sound = message.rank < message.ranks and (
+            addresses = _drop_empty(message.messages, message.replica)
+            is_valid = message.rank < message.ranks and (
                 isfinite(message.pace) and message.pace >= 0
             )
         case OrderRequest():
@@ -130,41 +130,41 @@
             addresses = message.forward
         case ReplicaLimits():
             addresses = tuple(one.replica for one in message.reports)
-            sound = all(_is_limit(one.per_s) for one in message.reports)
-    if not sound or not all(is_address(one) for one in addresses):
+            is_valid = all(_is_valid_limit(one.per_s) for one in message.reports)
+    if not is_valid or not all(is_address(one) for one in addresses):
         raise ProtocolError(
             "a datagram holds what no process of ours sends", context=str(message)[:200]
         )
 
 
-def _is_limit(per_s: float | None) -> bool:
+def _is_valid_limit(per_s: float | None) -> bool:
     return per_s is None or (isfinite(per_s) and per_s >= 0)
 
 
-def _present(*addresses: str) -> tuple[str, ...]:
+def _drop_empty(*addresses: str) -> tuple[str, ...]:
     return tuple(one for one in addresses if one)
 
 
-def encode_beliefs(beliefs: StoreSnapshot) -> bytes:
+def encode_store_snapshot(snapshot: StoreSnapshot) -> bytes:
     """Encode what an entry has learnt from the store."""
     message = load_schema(_SCHEMA_FILE).Beliefs.new_message()
-    message.configurationRevision = beliefs.configuration_revision
-    message.configuration = beliefs.configuration
-    message.replicasRevision = beliefs.replicas_revision
-    message.replicasEra = beliefs.replicas_era
-    builders = message.init("replicas", len(beliefs.replicas))
-    for builder, item in zip(builders, beliefs.replicas, strict=True):
+    message.configurationRevision = snapshot.configuration_revision
+    message.configuration = snapshot.configuration
+    message.replicasRevision = snapshot.replicas_revision
+    message.replicasEra = snapshot.replicas_era
+    builders = message.init("replicas", len(snapshot.replicas))
+    for builder, item in zip(builders, snapshot.replicas, strict=True):
         builder.key = item.key
         builder.value = item.value
         builder.revision = item.revision
-    return _seal(message.to_bytes_packed())
+    return _add_checksum(message.to_bytes_packed())
 
 
-def decode_beliefs(data: bytes) -> StoreSnapshot:
+def decode_store_snapshot(data: bytes) -> StoreSnapshot:
     """Decode another entry's beliefs; raise `ProtocolError` when they are none."""
     try:
         message = load_schema(_SCHEMA_FILE).Beliefs.from_bytes_packed(
-            _open(data), traversal_limit_in_words=_MAX_BELIEF_WORDS
+            _remove_checksum(data), traversal_limit_in_words=_MAX_SNAPSHOT_WORDS
         )
         return StoreSnapshot(
             configuration_revision=message.configurationRevision,
@@ -180,12 +180,12 @@
         raise ProtocolError("beliefs can't be read", context=str(error)) from error
 
 
-def _seal(body: bytes) -> bytes:
+def _add_checksum(body: bytes) -> bytes:
     """Put a checksum before a message."""
     return zlib.crc32(body).to_bytes(_CHECKSUM_BYTES, "big") + body
 
 
-def _open(data: bytes) -> bytes:
+def _remove_checksum(data: bytes) -> bytes:
     """Return the message behind a checksum; raise `ProtocolError` when it is damaged.
 
     The decoder of packed messages ends the whole process at some damaged ones, where
@@ -208,8 +208,8 @@
     builder.availabilityZone = message.availability_zone
     builder.via = message.via
     if message.store_returned_s is not None:
-        returned_ms = int(message.store_returned_s * _MILLISECONDS)
-        builder.storeReturnedMs = min(_MAX_WORD, 1 + returned_ms)
+        returned_ms = int(message.store_returned_s * _MS_PER_S)
+        builder.storeReturnedMs = min(_MAX_UINT16, 1 + returned_ms)
 
 
 def _read_entry(datagram: Any) -> EntryState:
@@ -223,12 +223,12 @@
         lacks_load=one.unheard,
         availability_zone=one.availabilityZone,
         via=one.via,
-        store_returned_s=_read_returned(one.storeReturnedMs),
+        store_returned_s=_read_store_returned(one.storeReturnedMs),
     )
 
 
-def _read_returned(milliseconds: int) -> float | None:
-    return (milliseconds - 1) / _MILLISECONDS if milliseconds else None
+def _read_store_returned(milliseconds: int) -> float | None:
+    return (milliseconds - 1) / _MS_PER_S if milliseconds else None
 
 
 def _write_presence(builder: Any, message: Presence) -> None:
@@ -263,7 +263,7 @@
         item.startedMs = one.started_ms
         item.named = one.per_s is not None
         item.perS = one.per_s or 0.0
-        item.ageMs = min(_MAX_AGE_MS, max(0, int(one.age_s * _MILLISECONDS)))
+        item.ageMs = min(_MAX_AGE_MS, max(0, int(one.age_s * _MS_PER_S)))
 
 
 def _read_limits(datagram: Any) -> ReplicaLimits:
@@ -273,7 +273,7 @@
                 replica=one.replica,
                 started_ms=one.startedMs,
                 per_s=one.perS if one.named else None,
-                age_s=one.ageMs / _MILLISECONDS,
+                age_s=one.ageMs / _MS_PER_S,
             )
             for one in datagram.limits.news
         )
@@ -288,8 +288,8 @@
     builder.ranks = message.ranks
     builder.open = message.open
     builder.step = message.step
-    builder.passUs = min(_MAX_PASS_US, int(message.pass_s * _MICROSECONDS))
-    builder.entries = min(_MAX_WORD, message.entries)
+    builder.passUs = min(_MAX_PASS_US, int(message.pass_s * _US_PER_S))
+    builder.entries = min(_MAX_UINT16, message.entries)
     builder.members = b"".join(_pack_member(member) for member in message.members)
     builder.relay = message.relay
     builder.forward = message.forward
@@ -297,10 +297,10 @@
 
 def _pack_member(member: MemberLoad) -> bytes:
     return _MEMBER.pack(
-        min(_MAX_WORD, member.active),
-        min(_MAX_WORD, member.queued),
-        min(_MAX_BYTE, round(member.pace * _PACE_UNITS)),
-        min(_MAX_BYTE, max(0, int(member.age_s * _AGE_UNITS))),
+        min(_MAX_UINT16, member.active),
+        min(_MAX_UINT16, member.queued),
+        min(_MAX_UINT8, round(member.pace * _PACE_STEPS_PER_UNIT)),
+        min(_MAX_UINT8, max(0, int(member.age_s * _AGE_UNITS_PER_S))),
     )
 
 
@@ -308,7 +308,9 @@
     one = datagram.load
     try:
         members = tuple(
-            MemberLoad(active, queued, pace / _PACE_UNITS, age / _AGE_UNITS)
+            MemberLoad(
+                active, queued, pace / _PACE_STEPS_PER_UNIT, age / _AGE_UNITS_PER_S
+            )
             for active, queued, pace, age in _MEMBER.iter_unpack(one.members)
         )
     except struct.error as error:
@@ -321,7 +323,7 @@
         ranks=one.ranks,
         open=one.open,
         step=one.step,
-        pass_s=one.passUs / _MICROSECONDS,
+        pass_s=one.passUs / _US_PER_S,
         entries=one.entries,
         members=members,
         relay=one.relay,
@@ -434,7 +436,7 @@
 
 def _write_lists(builder: Any, lists: Sequence[Sequence[int]]) -> None:
     items = [item for one in lists for item in one]
-    builder.wide = max(items, default=0) > _MAX_BYTE
+    builder.wide = max(items, default=0) > _MAX_UINT8
     builder.items = _pack_numbers(items, wide=builder.wide)
     builder.lengths = _pack_numbers([len(one) for one in lists], wide=True)
 
@@ -462,9 +464,9 @@
 def _write_counts(builder: Any, counts: Counts) -> None:
     if not counts:
         return
-    unit = max(1, -(-max(counts) // _MAX_BYTE))
+    unit = max(1, -(-max(counts) // _MAX_UINT8))
     rounded = bytes((count + unit // 2) // unit for count in counts)
-    builder.items = zlib.compress(rounded, _QUICK)
+    builder.items = zlib.compress(rounded, _COMPRESSION_LEVEL)
     builder.unit = unit
     builder.size = len(counts)
 
