--- a/src/hyssopvane/_internal/coordination/claim_fence.py
+++ b/src/hyssopvane/_internal/coordination/claim_fence.py
@@ -12,7 +12,7 @@
     Swapped,
 )
 from hyssopvane._internal.coordination.service_era import FIRST_ERA
-from hyssopvane._internal.protocol.idempotency import CLOCK_ALLOWANCE_S
+from hyssopvane._internal.protocol.idempotency import MAX_CLOCK_SKEW_S
 from hyssopvane._internal.state.claims import get_slice
 
 FENCE_KEY = "claims/fence"
@@ -58,7 +58,7 @@
             item = await self._store.get(FENCE_KEY)
             found = _Fence(0, NO_FENCE) if item is None else _parse(item.value)
             if found.era < era:
-                newest = get_slice(self._clock() + CLOCK_ALLOWANCE_S) + 1
+                newest = get_slice(self._clock() + MAX_CLOCK_SKEW_S) + 1
                 new_fence = _Fence(era, max(found.slice, newest))
                 revision = ABSENT if item is None else item.revision
                 swap = Swap(
--- a/src/hyssopvane/_internal/protocol/headers.py
+++ b/src/hyssopvane/_internal/protocol/headers.py
@@ -28,11 +28,11 @@
     }
 )
 # Statuses whose Retry-After speaks of the server, not of one request.
-_TURNED_AWAY = frozenset({429, 503})
+_OVERLOAD_STATUSES = frozenset({429, 503})
 _SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,9})?")
 # The server in front of the callers writes its own.
-_OF_THE_TARGET_ONLY = frozenset({b"date"})
-_OF_THE_CALLER_ONLY = frozenset({AUTHORIZATION, b"host", b"content-length", b"expect"})
+_TARGET_ONLY = frozenset({b"date"})
+_CALLER_ONLY = frozenset({AUTHORIZATION, b"host", b"content-length", b"expect"})
 
 
 def get_header(headers: Headers, name: bytes) -> bytes | None:
@@ -43,7 +43,7 @@
     return None
 
 
-def join_headers(
+def index_headers(
     headers: Iterable[tuple[bytes, bytes]],
 ) -> dict[bytes, bytes]:
     """Return the first value of each header by its name in lower case."""
@@ -53,15 +53,15 @@
     return found
 
 
-def read_rest(status: int, fields: Mapping[bytes, bytes]) -> float | None:
+def read_backoff_s(status: int, fields: Mapping[bytes, bytes]) -> float | None:
     """Return the seconds for which whoever answers wants no requests, None for none.
 
     Raise `ProtocolError` where the answer names them in a way that can't be read.
     """
-    return read_retry_after(fields) if status in _TURNED_AWAY else None
+    return read_retry_after_s(fields) if status in _OVERLOAD_STATUSES else None
 
 
-def read_retry_after(fields: Mapping[bytes, bytes]) -> float | None:
+def read_retry_after_s(fields: Mapping[bytes, bytes]) -> float | None:
     """Return the seconds that an answer asks to stay away, None where it names none.
 
     Raise `ProtocolError` where it names them in a way that can't be read. A time of day
@@ -83,7 +83,7 @@
         (name, value)
         for name, value in headers
         if name not in HOP_BY_HOP
-        and name not in _OF_THE_CALLER_ONLY
+        and name not in _CALLER_ONLY
         and name != TARGET_REQUEST_ID
     )
     return kept + ((TARGET_REQUEST_ID, request_id.encode()),)
@@ -94,5 +94,5 @@
     return tuple(
         (name.lower(), value)
         for name, value in headers
-        if name.lower() not in HOP_BY_HOP and name.lower() not in _OF_THE_TARGET_ONLY
+        if name.lower() not in HOP_BY_HOP and name.lower() not in _TARGET_ONLY
     )
--- a/src/hyssopvane/_internal/protocol/idempotency.py
+++ b/src/hyssopvane/_internal/protocol/idempotency.py
@@ -7,7 +7,7 @@
 from hyssopvane._internal.protocol import headers
 from hyssopvane._internal.protocol.messages import Headers
 
-CLOCK_ALLOWANCE_S = 120.0
+MAX_CLOCK_SKEW_S = 120.0
 """How far a caller's clock may run ahead of ours, in seconds.
 
 Callers' clocks are off by a minute and ours by a little; a key from beyond twice that
@@ -58,8 +58,8 @@
     if age_s > window_s:
         detail = f"the key is {age_s:.0f} s old; the window is {window_s:.0f} s"
         return Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN, detail=detail)
-    if age_s < -CLOCK_ALLOWANCE_S:
-        detail = f"the key is {-age_s:.0f} s ahead; {CLOCK_ALLOWANCE_S:.0f} s are let"
+    if age_s < -MAX_CLOCK_SKEW_S:
+        detail = f"the key is {-age_s:.0f} s ahead; {MAX_CLOCK_SKEW_S:.0f} s are let"
         # Another entry's clock may have accepted it, so nothing is proved.
         return Refusal(RefusalReason.KEY_FROM_FUTURE, Outcome.UNKNOWN, detail=detail)
     return None
--- a/src/hyssopvane/_internal/protocol/replica_headers.py
+++ b/src/hyssopvane/_internal/protocol/replica_headers.py
@@ -40,10 +40,10 @@
     """Stands on all answers of a replica that is about to end, with the value 1."""
 
 
-_IS_LEAVING = b"1"
+_LEAVING_VALUE = b"1"
 _DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
-_OF_ONE_CONNECTION = HOP_BY_HOP | {b"expect"}
+_CONNECTION_HEADERS = HOP_BY_HOP | {b"expect"}
 
 
 def select_for_replica(
@@ -54,7 +54,7 @@
     Headers in `replaced` go before what the caller sent under the same name. The key
     is left out: a replica must not be able to act as the customer.
     """
-    dropped = _OF_ONE_CONNECTION | _list_named(headers)
+    dropped = _CONNECTION_HEADERS | _list_connection_options(headers)
     dropped |= {name for name, _ in replaced}
     dropped |= {b"authorization", b"content-length", names.customer}
     kept = tuple((name, value) for name, value in headers if name not in dropped)
@@ -64,7 +64,7 @@
 def select_for_caller(headers: Headers) -> Headers:
     """Return a replica's headers as they go on to the caller."""
     lowered = tuple((name.lower(), value) for name, value in headers)
-    dropped = _OF_ONE_CONNECTION | _list_named(lowered) | {b"date"}
+    dropped = _CONNECTION_HEADERS | _list_connection_options(lowered) | {b"date"}
     return tuple((name, value) for name, value in lowered if name not in dropped)
 
 
@@ -85,12 +85,12 @@
     return float(value)
 
 
-def says_leaving(fields: Mapping[bytes, bytes], names: ReplicaHeaders) -> bool:
+def indicates_leaving(fields: Mapping[bytes, bytes], names: ReplicaHeaders) -> bool:
     """Tell whether an answer says that its replica leaves."""
-    return fields.get(names.leaving, b"").strip() == _IS_LEAVING
+    return fields.get(names.leaving, b"").strip() == _LEAVING_VALUE
 
 
-def _list_named(headers: Headers) -> frozenset[bytes]:
+def _list_connection_options(headers: Headers) -> frozenset[bytes]:
     # RFC 9110, 7.6.1: the names that Connection lists concern that connection only.
     return frozenset(
         part.strip().lower()
--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -191,7 +191,7 @@
         """Take note of the table that an entry has."""
         # A heartbeat may overtake the rows on a connection that was just opened.
         if peer in self._tellers:
-            self.rows.update_position(heartbeat.table_mark)
+            self.rows.update_position(heartbeat.table_position)
 
     def _receive_rows(self, peer: PeerConnection, body: bytes) -> None:
         try:
--- a/src/hyssopvane/_internal/roles/direct_app.py
+++ b/src/hyssopvane/_internal/roles/direct_app.py
@@ -9,7 +9,7 @@
 
 from hyssopvane._internal.coordination.routing_feed import RoutingFeed
 from hyssopvane._internal.models.direct_refusals import DirectAnswer, DirectRefusal
-from hyssopvane._internal.protocol.headers import join_headers
+from hyssopvane._internal.protocol.headers import index_headers
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.roles.call import AnswerCut, run_until_disconnect
 from hyssopvane._internal.roles.direct_answer import send_answer
@@ -71,7 +71,7 @@
 
     async def _serve(self, scope: Any, receive: Any, send: Any) -> None:
         arrived_at = trio.current_time()
-        fields = join_headers(scope["headers"])
+        fields = index_headers(scope["headers"])
         request_id = fields.get(self._tools.names.request_id, b"").decode("latin1")
         try:
             found = await self._read_request(
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -18,12 +18,12 @@
 )
 from hyssopvane._internal.policy.stream_pauses import StreamPauses
 from hyssopvane._internal.protocol.event_stream import EventCutter, StreamEvent
-from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_rest
+from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_backoff_s
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.protocol.replica_headers import (
     ReplicaHeaders,
+    indicates_leaving,
     read_request_limit,
-    says_leaving,
     select_for_caller,
     select_for_replica,
 )
@@ -348,7 +348,7 @@
             return
         self._note_limit(replica, response)
         self._note_rest(replica, response)
-        if says_leaving(response.fields, self._tools.names):
+        if indicates_leaving(response.fields, self._tools.names):
             self._tools.gates.observe_leaving(self._request.service, replica)
 
     def _note_limit(self, replica: Replica, response: AnswerHead) -> None:
@@ -365,7 +365,7 @@
 
     def _note_rest(self, replica: Replica, response: AnswerHead) -> None:
         try:
-            rest_s = read_rest(response.status, response.fields)
+            rest_s = read_backoff_s(response.status, response.fields)
         except ProtocolError as error:
             self._tools.metrics.count_event("rest-unreadable")
             log_event("warning", "rest-unreadable", replica=replica.id, why=error)
--- a/src/hyssopvane/_internal/roles/resting_target.py
+++ b/src/hyssopvane/_internal/roles/resting_target.py
@@ -8,7 +8,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.models.refusals import AgentRefusal
 from hyssopvane._internal.policy.target_backoff import TargetBackoff
-from hyssopvane._internal.protocol.headers import join_headers, read_rest
+from hyssopvane._internal.protocol.headers import index_headers, read_backoff_s
 from hyssopvane._internal.protocol.messages import Refused
 from hyssopvane._internal.utils.logs import log_event
 
@@ -18,7 +18,7 @@
 def observe_rest(rest: TargetBackoff, response: httpcore.Response) -> None:
     """Take what an answer of the target says of when to come back."""
     try:
-        rest_s = read_rest(response.status, join_headers(response.headers))
+        rest_s = read_backoff_s(response.status, index_headers(response.headers))
     except ProtocolError as error:
         log_event("warning", "rest-unreadable", why=error)
         return
--- a/src/hyssopvane/_internal/transport/replica_client.py
+++ b/src/hyssopvane/_internal/transport/replica_client.py
@@ -9,7 +9,7 @@
 import httpcore
 import trio
 
-from hyssopvane._internal.protocol.headers import join_headers
+from hyssopvane._internal.protocol.headers import index_headers
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.transport.addresses import parse_address
 from hyssopvane._internal.transport.raw_stream import (
@@ -86,7 +86,7 @@
     def __init__(self, status: int, headers: Headers) -> None:
         self.status = status
         self.headers = headers
-        self.fields = join_headers(headers)
+        self.fields = index_headers(headers)
 
 
 class ReplicaResponse(AnswerHead):
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -18,7 +18,7 @@
     encode_message,
     encode_store_snapshot,
 )
-from hyssopvane._internal.protocol.headers import join_headers
+from hyssopvane._internal.protocol.headers import index_headers
 from hyssopvane._internal.roles.belief_exchange import BeliefExchange
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.transport.replica_client import (
@@ -90,7 +90,7 @@
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
         if self.is_cut:
             raise ReplicaFailed("the connection to the store is cut")
-        fields = join_headers(sent[0]["headers"])
+        fields = index_headers(sent[0]["headers"])
         answer = b"".join(one.get("body", b"") for one in sent[1:])
         yield _Response(sent[0]["status"], fields, answer)
 
--- a/tests/unit/test_claims_after_return.py
+++ b/tests/unit/test_claims_after_return.py
@@ -10,13 +10,13 @@
 
 from hyssopvane._internal.coordination.claim_pages import ChangeStatus
 from hyssopvane._internal.coordination.claims import ClaimWriter
-from hyssopvane._internal.protocol.idempotency import CLOCK_ALLOWANCE_S
+from hyssopvane._internal.protocol.idempotency import MAX_CLOCK_SKEW_S
 from hyssopvane._internal.standins.key_value_state import KeyValueState
 from hyssopvane._internal.state.claims import SLICE_S
 from tests.lib.fake_key_value import FakeKeyValueStore, Fault
 from tests.unit.test_claims import NOW, make_change, make_key, run_mocked
 
-SETTLED_S = CLOCK_ALLOWANCE_S + 3 * SLICE_S
+SETTLED_S = MAX_CLOCK_SKEW_S + 3 * SLICE_S
 """Seconds after a restore from which on new keys can't have been claimed before it."""
 
 
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -9,7 +9,7 @@
     START_PROPAGATION_S,
     ReplicaNotices,
 )
-from hyssopvane._internal.protocol.headers import read_retry_after
+from hyssopvane._internal.protocol.headers import read_retry_after_s
 from tests.unit.test_service_gate import (
     add,
     list_assignments,
@@ -34,7 +34,7 @@
 )
 def test_retry_after_is_read_in_seconds(value, rest_s):
     fields = {} if value is None else {b"retry-after": value}
-    assert read_retry_after(fields) == rest_s
+    assert read_retry_after_s(fields) == rest_s
 
 
 @pytest.mark.parametrize(
@@ -44,7 +44,7 @@
 )
 def test_retry_after_that_is_no_number_of_seconds_is_an_error(value):
     with pytest.raises(ProtocolError):
-        read_retry_after({b"retry-after": value})
+        read_retry_after_s({b"retry-after": value})
 
 
 @pytest.mark.parametrize(
