--- a/src/hyssopvane/_internal/protocol/event_stream.py
+++ b/src/hyssopvane/_internal/protocol/event_stream.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-_END = b"\n\n"
-_ID = b"id:"
+_EVENT_END = b"\n\n"
+_ID_FIELD = b"id:"
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,7 +14,7 @@
     id: bytes | None
 
 
-class EventCutter:
+class EventSplitter:
     """Collect bytes until an event is whole.
 
     A replica may stop in the middle of an event. What a caller got of it could not be
@@ -22,21 +22,21 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes of the event that is not whole yet."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add bytes and return the events that they complete."""
-        *whole, self._rest = (self._rest + data).split(_END)
-        return [StreamEvent(event + _END, _find_id(event)) for event in whole]
+        *whole, self._remainder = (self._remainder + data).split(_EVENT_END)
+        return [StreamEvent(event + _EVENT_END, _find_id(event)) for event in whole]
 
 
 def _find_id(event: bytes) -> bytes | None:
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            return line.removeprefix(_ID).strip()
+        if line.startswith(_ID_FIELD):
+            return line.removeprefix(_ID_FIELD).strip()
     return None
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -17,7 +17,7 @@
     Rejection,
 )
 from hyssopvane._internal.policy.stream_pauses import StreamPauses
-from hyssopvane._internal.protocol.event_stream import EventCutter, StreamEvent
+from hyssopvane._internal.protocol.event_stream import EventSplitter, StreamEvent
 from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_backoff_s
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.protocol.replica_headers import (
@@ -419,14 +419,14 @@
         await self._send({"type": "http.response.body", "body": body})
 
     async def _relay_stream(self, response: ReplicaResponse) -> None:
-        cutter = EventCutter()
+        splitter = EventSplitter()
         async for part in response.iterate():
-            for event in cutter.feed(part):
+            for event in splitter.feed(part):
                 self._note_event(event)
                 self.pauses.observe(trio.current_time())
                 await self._start_stream(response)
                 await self._send_part(event.data)
-        if cutter.rest.strip():
+        if splitter.remainder.strip():
             raise ReplicaFailed("the stream ended within an event")
         await self._start_stream(response)
         self.ended = True
--- a/tests/unit/test_event_stream.py
+++ b/tests/unit/test_event_stream.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hyssopvane._internal.protocol.event_stream import EventCutter
+from hyssopvane._internal.protocol.event_stream import EventSplitter
 
 EVENTS = [b"id: %d\ndata: token %d\n\n" % (number, number) for number in range(1, 6)]
 
@@ -13,15 +13,15 @@
     """Bytes of a stream arrive in any pieces, and the last event may be cut."""
     data = b"".join(EVENTS)
     data = data[: len(data) - missing]
-    cutter = EventCutter()
+    splitter = EventSplitter()
     found = []
     at = 0
     for size in [*sizes, len(data)]:
-        found += cutter.feed(data[at : at + size])
+        found += splitter.feed(data[at : at + size])
         at += size
     assert [event.data for event in found] == EVENTS[: len(found)]
     assert [event.id for event in found] == [
         b"%d" % n for n in range(1, len(found) + 1)
     ]
-    assert b"".join(event.data for event in found) + cutter.rest == data
+    assert b"".join(event.data for event in found) + splitter.remainder == data
     assert len(found) == (len(EVENTS) if not missing else len(EVENTS) - 1)
