--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -373,7 +373,7 @@
             app_when_late=RefusingApp(
                 RefusalReason.ENTRY_LEAVING, metrics=self.metrics
             ),
-            note_malformed=MalformedNotes(self.metrics),
+            record_malformed=MalformedNotes(self.metrics),
             describe_late=describe_late_request,
         )
 
--- a/src/hyssopvane/_internal/transport/asgi_server.py
+++ b/src/hyssopvane/_internal/transport/asgi_server.py
@@ -23,7 +23,7 @@
 MAX_HTTP2_STREAMS = 1_000
 """Requests at one time on an HTTP/2 connection."""
 
-MAX_REQUESTS_ON_A_CONNECTION = 2**31
+MAX_REQUESTS_PER_CONNECTION = 2**31
 """More than the numbers of streams that HTTP/2 has for one connection."""
 
 BACKLOG = 1_024
@@ -107,7 +107,7 @@
     config.keep_alive_timeout = keep_alive_s
     # Hypercorn ends an HTTP/2 connection after its thousandth request, and with it the
     # answers that are still in progress there.
-    config.keep_alive_max_requests = MAX_REQUESTS_ON_A_CONNECTION
+    config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     config.h11_max_incomplete_size = MAX_HEADER_BYTES
     config.h2_max_concurrent_streams = MAX_HTTP2_STREAMS
     config.h2_max_header_list_size = MAX_HTTP2_HEADER_BYTES
--- a/src/hyssopvane/_internal/transport/http_connection.py
+++ b/src/hyssopvane/_internal/transport/http_connection.py
@@ -34,7 +34,7 @@
 DISCARD_S = 30.0
 """Time that a caller gets to end the body of a request that is answered already."""
 
-QUIET_S = 0.5
+MIN_IDLE_BEFORE_GOAWAY_S = 0.5
 """Time that an HTTP/2 connection has no request before its caller is told to leave.
 
 Common clients drop an answer that they have received and not yet read when GOAWAY comes
@@ -42,13 +42,13 @@
 """
 
 _HTTP2 = "2"
-_OWN_ERROR = b"HTTP/1.1 4"
+_CLIENT_ERROR_START = b"HTTP/1.1 4"
 _LINE_END = b"\r\n"
 _REQUEST_TIMEOUT = (
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n"
 )
 
-PickApp = Callable[[bool], ASGIFramework]
+SelectApp = Callable[[bool], ASGIFramework]
 """Return the application for a request; tell it whether it came by HTTP/2."""
 
 
@@ -65,13 +65,13 @@
 
     reason: EndReason
     age_s: float
-    free_s: float
+    idle_s: float
     """Time since the last answer, or since the connection was made."""
     unread_bytes: int
     """Bytes that came after the end, and were dropped."""
 
 
-NoteEnd = Callable[[ConnectionEnd], None]
+RecordEnd = Callable[[ConnectionEnd], None]
 
 
 class HttpConnection(TCPServer):
@@ -79,14 +79,14 @@
 
     def __init__(
         self,
-        pick_app: PickApp,
+        select_app: SelectApp,
         stream: trio.SocketStream,
         *,
         config: Config,
         leaving: trio.Event,
-        note_malformed: Callable[[], bytes],
+        record_malformed: Callable[[], bytes],
         describe_late: Callable[[], bytes],
-        note_end: NoteEnd,
+        record_end: RecordEnd,
     ) -> None:
         super().__init__(
             self._serve,  # type: ignore[arg-type]
@@ -95,11 +95,11 @@
             ConnectionState({}),
             stream,  # type: ignore[arg-type]
         )
-        self._pick_app = pick_app
+        self._select_app = select_app
         self._leaving = leaving
-        self._note_malformed = note_malformed
+        self._record_malformed = record_malformed
         self._describe_late = describe_late
-        self._note_end = note_end
+        self._record_end = record_end
         self._opened_at = trio.current_time()
         self._end_reason: EndReason | None = None
         self._receiving = trio.CancelScope()
@@ -108,20 +108,20 @@
         self._unread_bytes = 0
         self._open_requests = 0
         self._open_answers = 0
-        self._free_since = trio.current_time()
-        self._told = False
+        self._idle_since = trio.current_time()
+        self._goaway_sent = False
         self._prepared_http2 = False
 
     async def protocol_send(self, event: Event) -> None:
         if (
             isinstance(event, RawData)
             and not self._open_answers
-            and event.data.startswith(_OWN_ERROR)
+            and event.data.startswith(_CLIENT_ERROR_START)
         ):
             # No application was reached: hypercorn itself refuses bytes that are no
             # request. The caller still learns that nothing ran.
             line, _, rest = event.data.partition(_LINE_END)
-            event = RawData(line + _LINE_END + self._note_malformed() + rest)
+            event = RawData(line + _LINE_END + self._record_malformed() + rest)
         # The protocol has given these bytes away and won't again. A request that is
         # cancelled while it waits for its turn to send must not lose them: on HTTP/2
         # they may be another caller's answer, or the room for another's upload, whose
@@ -133,7 +133,7 @@
         protocol = self._get_http2()
         if protocol is not None and not self._prepared_http2:
             self._prepared_http2 = True
-            protocol.streams = _Streams()
+            protocol.streams = _StreamTable()
             # Hypercorn takes the first line of HTTP/2 for a request: without this a
             # connection that never sends one stays open for ever.
             await super().protocol_send(Updated(idle=True))
@@ -155,7 +155,7 @@
         # end, and the connection would count as open for as long.
         await self.context.terminated.set()
         if self._end_reason is not None:
-            self._note_end(self._describe_end(self._end_reason))
+            self._record_end(self._describe_end(self._end_reason))
 
     async def _receive(self) -> None:
         data: bytes | bytearray = b""
@@ -177,46 +177,48 @@
             if not data:
                 return
 
-    async def end_if_free(
-        self, *, closed_at: float | None, hasty: bool = False
+    async def end_if_idle(
+        self, *, closed_at: float | None, skip_idle_wait: bool = False
     ) -> None:
         """Tell the caller that a connection without requests ends, or end it.
 
         `closed_at` is the time at which the listener closed, None before. A hasty end
         does not wait until the connection has been quiet.
         """
-        if not hasattr(self, "protocol") or not self._is_free():
+        if not hasattr(self, "protocol") or not self._is_idle():
             return
         now = trio.current_time()
-        free_s = now - self._free_since
+        idle_s = now - self._idle_since
         if self._get_http2() is not None:
-            if self._told and free_s >= LINGER_S:
+            if self._goaway_sent and idle_s >= LINGER_S:
                 await self._end(EndReason.SHUTDOWN)
-            elif not self._told and (hasty or free_s >= QUIET_S):
-                await self._tell_http2()
-        elif closed_at is not None and min(free_s, now - closed_at) >= LINGER_S:
+            elif not self._goaway_sent and (
+                skip_idle_wait or idle_s >= MIN_IDLE_BEFORE_GOAWAY_S
+            ):
+                await self._send_goaway()
+        elif closed_at is not None and min(idle_s, now - closed_at) >= LINGER_S:
             await self._end(EndReason.SHUTDOWN)
 
     async def _initiate_server_close(self) -> None:
         if self._is_reading and not self._ended and self._get_http2() is not None:
             # Without GOAWAY the caller of a request that crosses the end would not know
             # whether it ran.
-            await self._tell_http2()
+            await self._send_goaway()
             await trio.sleep(LINGER_S)
-        free_since = self._free_since
+        idle_since = self._idle_since
         await self._end(EndReason.IDLE)
-        while self._is_reading and not self._ended and self._is_free():
+        while self._is_reading and not self._ended and self._is_idle():
             # What had come was no whole request, and no timer runs any more.
             await trio.sleep(LINGER_S)
-            if self._free_since != free_since:
+            if self._idle_since != idle_since:
                 return
             await self._end(EndReason.IDLE)
 
     async def _end(self, reason: EndReason) -> None:
         """End a connection without requests; what the caller still sends is dropped."""
-        if self._ended or not self._is_reading or not self._is_free():
+        if self._ended or not self._is_reading or not self._is_idle():
             return
-        if not self._told and _count_unread(self.stream):
+        if not self._goaway_sent and _count_unread(self.stream):
             # A request has come that is not read yet.
             return
         self._end_reason = reason
@@ -254,7 +256,7 @@
         return ConnectionEnd(
             reason,
             age_s=now - self._opened_at,
-            free_s=now - self._free_since,
+            idle_s=now - self._idle_since,
             unread_bytes=self._unread_bytes,
         )
 
@@ -267,17 +269,17 @@
         self._open_requests += 1
         await self.idle_task.stop()
         try:
-            await self._pick_app(answer.http2)(
-                scope, answer.receive, self._follow(answer)
+            await self._select_app(answer.http2)(
+                scope, answer.receive, self._track_answer(answer)
             )
         finally:
             self._open_requests -= 1
-            self._free_since = trio.current_time()
+            self._idle_since = trio.current_time()
             if answer.open:
                 self._open_answers -= 1
-                await self._cut_http2(stream)
+                await self._reset_http2_stream(stream)
 
-    def _follow(self, answer: "_Answer") -> Callable[[Any], Any]:
+    def _track_answer(self, answer: "_Answer") -> Callable[[Any], Any]:
         async def send(message: Any) -> None:
             was_open = answer.open
             await answer.send(message)
@@ -285,7 +287,7 @@
 
         return send
 
-    async def _cut_http2(self, stream: int) -> None:
+    async def _reset_http2_stream(self, stream: int) -> None:
         # On HTTP/1.1 hypercorn closes the connection of an answer without an end. On
         # HTTP/2 it only forgets the stream, and the caller would wait for the rest for
         # ever; a reset tells it at once that the answer is broken.
@@ -301,15 +303,15 @@
                 return
             await protocol._flush()
 
-    async def _tell_http2(self) -> None:
+    async def _send_goaway(self) -> None:
         # Only while no stream is open: common clients drop the answers in progress when
         # they read GOAWAY. It names the last stream that was served, so a request that
         # crosses it on the way is sent again by the client on another connection.
         protocol = self._get_http2()
-        if protocol is None or self._told or not self._is_free():
+        if protocol is None or self._goaway_sent or not self._is_idle():
             return
-        self._told = True
-        self._free_since = trio.current_time()
+        self._goaway_sent = True
+        self._idle_since = trio.current_time()
         protocol.connection.close_connection()
         # A request that crossed GOAWAY on the way must not meet a closed connection
         # before its caller has read why.
@@ -320,7 +322,7 @@
         with trio.CancelScope(shield=True), trio.move_on_after(LINGER_S):
             await protocol._flush()
 
-    def _is_free(self) -> bool:
+    def _is_idle(self) -> bool:
         # A stream was received before its application starts. Telling the caller in
         # between names it as served, and the rest of its body is dropped.
         protocol = self.protocol.protocol
@@ -333,7 +335,7 @@
         return not self._open_requests and not streams
 
     def _drop_data(self, data: object) -> list[h2.events.Event]:
-        self._free_since = trio.current_time()
+        self._idle_since = trio.current_time()
         return []
 
     def _get_http2(self) -> H2Protocol | None:
@@ -361,7 +363,7 @@
         """Drop what still comes."""
 
 
-class _Streams(dict[int, HTTPStream | WSStream]):
+class _StreamTable(dict[int, HTTPStream | WSStream]):
     """Give a stream for a body whose request is answered already.
 
     A caller that is refused by its head alone goes on with its body. Hypercorn looks up
--- a/src/hyssopvane/_internal/transport/http_server.py
+++ b/src/hyssopvane/_internal/transport/http_server.py
@@ -13,19 +13,19 @@
 from hyssopvane._internal.transport.http_connection import (
     ConnectionEnd,
     HttpConnection,
-    NoteEnd,
-    PickApp,
+    RecordEnd,
+    SelectApp,
 )
 from hyssopvane._internal.transport.listener_filter import drop_new_connections
 from hyssopvane._internal.utils.logs import log_event
 
-REFUSED_CONNECTIONS = 100
+MAX_REFUSED_CONNECTIONS = 100
 """Connections above the limit that get an answer; more are closed without one."""
 
 _REFUSED_KEEP_ALIVE_S = 2.0
 _DRAIN_INTERVAL_S = 0.05
 
-HASTE_AFTER_S = 5.0
+SKIP_IDLE_WAIT_AFTER_S = 5.0
 """Time after the closing of the listener from which a connection need not be quiet.
 
 A caller that sends one request after the other on an HTTP/2 connection is refused each
@@ -40,7 +40,7 @@
         "connection-ended",
         reason=end.reason,
         age_s=round(end.age_s, 3),
-        free_s=round(end.free_s, 3),
+        free_s=round(end.idle_s, 3),
         unread_bytes=end.unread_bytes,
     )
 
@@ -54,12 +54,12 @@
     """Answers the requests on connections above the limit."""
     app_when_late: ASGIFramework | None = None
     """Answers new requests on busy HTTP/2 connections once the listener is closed."""
-    note_malformed: Callable[[], bytes] = bytes
+    record_malformed: Callable[[], bytes] = bytes
     """Counts bytes that are no HTTP and returns header lines for the answer."""
     describe_late: Callable[[], bytes] = bytes
     """Returns header lines for the answer to a request that comes as its connection
     ends; nobody reads the request."""
-    note_end: NoteEnd = log_connection_end
+    record_end: RecordEnd = log_connection_end
     """Takes each connection without requests that the server ended."""
 
 
@@ -83,7 +83,7 @@
         self._shutdown = shutdown
         self._graceful_timeout_s = graceful_timeout_s
         self._connections: set[HttpConnection] = set()
-        self._refused = 0
+        self._refused_count = 0
         self._refused_config = copy(config)
         self._refused_config.keep_alive_timeout = _REFUSED_KEEP_ALIVE_S
 
@@ -134,33 +134,33 @@
         if self._is_full():
             await self._refuse(stream)
             return
-        connection = self._make_connection(stream, self._pick_app, self._config)
+        connection = self._make_connection(stream, self._select_app, self._config)
         self._connections.add(connection)
         try:
-            await _run_apart(connection)
+            await _run_isolated(connection)
         finally:
             self._connections.discard(connection)
 
     async def _refuse(self, stream: trio.SocketStream) -> None:
         app = self._policy.app_when_full
-        if app is None or self._refused >= REFUSED_CONNECTIONS:
+        if app is None or self._refused_count >= MAX_REFUSED_CONNECTIONS:
             await stream.aclose()
             return
-        self._refused += 1
+        self._refused_count += 1
         try:
-            pick_app = partial(_return_app, app)
-            await _run_apart(
+            select_app = partial(_return_app, app)
+            await _run_isolated(
                 self._make_connection(
-                    stream, pick_app, self._refused_config, ending=True
+                    stream, select_app, self._refused_config, ending=True
                 )
             )
         finally:
-            self._refused -= 1
+            self._refused_count -= 1
 
     def _make_connection(
         self,
         stream: trio.SocketStream,
-        pick_app: PickApp,
+        select_app: SelectApp,
         config: Config,
         *,
         ending: bool = False,
@@ -170,20 +170,20 @@
             leaving = trio.Event()
             leaving.set()
         return HttpConnection(
-            pick_app,
+            select_app,
             stream,
             config=config,
             leaving=leaving,
-            note_malformed=self._policy.note_malformed,
+            record_malformed=self._policy.record_malformed,
             describe_late=self._policy.describe_late,
-            note_end=self._policy.note_end,
+            record_end=self._policy.record_end,
         )
 
     def _is_full(self) -> bool:
         limit = self._policy.max_connections
         return limit is not None and len(self._connections) >= limit
 
-    def _pick_app(self, http2: bool) -> ASGIFramework:
+    def _select_app(self, http2: bool) -> ASGIFramework:
         # A caller that sends its requests over one busy HTTP/2 connection never lets it
         # become free, and the VM could not be replaced before the time limit, which
         # cuts answers. Told that its new request did not run, the caller goes on
@@ -196,7 +196,7 @@
     async def _drain_before_closing(self) -> None:
         await self._leaving.wait()
         while True:
-            await self._end_free_connections(closed_at=None, hasty=False)
+            await self._end_idle_connections(closed_at=None, skip_idle_wait=False)
             await trio.sleep(_DRAIN_INTERVAL_S)
 
     async def _drain(self) -> None:
@@ -205,20 +205,24 @@
         # A connection accepted a moment ago counts only once its task has started.
         await trio.sleep(0)
         closed_at = trio.current_time()
-        hasty_from = closed_at + HASTE_AFTER_S
-        while self._connections or self._refused:
-            hasty = trio.current_time() >= hasty_from
-            await self._end_free_connections(closed_at=closed_at, hasty=hasty)
+        skip_idle_wait_from = closed_at + SKIP_IDLE_WAIT_AFTER_S
+        while self._connections or self._refused_count:
+            skip_idle_wait = trio.current_time() >= skip_idle_wait_from
+            await self._end_idle_connections(
+                closed_at=closed_at, skip_idle_wait=skip_idle_wait
+            )
             await trio.sleep(_DRAIN_INTERVAL_S)
 
-    async def _end_free_connections(
-        self, *, closed_at: float | None, hasty: bool
+    async def _end_idle_connections(
+        self, *, closed_at: float | None, skip_idle_wait: bool
     ) -> None:
         for connection in tuple(self._connections):
-            await connection.end_if_free(closed_at=closed_at, hasty=hasty)
+            await connection.end_if_idle(
+                closed_at=closed_at, skip_idle_wait=skip_idle_wait
+            )
 
 
-async def _run_apart(connection: HttpConnection) -> None:
+async def _run_isolated(connection: HttpConnection) -> None:
     # What one caller sends must not end the process with everybody's requests.
     try:
         await connection.run()
--- a/tests/unit/test_connection_end.py
+++ b/tests/unit/test_connection_end.py
@@ -43,7 +43,7 @@
     server = HttpServer(
         answer,
         config=config,
-        policy=ConnectionPolicy(describe_late=lambda: MARK, note_end=ended.append),
+        policy=ConnectionPolicy(describe_late=lambda: MARK, record_end=ended.append),
         leaving=trio.Event(),
         shutdown=trio.Event(),
         graceful_timeout_s=600,
@@ -156,7 +156,7 @@
         site.clock.jump(LINGER_S)
         (connection,) = site.server._connections
         site.stream.socket._sock.send(REQUEST)
-        await connection.end_if_free(closed_at=0.0)
+        await connection.end_if_idle(closed_at=0.0)
         assert (await receive(site.stream)).startswith(b"HTTP/1.1 200")
 
     run(check)
