--- a/src/hyssopvane/_internal/transport/datagrams.py
+++ b/src/hyssopvane/_internal/transport/datagrams.py
@@ -17,7 +17,7 @@
 MAX_BYTES = 65_507
 """Largest payload of a datagram over IPv4."""
 
-LOGGED_PER_S = 2.0
+MAX_LOG_LINES_PER_S = 2.0
 """Lines on datagrams that can't be read: whoever sends them may send thousands."""
 
 ReceiveMessage = Callable[[GroupMessage, str], None]
@@ -35,9 +35,11 @@
         self, address: str, *, count: Callable[[str], None] = lambda event: None
     ) -> None:
         self.address = address
-        self._count = count
+        self._count_event = count
         """Takes the name of an event that operators may want to watch."""
-        self._logged = TokenBucket(per_s=LOGGED_PER_S, burst=LOGGED_PER_S)
+        self._log_limiter = TokenBucket(
+            per_s=MAX_LOG_LINES_PER_S, burst=MAX_LOG_LINES_PER_S
+        )
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
 
     async def start(self, nursery: trio.Nursery, receive: ReceiveMessage) -> None:
@@ -61,7 +63,7 @@
                 await self._socket.sendto(data, parse_address(address))
             except OSError:
                 # A full queue or no route: the next message makes it good.
-                self._count("datagram-unsent")
+                self._count_event("datagram-unsent")
         return len(data)
 
     async def _receive(self, receive: ReceiveMessage) -> None:
@@ -75,8 +77,8 @@
             try:
                 message = decode_message(data)
             except ProtocolError as error:
-                self._count("datagram-malformed")
-                if self._logged.take(trio.current_time()):
+                self._count_event("datagram-malformed")
+                if self._log_limiter.take(trio.current_time()):
                     log_event("warning", "datagram-malformed", sender=sender, why=error)
                 continue
             receive(message, f"{sender[0]}:{sender[1]}")
--- a/src/hyssopvane/_internal/transport/raw_stream.py
+++ b/src/hyssopvane/_internal/transport/raw_stream.py
@@ -7,7 +7,7 @@
 import httpcore
 import trio
 
-SILENCE_MS = 4_000
+ACKNOWLEDGEMENT_TIMEOUT_MS = 4_000
 """Time without an acknowledgement after which the kernel ends a connection.
 
 A machine without power, or behind a partition, answers nothing: without this limit a
@@ -19,17 +19,17 @@
 """Time for which a call that is given up still takes an answer that is on its way: a
 round trip, and some time of a busy machine."""
 
-_MOST_LATE_BYTES = 64 * 1024
-_PROBE_AFTER_S = 1
-_PROBE_INTERVAL_S = 1
-_PROBES = 2
+_MAX_LATE_ANSWER_BYTES = 64 * 1024
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
 
 
 async def open_stream(host: str, port: int) -> trio.SocketStream:
     """Connect to an IP number and a port; raise `OSError` when that fails."""
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        set_silence_limit(sock)
+        set_tcp_timeouts(sock)
         await sock.connect((host, port))
     except BaseException:
         sock.close()
@@ -37,13 +37,15 @@
     return trio.SocketStream(sock)
 
 
-def set_silence_limit(sock: trio.socket.SocketType) -> None:
+def set_tcp_timeouts(sock: trio.socket.SocketType) -> None:
     """Have the kernel end a connection whose other end no longer answers."""
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGEMENT_TIMEOUT_MS
+    )
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
 
 class RawStream(httpcore.AsyncNetworkStream):
@@ -60,7 +62,7 @@
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         try:
-            with trio.fail_after(_bound(timeout)):
+            with trio.fail_after(_get_timeout(timeout)):
                 return bytes(await self._stream.receive_some(max_bytes))
         except trio.TooSlowError as error:
             raise httpcore.ReadTimeout("no byte came in time") from error
@@ -72,7 +74,7 @@
             return
         self.sent = True
         try:
-            with trio.fail_after(_bound(timeout)):
+            with trio.fail_after(_get_timeout(timeout)):
                 await self._stream.send_all(buffer)
         except trio.TooSlowError as error:
             raise httpcore.WriteTimeout("the other end takes no bytes") from error
@@ -88,7 +90,7 @@
     async def _read_late_answer(self) -> bytes:
         with trio.move_on_after(LATE_ANSWER_S):
             try:
-                return bytes(await self._stream.receive_some(_MOST_LATE_BYTES))
+                return bytes(await self._stream.receive_some(_MAX_LATE_ANSWER_BYTES))
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return b""
         return b""
@@ -112,5 +114,5 @@
         return sock.is_readable()
 
 
-def _bound(timeout: float | None) -> float:
+def _get_timeout(timeout: float | None) -> float:
     return float("inf") if timeout is None else timeout
