--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -191,7 +191,7 @@
         self.metrics.count_event("replica-restarted")
         log_event("info", "replica-restarted", address=address)
         if self._nursery is not None:
-            self._nursery.start_soon(self._client.forget, address)
+            self._nursery.start_soon(self._client.close_idle, address)
 
     def _receive(self, message: GroupMessage, sender: str) -> None:
         match message:
--- a/src/hyssopvane/_internal/transport/replica_client.py
+++ b/src/hyssopvane/_internal/transport/replica_client.py
@@ -20,16 +20,16 @@
 CONNECT_TIMEOUT_S = 1.0
 """Time for a connection; one lost packet of the handshake fits in, two don't."""
 
-KEPT_S = 8.0
+DEFAULT_IDLE_TIMEOUT_S = 8.0
 """Time that an idle connection is kept where the replica names none."""
 
-LONGEST_READ_S = 20.0
+MAX_READ_S = 20.0
 """Time that a body may take whose parts keep coming: 16 MB at 6 Mbit/s."""
 
-MAX_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 """Idle connections kept to a replica; more than it works on at once helps nobody."""
 
-_KEEP_ALIVE_MARGIN = 0.7
+_KEEP_ALIVE_SHARE = 0.7
 """Part of the replica's own time after which a connection is no longer used.
 
 A request that crosses the replica's close may or may not have been read, and one that
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _PooledConnection:
     connection: httpcore.AsyncHTTP11Connection
     stream: RawStream
     usable_until: float
@@ -72,12 +72,12 @@
     def __init__(self, scope: trio.CancelScope, *, part_s: float) -> None:
         self._scope = scope
         self._part_s = part_s
-        self._ends_at = scope.deadline + LONGEST_READ_S
+        self._final_deadline = scope.deadline + MAX_READ_S
 
-    def note_part(self) -> None:
+    def extend_deadline(self) -> None:
         """Allow as long again for the next part, within the longest time in all."""
         next_at = trio.current_time() + self._part_s
-        self._scope.deadline = min(next_at, self._ends_at)
+        self._scope.deadline = min(next_at, self._final_deadline)
 
 
 class AnswerHead:
@@ -111,7 +111,7 @@
         async for part in self.iterate():
             size += len(part)
             if limit is not None:
-                limit.note_part()
+                limit.extend_deadline()
             if size > max_bytes:
                 raise ReplicaFailed(f"the body is over {max_bytes} bytes")
             parts.append(part)
@@ -122,7 +122,7 @@
     """Keep the connections of one process to replicas, by address."""
 
     def __init__(self) -> None:
-        self._idle: dict[str, list[_Kept]] = {}
+        self._idle: dict[str, list[_PooledConnection]] = {}
         self.opened = 0
         """Connections that were opened since the start."""
 
@@ -144,11 +144,11 @@
         an answer that comes as the call is cancelled goes to `observe_late`. Raise
         `CallWithdrawn`, `ReplicaUnreachable` or `ReplicaFailed`.
         """
-        kept = await self._take(address)
+        pooled = await self._acquire(address)
         if not may_send():
-            await kept.connection.aclose()
+            await pooled.connection.aclose()
             raise CallWithdrawn(address)
-        kept.stream.sent = False
+        pooled.stream.sent = False
         request = httpcore.Request(
             method,
             httpcore.URL(
@@ -161,49 +161,49 @@
             content=body,
         )
         response: httpcore.Response | None = None
-        kept.stream.awaits_answer = observe_late is not None
+        pooled.stream.awaits_answer = observe_late is not None
         try:
             try:
-                response = await kept.connection.handle_async_request(request)
+                response = await pooled.connection.handle_async_request(request)
             except trio.Cancelled:
-                late = _read_head(kept.stream.late_answer)
+                late = _read_head(pooled.stream.late_answer)
                 if observe_late is not None and late is not None:
                     observe_late(late)
                 raise
             except (httpcore.NetworkError, httpcore.ProtocolError) as error:
                 why = f"{type(error).__name__}: {error}"
-                if kept.stream.sent:
+                if pooled.stream.sent:
                     raise ReplicaFailed(why) from error
                 raise ReplicaUnreachable(why) from error
-            kept.stream.awaits_answer = False
+            pooled.stream.awaits_answer = False
             wrapped = ReplicaResponse(response)
             yield wrapped
             await response.aclose()
-            self._give_back(address, kept, wrapped)
-            kept = None  # type: ignore[assignment]
+            self._release(address, pooled, wrapped)
+            pooled = None  # type: ignore[assignment]
         finally:
-            if kept is not None:
+            if pooled is not None:
                 with trio.CancelScope(shield=True), trio.move_on_after(1):
-                    await kept.connection.aclose()
+                    await pooled.connection.aclose()
 
     async def close(self) -> None:
         """Close the connections that wait for a request."""
         for address in tuple(self._idle):
-            await self.forget(address)
+            await self.close_idle(address)
 
-    async def forget(self, address: str) -> None:
+    async def close_idle(self, address: str) -> None:
         """Close the waiting connections to an address whose replica has gone."""
-        for kept in self._idle.pop(address, ()):
-            await kept.connection.aclose()
+        for pooled in self._idle.pop(address, ()):
+            await pooled.connection.aclose()
 
-    async def _take(self, address: str) -> _Kept:
+    async def _acquire(self, address: str) -> _PooledConnection:
         now = trio.current_time()
         idle = self._idle.get(address, [])
         while idle:
-            kept = idle.pop()
-            if now < kept.usable_until and not kept.connection.has_expired():
-                return kept
-            await kept.connection.aclose()
+            pooled = idle.pop()
+            if now < pooled.usable_until and not pooled.connection.has_expired():
+                return pooled
+            await pooled.connection.aclose()
         host, port = parse_address(address)
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
@@ -212,16 +212,22 @@
             raise ReplicaUnreachable(repr(error)) from error
         self.opened += 1
         connection = httpcore.AsyncHTTP11Connection(_ORIGIN, stream)
-        return _Kept(connection, stream, now)
+        return _PooledConnection(connection, stream, now)
 
-    def _give_back(self, address: str, kept: _Kept, response: ReplicaResponse) -> None:
+    def _release(
+        self, address: str, pooled: _PooledConnection, response: ReplicaResponse
+    ) -> None:
         idle = self._idle.setdefault(address, [])
-        if not kept.connection.is_idle() or _has_surplus(kept) or len(idle) >= MAX_IDLE:
+        if (
+            not pooled.connection.is_idle()
+            or _has_surplus(pooled)
+            or len(idle) >= MAX_IDLE_CONNECTIONS
+        ):
             # Closed by hand: the pool of httpcore does not know this connection.
-            trio.lowlevel.spawn_system_task(kept.connection.aclose)
+            trio.lowlevel.spawn_system_task(pooled.connection.aclose)
             return
-        kept.usable_until = trio.current_time() + _read_kept_s(response)
-        idle.append(kept)
+        pooled.usable_until = trio.current_time() + _read_idle_timeout_s(response)
+        idle.append(pooled)
 
 
 def _read_head(data: bytes) -> AnswerHead | None:
@@ -239,18 +245,18 @@
     return AnswerHead(event.status_code, tuple(event.headers))
 
 
-def _has_surplus(kept: _Kept) -> bool:
+def _has_surplus(pooled: _PooledConnection) -> bool:
     # A faulty replica sends bytes behind a whole answer. They would be read as the
     # answer to the next request on this connection, whose caller would get another
     # caller's answer. httpcore looks at the socket only, not at what it has read.
-    state: Any = kept.connection._h11_state
+    state: Any = pooled.connection._h11_state
     surplus: bytes = state.trailing_data[0]
-    return bool(surplus) or kept.stream.get_extra_info("is_readable")
+    return bool(surplus) or pooled.stream.get_extra_info("is_readable")
 
 
-def _read_kept_s(response: ReplicaResponse) -> float:
+def _read_idle_timeout_s(response: ReplicaResponse) -> float:
     for part in response.fields.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name == b"timeout" and value.isdigit():
-            return int(value) * _KEEP_ALIVE_MARGIN
-    return KEPT_S
+            return int(value) * _KEEP_ALIVE_SHARE
+    return DEFAULT_IDLE_TIMEOUT_S
--- a/tests/unit/test_part_limit.py
+++ b/tests/unit/test_part_limit.py
@@ -5,7 +5,7 @@
 import trio.testing
 
 from hyssopvane._internal.transport.replica_client import (
-    LONGEST_READ_S,
+    MAX_READ_S,
     PartLimit,
     ReplicaResponse,
 )
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize(
     "pauses_s",
-    [[1.1], [0.9, 1.1], [0.9] * (int(LONGEST_READ_S) + 10)],
+    [[1.1], [0.9, 1.1], [0.9] * (int(MAX_READ_S) + 10)],
     ids=["no answer", "it stops", "it trickles"],
 )
 def test_silent_store_is_given_up(pauses_s):
