--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -122,11 +122,11 @@
         # Not with the next heartbeat: until an entry knows, it places work here that is
         # refused and has to go elsewhere.
         for connection in self._connections:
-            connection.announce_health()
+            connection.queue_heartbeat()
         # An entry may have sent work before it read that. Closed on at once, the
         # connection would take that work with it, and its caller would be told that
         # nobody knows whether it ran, in a shutdown that cuts off nothing.
-        await self._for_each_connection(PeerConnection.settle)
+        await self._for_each_connection(PeerConnection.sync)
         await self._wait_idle()
         self._stop_accepting.set()
         await self._for_each_connection(PeerConnection.finish)
--- a/src/hyssopvane/_internal/transport/peer_connection.py
+++ b/src/hyssopvane/_internal/transport/peer_connection.py
@@ -27,7 +27,7 @@
 from hyssopvane._internal.utils.logs import log_event
 
 CONNECTION_STREAM = 0
-SETTLE_TOPIC = "settle"
+SYNC_TOPIC = "settle"
 """Topic that nobody handles: every peer answers an unknown one with nothing."""
 
 # A caller that reads slowly holds back at most this many bytes in this process. It is
@@ -124,7 +124,7 @@
 
     def close(self) -> None:
         """Forget the stream; the peer is told when it may still be at work."""
-        self.connection.forget_stream(self.number)
+        self.connection.remove_stream(self.number)
 
     def deliver(self, message: Message) -> None:
         """Take a message that the connection received for this stream."""
@@ -135,7 +135,7 @@
         self._inbox.append(message)
         self._arrived.set()
 
-    def lose(self, error: PeerLost) -> None:
+    def mark_lost(self, error: PeerLost) -> None:
         """Take note that the connection is gone; what arrived before stays readable."""
         self._lost = error
         self._arrived.set()
@@ -191,7 +191,7 @@
         self._ended = trio.Event()
         self._scope = trio.CancelScope()
         self._lost: PeerLost | None = None
-        self._last_received = 0.0
+        self._last_received_at = 0.0
         self._heartbeats = 0
         self._next_heartbeat_at = 0.0
         self.peer: Hello | None = None
@@ -225,7 +225,7 @@
         error = PeerLost("the connection was closed by this process")
         try:
             with self._scope:
-                peer = await self._greet()
+                peer = await self._exchange_hello()
                 task_status.started(peer)
                 await self._serve()
         except* PeerLost as group:
@@ -241,7 +241,7 @@
             error = PeerLost("this process failed on a frame", context=repr(fault))
             log_event("error", "connection-failed", why=repr(fault))
         finally:
-            self._lose(error)
+            self._mark_lost(error)
             self._ended.set()
             with trio.CancelScope(shield=True):
                 await self._framed.close()
@@ -262,7 +262,7 @@
             await self._ended.wait()
         self.close()
 
-    async def settle(self) -> None:
+    async def sync(self) -> None:
         """Wait until the peer has read all that was sent, and its own answer is here.
 
         Frames keep their order, so all that the peer sent before it read the last frame
@@ -270,12 +270,12 @@
         """
         with trio.move_on_after(self._times.silence_s):
             try:
-                await self.ask(SETTLE_TOPIC, b"")
+                await self.ask(SYNC_TOPIC, b"")
             except PeerLost:
                 # Nothing more comes from a peer that is gone.
                 return
 
-    def announce_health(self) -> None:
+    def queue_heartbeat(self) -> None:
         """Send a heartbeat now."""
         self.queue_frame(self._make_heartbeat())
 
@@ -309,11 +309,11 @@
         self._outbox.append(frame)
         self._outbox_filled.set()
 
-    def forget_stream(self, number: int) -> None:
+    def remove_stream(self, number: int) -> None:
         """Drop frames that still come for a stream."""
         self._streams.pop(number, None)
 
-    async def _greet(self) -> Hello:
+    async def _exchange_hello(self) -> Hello:
         # A peer that accepts and then says nothing must not hold a task for ever.
         with trio.move_on_after(self._times.silence_s):
             await self._framed.send_frame(
@@ -323,11 +323,11 @@
             if len(frames) != 1 or not isinstance(frames[0].message, Hello):
                 raise ProtocolError("the peer did not greet")
             self.peer = frames[0].message
-            self._check_greeting(self.peer)
+            self._check_hello(self.peer)
             return self.peer
         raise PeerLost("the peer did not greet in time")
 
-    def _check_greeting(self, peer: Hello) -> None:
+    def _check_hello(self, peer: Hello) -> None:
         if peer.version != PROTOCOL_VERSION:
             raise ProtocolError(
                 f"the peer speaks version {peer.version}, not {PROTOCOL_VERSION}",
@@ -342,18 +342,18 @@
             )
 
     async def _serve(self) -> None:
-        self._last_received = trio.current_time()
-        self._next_heartbeat_at = self._last_received
+        self._last_received_at = trio.current_time()
+        self._next_heartbeat_at = self._last_received_at
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write_batches)
             nursery.start_soon(self._send_heartbeats)
-            nursery.start_soon(self._watch_silence)
+            nursery.start_soon(self._check_silence)
             await self._read_batches(nursery)
 
     async def _read_batches(self, nursery: trio.Nursery) -> None:
         while True:
             payload = await self._framed.receive_frame()
-            self._last_received = trio.current_time()
+            self._last_received_at = trio.current_time()
             for frame in decode_frames(payload):
                 self._dispatch(frame, nursery)
 
@@ -421,7 +421,7 @@
                 self._outbox_filled = trio.Event()
                 await self._outbox_filled.wait()
             frames = self._take_batch()
-            if self._is_heartbeat_near():
+            if self._is_heartbeat_due_soon():
                 frames.append(self._make_heartbeat())
             await self._framed.send_frame(encode_frames(frames))
 
@@ -449,36 +449,36 @@
         heartbeat = replace(health, sequence=self._heartbeats)
         return Frame(CONNECTION_STREAM, heartbeat)
 
-    def _is_heartbeat_near(self) -> bool:
+    def _is_heartbeat_due_soon(self) -> bool:
         # At the target an entry beats on 42 connections. A heartbeat alone costs a
         # segment and its acknowledgement; on a batch that goes out anyway it costs its
         # own bytes, and a busy connection sends none alone.
-        ride_from = self._next_heartbeat_at - self._times.heartbeat_s / 2
-        return trio.current_time() >= ride_from
+        attach_from = self._next_heartbeat_at - self._times.heartbeat_s / 2
+        return trio.current_time() >= attach_from
 
-    async def _watch_silence(self) -> None:
+    async def _check_silence(self) -> None:
         # A device between the two ends may forget an open connection: nothing arrives
         # and nothing fails. Heartbeats come often, so silence shows it; closing here
         # makes the owner open a new connection instead of taking the target for dead.
-        looked_at = trio.current_time()
+        checked_at = trio.current_time()
         while True:
             await trio.sleep(self._times.heartbeat_s)
             now = trio.current_time()
-            late_s = now - looked_at - self._times.heartbeat_s
-            looked_at = now
+            late_s = now - checked_at - self._times.heartbeat_s
+            checked_at = now
             if late_s > self._times.heartbeat_s:
                 # This process itself stood still, and has not yet read what the peer
                 # sent meanwhile. Taken for the peer's silence, that would cut every
                 # answer on a sound connection.
-                self._last_received = min(now, self._last_received + late_s)
-            silent_s = now - self._last_received
+                self._last_received_at = min(now, self._last_received_at + late_s)
+            silent_s = now - self._last_received_at
             if silent_s > self._times.silence_s:
                 raise PeerLost(f"the connection was silent for {silent_s:.1f} s")
 
-    def _lose(self, error: PeerLost) -> None:
+    def _mark_lost(self, error: PeerLost) -> None:
         self._lost = error
         for stream in list(self._streams.values()):
-            stream.lose(error)
+            stream.mark_lost(error)
         self._streams.clear()
 
 
--- a/tests/unit/test_peer_connection.py
+++ b/tests/unit/test_peer_connection.py
@@ -332,8 +332,8 @@
 
         async with connect_pair(refuse) as pair:
             stream = pair.opener.open_stream(make_opening())
-            pair.accepter.announce_health()
-            await pair.accepter.settle()
+            pair.accepter.queue_heartbeat()
+            await pair.accepter.sync()
             await pair.accepter.finish()
             assert await stream.receive() == Refused("leaving")
 
@@ -354,7 +354,7 @@
 
         async with connect_pair(serve) as pair:
             pair.accepter_handler.health = Heartbeat(sequence=0, leaving=True)
-            pair.accepter.announce_health()
+            pair.accepter.queue_heartbeat()
             await trio.sleep(0.1)
             end = await exchange(
                 pair.opener,
