--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -49,7 +49,7 @@
             )
 
 
-def test_frozen_agent_is_left_and_comes_back(tmp_path):
+def test_paused_agent_is_disconnected_and_serves_again(tmp_path):
     """The VM of an agent is paused, as live migration does, and goes on later.
 
     Its caller must learn that the answer is broken, and the agent must serve again.
@@ -61,9 +61,9 @@
         entry, callers = cluster.start_entry("entry-1", silence_s=1.5)
         wait_for_targets(cluster, "entry-1", 1)
         agent.send_signal(signal.SIGSTOP)
-        told = request("GET", callers, "/check/lots/7", headers=CALLER)
-        assert told.status >= 500
-        assert told.headers["hyssopvane-outcome"] in {"unknown", "not-run"}
+        response = request("GET", callers, "/check/lots/7", headers=CALLER)
+        assert response.status >= 500
+        assert response.headers["hyssopvane-outcome"] in {"unknown", "not-run"}
         entry.wait_for("event=peer-disconnected")
         agent.send_signal(signal.SIGCONT)
         wait_until(
--- a/tests/unit/test_asgi_server.py
+++ b/tests/unit/test_asgi_server.py
@@ -52,7 +52,7 @@
     assert trio.run(run) == version
 
 
-def test_serve_asgi_names_an_address_that_is_taken():
+def test_serve_asgi_reports_an_address_in_use():
     async def run():
         taken = trio.socket.socket()
         await taken.bind(("127.0.0.1", 0))
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("http2", [False, True])
-def test_answer_without_end_is_seen_as_broken(http2):
+def test_incomplete_answer_is_reported_as_broken(http2):
     """The target dies in the middle of an answer.
 
     Over HTTP/2 the server only forgot the stream, so the caller waited for ever.
--- a/tests/unit/test_connection_end.py
+++ b/tests/unit/test_connection_end.py
@@ -19,7 +19,7 @@
 REQUEST = b"GET /lots/7 HTTP/1.1\r\nHost: x\r\n\r\n"
 IDLE_S = 20 * LINGER_S
 KEEP_ALIVE_S = 60.0
-MARK = b"Hyssopvane-Reason: connection-ended\r\n"
+REASON_HEADER = b"Hyssopvane-Reason: connection-ended\r\n"
 
 
 async def answer(scope, receive, send):
@@ -43,7 +43,9 @@
     server = HttpServer(
         answer,
         config=config,
-        policy=ConnectionPolicy(describe_late=lambda: MARK, record_end=ended.append),
+        policy=ConnectionPolicy(
+            describe_late=lambda: REASON_HEADER, record_end=ended.append
+        ),
         leaving=trio.Event(),
         shutdown=trio.Event(),
         graceful_timeout_s=600,
@@ -71,7 +73,7 @@
 async def call(stream):
     await stream.send_all(REQUEST)
     received = await receive(stream, until=b"ok")
-    await settle()
+    await wait_until_blocked()
     return received
 
 
@@ -85,7 +87,7 @@
     trio.run(main, clock=clock)
 
 
-async def settle():
+async def wait_until_blocked():
     await trio.testing.wait_all_tasks_blocked(0.02)
 
 
@@ -94,14 +96,14 @@
     assert (await call(site.stream)).startswith(b"HTTP/1.1 200")
     site.clock.jump(IDLE_S)
     site.server._shutdown.set()
-    await settle()
+    await wait_until_blocked()
 
 
-async def move_on(site, seconds):
+async def advance(site, seconds):
     """Let time pass in the steps in which the server looks at its connections."""
     for _ in range(round(seconds / 0.05)):
         site.clock.jump(0.05)
-        await settle()
+        await wait_until_blocked()
 
 
 def test_request_on_an_idle_connection_is_answered_at_a_shutdown():
@@ -118,37 +120,37 @@
 
 async def end_at_shutdown(site):
     await stop_after_idle(site)
-    await move_on(site, LINGER_S + 0.1)
+    await advance(site, LINGER_S + 0.1)
 
 
 async def end_by_idle_timeout(site):
     await call(site.stream)
     site.clock.jump(KEEP_ALIVE_S + 0.1)
-    await settle()
+    await wait_until_blocked()
 
 
 @pytest.mark.parametrize("end", [end_at_shutdown, end_by_idle_timeout])
-def test_request_that_crosses_the_end_is_told_that_it_did_not_run(end):
+def test_request_sent_while_the_connection_ends_gets_a_408(end):
     """Guards against a reset or silence for a request sent as its connection ends."""
 
     async def check(site):
         await end(site)
         await site.stream.send_all(REQUEST)
-        await settle()
+        await wait_until_blocked()
         received = await receive(site.stream)
         assert received.startswith(b"HTTP/1.1 408 ")
-        assert MARK in received
+        assert REASON_HEADER in received
         assert b"onnection: close" in received
         assert received.endswith(b"\r\n\r\n")
         await site.stream.aclose()
-        await settle()
+        await wait_until_blocked()
         (ended,) = site.ended
         assert ended.unread_bytes == len(REQUEST)
 
     run(check)
 
 
-def test_request_that_has_come_unread_is_answered():
+def test_received_but_unread_request_is_answered():
     """Guards against the end of a connection whose request waits in the kernel."""
 
     async def check(site):
@@ -163,7 +165,7 @@
 
 
 @pytest.fixture
-def come_late(monkeypatch):
+def unread_request(monkeypatch):
     """Let a caller's bytes wait in the kernel when an end is first looked at."""
     counts = iter([len(REQUEST)])
     monkeypatch.setattr(
@@ -171,7 +173,7 @@
     )
 
 
-def test_half_a_request_does_not_keep_an_idle_connection(come_late):
+def test_partial_request_does_not_keep_an_idle_connection_open(unread_request):
     """Guards against a connection without a timer, as half a head came at its end."""
 
     async def check(site):
@@ -180,7 +182,7 @@
         await site.stream.send_all(REQUEST[:9])
         async with trio.open_nursery() as nursery:
             nursery.start_soon(connection._initiate_server_close)
-            await settle()
+            await wait_until_blocked()
             assert not connection._ended
             site.clock.jump(LINGER_S)
         assert (await receive(site.stream)).startswith(b"HTTP/1.1 408 ")
@@ -188,7 +190,7 @@
     run(check)
 
 
-def test_request_after_a_refused_end_keeps_its_connection(come_late):
+def test_request_after_a_postponed_end_keeps_the_connection_open(unread_request):
     """Guards against an idle timer that ends a connection which was used meanwhile."""
 
     async def check(site):
@@ -197,7 +199,7 @@
         site.clock.jump(1.0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(connection._initiate_server_close)
-            await settle()
+            await wait_until_blocked()
             assert (await call(site.stream)).startswith(b"HTTP/1.1 200")
             site.clock.jump(LINGER_S)
         assert (await call(site.stream)).startswith(b"HTTP/1.1 200")
@@ -211,13 +213,13 @@
     async def check(site):
         await end_at_shutdown(site)
         assert site.server._connections
-        await move_on(site, LINGER_S + 0.1)
+        await advance(site, LINGER_S + 0.1)
         assert not site.server._connections
 
     run(check)
 
 
-def test_pipelined_request_after_the_last_answer_does_not_hold_the_shutdown():
+def test_pipelined_request_after_the_last_answer_does_not_block_the_shutdown():
     """Guards against a connection that waits for ever behind its closing answer."""
 
     async def check(site):
@@ -227,24 +229,24 @@
         assert received.count(b"HTTP/1.1 200") == 1
         await site.stream.aclose()
         site.server._shutdown.set()
-        await settle()
-        await move_on(site, 3 * LINGER_S)
+        await wait_until_blocked()
+        await advance(site, 3 * LINGER_S)
         assert not site.server._connections
 
     run(check)
 
 
-def test_idle_http2_connection_is_told_before_its_end():
+def test_idle_http2_connection_gets_goaway_before_its_end():
     """Guards against an idle end that leaves open whether a crossing request ran."""
 
     async def check(site):
         client = h2.connection.H2Connection(h2.config.H2Configuration())
         client.initiate_connection()
         await site.stream.send_all(client.data_to_send())
-        await settle()
+        await wait_until_blocked()
         site.clock.jump(KEEP_ALIVE_S + 0.1)
-        await settle()
-        await move_on(site, 2 * LINGER_S)
+        await wait_until_blocked()
+        await advance(site, 2 * LINGER_S)
         events = client.receive_data(await receive(site.stream))
         assert any(isinstance(one, h2.events.ConnectionTerminated) for one in events)
 
--- a/tests/unit/test_decoder_fuzz.py
+++ b/tests/unit/test_decoder_fuzz.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_damaged_input_raises_only_errors_that_callers_know(seed):
+def test_damaged_input_raises_only_expected_errors(seed):
     """Bits flip on the way, or another program writes to the same place.
 
     An unexpected error ends the task that follows the store, and with it the process:
@@ -43,7 +43,7 @@
         },
     )
 )
-def test_what_is_read_as_a_replica_is_one(document):
+def test_decoded_replica_is_valid(document):
     try:
         replica = decode_replica("servers/i-1", json.dumps(document).encode())
     except EXPECTED:
@@ -55,7 +55,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.dictionaries(st.sampled_from(["group", "size", "pace", "step"]), VALUES))
-def test_what_is_read_as_a_report_can_be_counted_with(document):
+def test_numbers_of_a_decoded_report_are_in_range(document):
     try:
         report = decode_report(json.dumps(document).encode())
     except EXPECTED:
@@ -93,7 +93,7 @@
 """
 
 
-def test_message_that_is_cut_off_or_damaged_ends_no_process():
+def test_truncated_or_damaged_message_ends_no_process():
     """A datagram arrives without its end, or with bytes that nobody sent.
 
     The decoder gives up in C++, where no error can be caught: the process ends, and
--- a/tests/unit/test_event_stream.py
+++ b/tests/unit/test_event_stream.py
@@ -9,7 +9,7 @@
 
 
 @given(st.lists(st.integers(1, 20), max_size=30), st.integers(0, 19))
-def test_any_cut_gives_whole_events_in_order(sizes, missing):
+def test_any_chunking_yields_complete_events_in_order(sizes, missing):
     """Bytes of a stream arrive in any pieces, and the last event may be cut."""
     data = b"".join(EVENTS)
     data = data[: len(data) - missing]
--- a/tests/unit/test_part_limit.py
+++ b/tests/unit/test_part_limit.py
@@ -39,7 +39,7 @@
     return trio.run(read, pauses_s, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_document_whose_parts_keep_coming_is_read_to_its_end():
+def test_document_with_steady_progress_is_read_to_its_end():
     """The configuration has grown, and an agent reads it over a link of 4 Mbit/s.
 
     With a second for all of it the agent asks again and again and never has it; its
@@ -53,6 +53,6 @@
     [[1.1], [0.9, 1.1], [0.9] * (int(MAX_READ_S) + 10)],
     ids=["no answer", "it stops", "it trickles"],
 )
-def test_silent_store_is_given_up(pauses_s):
+def test_read_from_a_silent_or_slow_store_times_out(pauses_s):
     with pytest.raises(trio.TooSlowError):
         run(pauses_s)
--- a/tests/unit/test_peer_connection.py
+++ b/tests/unit/test_peer_connection.py
@@ -74,7 +74,7 @@
     run(main)
 
 
-def test_slow_reader_bounds_memory_and_holds_back_nobody():
+def test_slow_reader_uses_bounded_memory_and_blocks_no_other_stream():
     """A caller on a bad line reads one answer slowly while others want theirs.
 
     Without a window the whole answer would pile up in the entry's memory; with one
@@ -102,7 +102,7 @@
     run(main)
 
 
-def test_cancel_ends_the_work():
+def test_cancel_ends_the_attempt():
     """A caller hangs up. Work that goes on would take a place from one who waits."""
 
     async def main():
@@ -124,7 +124,7 @@
     run(main)
 
 
-async def greet_silent_peer(nursery):
+async def connect_to_silent_peer(nursery):
     """Run a connection whose peer greets, and says nothing more."""
     near, far = trio.testing.memory_stream_pair()
     connection = PeerConnection(
@@ -149,7 +149,7 @@
 
     async def main():
         async with trio.open_nursery() as nursery:
-            connection = await greet_silent_peer(nursery)
+            connection = await connect_to_silent_peer(nursery)
             stream = connection.open_stream(make_opening())
             with pytest.raises(PeerLost, match="silent"):
                 await stream.receive()
@@ -158,7 +158,7 @@
     run(main)
 
 
-def test_standstill_of_the_process_itself_closes_no_connection():
+def test_stalled_process_closes_none_of_its_connections():
     """A busy machine gives a process no time for seconds, and its peer goes on well.
 
     The process has not read what came meanwhile. Taking that for silence it would
@@ -167,7 +167,7 @@
 
     async def main():
         async with trio.open_nursery() as nursery:
-            connection = await greet_silent_peer(nursery)
+            connection = await connect_to_silent_peer(nursery)
             clock.jump(10 * TIMES.silence_s)
             await trio.testing.wait_all_tasks_blocked(0.01)
             assert not connection.lost
@@ -177,7 +177,7 @@
     trio.run(main, clock=clock)
 
 
-def test_stream_keeps_what_arrived_before_the_loss():
+def test_stream_keeps_messages_received_before_the_loss():
     async def main():
         async def answer_and_close(stream, opening):
             stream.send(Head(200, ()))
@@ -203,7 +203,7 @@
         (make_hello("b", token="another-token-xx"), "token"),
     ],
 )
-def test_greeting_is_checked(hello, why):
+def test_hello_is_checked(hello, why):
     async def main():
         near, far = trio.testing.memory_stream_pair()
         connection = PeerConnection(
@@ -226,7 +226,7 @@
     [b"\xff\xff\xff\xff", b"\x00\x00\x00\x05hello", b"\x00\x00\x10\x00cut"],
     ids=["too-long", "garbage", "cut"],
 )
-def test_bad_frames_end_the_connection(data):
+def test_malformed_frames_end_the_connection(data):
     """A peer sends garbage, a frame over the limit, or dies within a frame.
 
     Only this connection may end; a process that fell over would take all callers down.
@@ -249,7 +249,7 @@
     run(main)
 
 
-def test_doubled_opening_starts_once():
+def test_duplicate_open_message_starts_one_attempt():
     """The same frame arrives twice; a second start would be a second bid."""
 
     async def main():
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize(("message_every_s", "alone"), [(None, 10), (0.3, 0)])
-def test_heartbeat_rides_on_a_batch_that_goes_out_anyway(message_every_s, alone):
+def test_heartbeat_is_added_to_a_pending_batch(message_every_s, alone):
     """An entry at the target keeps 42 connections, and each heartbeat takes a segment.
 
     Alone they would use up what a daemon may send for control; the entry's owner sees
@@ -319,7 +319,7 @@
     return isinstance(message, Heartbeat)
 
 
-def test_work_that_crosses_the_news_of_a_shutdown_is_refused():
+def test_attempt_received_during_a_shutdown_is_refused():
     """An agent is told to stop just as an entry sends it work.
 
     The connection ended under that work, and the caller was told that nobody knows
@@ -340,7 +340,7 @@
     run(main)
 
 
-def test_work_chosen_before_the_news_of_a_shutdown_is_not_sent():
+def test_assigned_attempt_is_not_sent_after_a_leaving_heartbeat():
     """An entry chose a target, then read that the target's agent is shutting down.
 
     Sent all the same, the work would meet the end of the connection.
