--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -14,13 +14,15 @@
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--count", type=int, default=1_000, help="inputs a decoder")
     found = parser.parse_args()
-    escaped = 0
+    unexpected = 0
     for seed in range(found.first, found.first + found.seeds):
         for one in fuzz(seed, found.count):
-            escaped += 1
+            unexpected += 1
             print(f"seed={seed} {one.decoder}: {one.error!r} at {one.data[:200]!r}")
-    print(f"seeds {found.first} to {found.first + found.seeds - 1}, {escaped} escaped")
-    return 1 if escaped else 0
+    print(
+        f"seeds {found.first} to {found.first + found.seeds - 1}, {unexpected} escaped"
+    )
+    return 1 if unexpected else 0
 
 
 if __name__ == "__main__":
--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -39,7 +39,7 @@
 from tests.lib.direct_installation import ENGINE, EXPERTS, make_configuration
 from tests.lib.platform_documents import REGISTRATION, REPORT, STARTED_MS
 
-EXPECTED = (ConfigurationError, ProtocolError)
+EXPECTED_ERRORS = (ConfigurationError, ProtocolError)
 """What a decoder may raise: its callers know these."""
 
 _CONFIGURATION = make_configuration(7)
@@ -62,25 +62,53 @@
     "configuration": (decode_configuration, _CONFIGURATION),
 }
 
-_A = "10.0.0.1:7340"
+_ADDRESS = "10.0.0.1:7340"
 _MESSAGES = (
-    EntryState(_A, _A, 3, 4, "zone-a", 0.5, True, _A),
-    GroupLoad(7, 1, 5, 1, 2, True, 9, 0.06, 4, (MemberLoad(1, 0, 1.0, 0.1),), True, _A),
-    Roster(7, "g", (Member(_A, 5),), (EntryContact(_A, "zone-a"),), True, _A),
-    Presence(_A, "g", 1, 0, True),
+    EntryState(_ADDRESS, _ADDRESS, 3, 4, "zone-a", 0.5, True, _ADDRESS),
+    GroupLoad(
+        7, 1, 5, 1, 2, True, 9, 0.06, 4, (MemberLoad(1, 0, 1.0, 0.1),), True, _ADDRESS
+    ),
+    Roster(
+        7,
+        "g",
+        (Member(_ADDRESS, 5),),
+        (EntryContact(_ADDRESS, "zone-a"),),
+        True,
+        _ADDRESS,
+    ),
+    Presence(_ADDRESS, "g", 1, 0, True),
     OrderRequest("g", 1, 9, True),
     RankState(
-        _A, _A, "g", 1, 0, 2, True, 1, 0, 9, 1, 2, 3, 4, 5, ((0, 1),), 1.0, (1, 2)
+        _ADDRESS,
+        _ADDRESS,
+        "g",
+        1,
+        0,
+        2,
+        True,
+        1,
+        0,
+        9,
+        1,
+        2,
+        3,
+        4,
+        5,
+        ((0, 1),),
+        1.0,
+        (1, 2),
+    ),
+    MapChange("g", 1, 2, (((0,), (1,)),), 3, (_ADDRESS,)),
+    ReplicaLimits(
+        (LimitReport(_ADDRESS, 5, 2.5, 0.1), LimitReport(_ADDRESS, 0, None, 1.0))
     ),
-    MapChange("g", 1, 2, (((0,), (1,)),), 3, (_A,)),
-    ReplicaLimits((LimitReport(_A, 5, 2.5, 0.1), LimitReport(_A, 0, None, 1.0))),
 )
 _SNAPSHOT = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
 
 MESSAGE_BYTES = [encode_message(message) for message in _MESSAGES]
 SNAPSHOT_BYTES = encode_store_snapshot(_SNAPSHOT)
 
-_STRANGE: tuple[object, ...] = (
+_UNUSUAL_VALUES: tuple[object, ...] = (
     None,
     True,
     -1,
@@ -103,7 +131,7 @@
 
 
 @dataclass(frozen=True)
-class Escaped:
+class UnexpectedError:
     """Hold an input at which a decoder raised what nobody expects."""
 
     decoder: str
@@ -111,7 +139,7 @@
     error: Exception
 
 
-def fuzz(seed: int, count: int) -> Iterator[Escaped]:
+def fuzz(seed: int, count: int) -> Iterator[UnexpectedError]:
     """Try damaged inputs on each decoder; yield those whose error would end a process.
 
     Each decoder gets `count` inputs, and the same ones for the same seed.
@@ -122,10 +150,10 @@
             data = make(random)
             try:
                 decode(data)
-            except EXPECTED:
+            except EXPECTED_ERRORS:
                 continue
             except Exception as error:
-                yield Escaped(name, data, error)
+                yield UnexpectedError(name, data, error)
 
 
 def _list_decoders() -> Iterator[
@@ -136,9 +164,13 @@
     yield (
         "datagram",
         decode_message,
-        lambda random: _flip(random.choice(MESSAGE_BYTES), random),
+        lambda random: _damage_bytes(random.choice(MESSAGE_BYTES), random),
+    )
+    yield (
+        "beliefs",
+        decode_store_snapshot,
+        lambda random: _damage_bytes(SNAPSHOT_BYTES, random),
     )
-    yield "beliefs", decode_store_snapshot, lambda random: _flip(SNAPSHOT_BYTES, random)
 
 
 def _make_document_damager(document: Any) -> Callable[[Random], bytes]:
@@ -149,7 +181,7 @@
         data = json.dumps(value).encode()
         draw = random.random()
         if draw < 0.2:
-            return _flip(data, random)
+            return _damage_bytes(data, random)
         if draw < 0.3:
             at = random.randrange(len(data))
             return data[:at] + random.choice(_TOKENS) + data[at + 1 :]
@@ -167,10 +199,10 @@
     if isinstance(value, list) and value and random.random() < 0.7:
         at = random.randrange(len(value))
         return value[:at] + [_replace_part(value[at], random)] + value[at + 1 :]
-    return random.choice(_STRANGE)
+    return random.choice(_UNUSUAL_VALUES)
 
 
-def _flip(data: bytes, random: Random) -> bytes:
+def _damage_bytes(data: bytes, random: Random) -> bytes:
     damaged = bytearray(data)
     for _ in range(random.randint(1, 8)):
         damaged[random.randrange(len(damaged))] = random.randrange(256)
--- a/tests/lib/proxy.py
+++ b/tests/lib/proxy.py
@@ -15,7 +15,7 @@
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = host, int(port)
-        self._silenced: set[trio.SocketStream] = set()
+        self._silent: set[trio.SocketStream] = set()
         self._open: set[trio.SocketStream] = set()
         self._started = threading.Event()
         self._stopped = trio.Event()
@@ -24,7 +24,7 @@
 
     def silence_open(self) -> None:
         """Drop all data of the connections that are open now; leave them open."""
-        self._silenced |= self._open
+        self._silent |= self._open
 
     async def run(self) -> None:
         """Serve until stopped."""
@@ -55,19 +55,19 @@
             return
         self._open.add(near)
         async with near, far, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pass_on, near, far, near)
-            await self._pass_on(far, near, near)
+            nursery.start_soon(self._forward, near, far, near)
+            await self._forward(far, near, near)
             nursery.cancel_scope.cancel()
         self._open.discard(near)
 
-    async def _pass_on(self, source, sink, connection) -> None:
+    async def _forward(self, source, sink, connection) -> None:
         try:
             while data := await source.receive_some(_READ_BYTES):
-                if connection not in self._silenced:
+                if connection not in self._silent:
                     await sink.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
-        if connection in self._silenced:
+        if connection in self._silent:
             # A device that forgot the connection passes no end on either.
             await trio.sleep_forever()
 
--- a/tests/unit/test_decoder_fuzz.py
+++ b/tests/unit/test_decoder_fuzz.py
@@ -10,7 +10,7 @@
 
 from hyssopvane._internal.platform.registrations import MAX_SLOTS, decode_replica
 from hyssopvane._internal.platform.reports import MAX_RANKS, decode_report
-from tests.lib.decoder_fuzz import EXPECTED, fuzz
+from tests.lib.decoder_fuzz import EXPECTED_ERRORS, fuzz
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
@@ -46,7 +46,7 @@
 def test_decoded_replica_is_valid(document):
     try:
         replica = decode_replica("servers/i-1", json.dumps(document).encode())
-    except EXPECTED:
+    except EXPECTED_ERRORS:
         return
     assert replica.service and isinstance(replica.service, str)
     assert 1 <= replica.slots <= MAX_SLOTS
@@ -58,7 +58,7 @@
 def test_numbers_of_a_decoded_report_are_in_range(document):
     try:
         report = decode_report(json.dumps(document).encode())
-    except EXPECTED:
+    except EXPECTED_ERRORS:
         return
     assert 0 <= report.rank < MAX_RANKS and 1 <= report.ranks <= MAX_RANKS
     assert 0 <= report.pace < 2**54
