--- a/src/hyssopvane/_internal/protocol/__init__.py
+++ b/src/hyssopvane/_internal/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Define the messages between processes and the outcomes told to callers."""
+"""Define the messages between processes and the headers exchanged with callers."""
--- a/src/hyssopvane/_internal/protocol/codec.py
+++ b/src/hyssopvane/_internal/protocol/codec.py
@@ -30,7 +30,7 @@
 
 @cache
 def load_schema(path: Path) -> Any:
-    """Load a schema file once; importing pycapnp costs memory, so it waits for use."""
+    """Load a schema file once; import pycapnp lazily, as it costs memory."""
     import capnp
 
     capnp.remove_import_hook()
@@ -49,7 +49,7 @@
 
 
 def decode_frames(data: bytes) -> list[Frame]:
-    """Decode one batch; raise `ProtocolError` when it is not one."""
+    """Decode one batch; raise `ProtocolError` when the bytes are not a valid batch."""
     import capnp
 
     try:
@@ -59,7 +59,7 @@
         raise ProtocolError(
             "a frame from the peer can't be decoded",
             context=str(error).splitlines()[0][:200],
-            hint="run the same version on both ends; the connection is opened anew",
+            hint="run the same version on both ends; the connection is reopened",
         ) from error
 
 
--- a/src/hyssopvane/_internal/protocol/demand.py
+++ b/src/hyssopvane/_internal/protocol/demand.py
@@ -1,4 +1,4 @@
-"""Encode what entries tell each other about shares of limits."""
+"""Encode and decode the requests and grants of limit shares between entries."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def encode_share_requests(requests: Sequence[ShareRequest]) -> bytes:
-    """Encode asks to one entry."""
+    """Encode the share requests for one entry."""
     message = load_schema(_SCHEMA_FILE).Asks.new_message()
     builders = message.init("asks", len(requests))
     for builder, request in zip(builders, requests, strict=True):
@@ -23,14 +23,15 @@
         builder.sequence = request.sequence
         builder.need = request.need
         builder.held = request.held
-        # Rounded up: a giver must not count a grant for less time than it lasts.
+        # Round up: the granting entry must not count a grant for less time than it
+        # lasts.
         builder.heldMs = int(request.held_s * _MS_PER_S) + 1
     encoded: bytes = message.to_bytes_packed()
     return encoded
 
 
 def decode_share_requests(data: bytes) -> list[ShareRequest]:
-    """Decode asks; raise `ProtocolError` when they are none."""
+    """Decode share requests; raise `ProtocolError` when the bytes are invalid."""
     return [
         ShareRequest(
             customer=one.customer,
@@ -44,7 +45,7 @@
 
 
 def encode_share_grants(grants: Sequence[ShareGrant]) -> bytes:
-    """Encode the answers to asks."""
+    """Encode the grants that answer share requests."""
     message = load_schema(_SCHEMA_FILE).Answers.new_message()
     builders = message.init("answers", len(grants))
     for builder, grant in zip(builders, grants, strict=True):
@@ -58,7 +59,7 @@
 
 
 def decode_share_grants(data: bytes) -> list[ShareGrant]:
-    """Decode answers; raise `ProtocolError` when they are none."""
+    """Decode share grants; raise `ProtocolError` when the bytes are invalid."""
     return [
         ShareGrant(
             customer=one.customer,
@@ -78,7 +79,7 @@
         return getattr(load_schema(_SCHEMA_FILE), kind).from_bytes_packed(data)
     except (capnp.KjException, ValueError) as error:
         raise ProtocolError(
-            "a message about demand can't be decoded",
+            "a message about limit shares can't be decoded",
             context=str(error).splitlines()[0][:200],
             hint="run the same version on both ends",
         ) from error
--- a/src/hyssopvane/_internal/protocol/event_stream.py
+++ b/src/hyssopvane/_internal/protocol/event_stream.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events."""
+"""Split a stream of server-sent events into complete events."""
 
 from dataclasses import dataclass
 
@@ -8,17 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """Hold the bytes of one whole event."""
+    """Hold the bytes and the id of one complete event."""
 
     data: bytes
     id: bytes | None
 
 
 class EventSplitter:
-    """Collect bytes until an event is whole.
+    """Buffer bytes until an event is complete.
 
-    A replica may stop in the middle of an event. What a caller got of it could not be
-    taken back, and the next replica would send the event from its beginning.
+    A replica may stop in the middle of an event. A partial event that was already sent
+    to the caller could not be undone, and the next replica sends the event from its
+    beginning.
     """
 
     def __init__(self) -> None:
@@ -26,11 +27,11 @@
 
     @property
     def remainder(self) -> bytes:
-        """Return the bytes of the event that is not whole yet."""
+        """Return the bytes of the incomplete last event."""
         return self._remainder
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that they complete."""
+        """Add received bytes and return the events that they complete."""
         *whole, self._remainder = (self._remainder + data).split(_EVENT_END)
         return [StreamEvent(event + _EVENT_END, _find_id(event)) for event in whole]
 
--- a/src/hyssopvane/_internal/protocol/messages.py
+++ b/src/hyssopvane/_internal/protocol/messages.py
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Greet the peer; the first message each way."""
+    """Identify this process to the peer; the first message in each direction."""
 
     version: int
     role: str
     vm: str
     availability_zone: str
     incarnation: int
-    """Random number of this start of the process."""
+    """Random number drawn at each start of the process."""
     token: str
     service: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Show that the process lives, with what its peer should know of it."""
+    """Show that the process is alive, and report its load and table position."""
 
     sequence: int
     table_revision: int = 0
@@ -33,22 +33,22 @@
     tokens_in_flight: int = 0
     leaving: bool = False
     table_era: int = 0
-    """Era of the key-value service that the table's revision belongs to."""
+    """Era of the key-value service that `table_revision` belongs to."""
 
     @property
     def table_position(self) -> StorePosition:
-        """Return the point of the service's history that the table is of."""
+        """Return the position of the table in the history of the key-value service."""
         return StorePosition(self.table_era, self.table_revision)
 
 
 @dataclass(frozen=True, slots=True)
 class Open:
-    """Ask an agent to run a request at its target, or to join one by its key."""
+    """Request an attempt at an agent's target, or join a running one by its key."""
 
     request_id: str
     attempt: bytes
     incarnation: int
-    """Incarnation of the agent that the attempt is meant for."""
+    """Incarnation of the agent that the attempt is addressed to."""
     customer: str
     method: str
     path: bytes
@@ -58,11 +58,11 @@
     key: str = ""
     body_digest: bytes = b""
     join: bool = False
-    """Whether to give the answer of this attempt and start nothing."""
+    """Whether to deliver the answer of this attempt without starting it."""
     resume_from: int = 0
-    """Bytes of the answer's body that the caller already has."""
+    """Bytes of the answer's body that the caller has already received."""
     key_window_s: int = 0
-    """Age in seconds after which the key is no longer run."""
+    """Age in seconds after which a request with this key is not run."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,23 +82,23 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """Tell that a body is whole."""
+    """Mark the end of a complete body."""
 
 
 ANSWER_DROPPED = "answer-dropped"
-"""Reason of a `Broken` for an attempt that ended and whose answer is not kept."""
+"""Reason of a `Broken` for a finished attempt whose answer is not stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Tell that an attempt began and its answer can't be completed."""
+    """Report that an attempt started and its answer can't be completed."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Tell that an attempt did not begin and never will."""
+    """Report that an attempt did not start and never will."""
 
     reason: str
     retry_after_ms: int = 0
@@ -106,19 +106,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Tell that nobody waits for the answer any more."""
+    """Report that the answer is no longer needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Credit:
-    """Allow the peer to send more bytes of a body."""
+    """Allow the peer to send `size` more bytes of a body."""
 
     size: int
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Tell the peer something that needs no answer."""
+    """Send the peer information that needs no answer."""
 
     topic: str
     body: bytes
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """Ask the peer something; it replies with an `Answer` on the same stream."""
+    """Query the peer, which replies with an `Answer` on the same stream."""
 
     topic: str
     body: bytes
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer a `Question`."""
+    """Carry the reply to a `Question`."""
 
     body: bytes
 
@@ -158,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """Address a message to a stream of the connection; 0 is the connection."""
+    """Address a message to a stream; stream 0 is the connection itself."""
 
     stream: int
     message: Message
