--- a/src/hyssopvane/_internal/protocol/headers.py
+++ b/src/hyssopvane/_internal/protocol/headers.py
@@ -1,4 +1,4 @@
-"""Name the HTTP headers that the system reads and writes."""
+"""Define and filter the HTTP headers that the system reads and writes."""
 
 import re
 from collections.abc import Iterable, Mapping
@@ -15,7 +15,7 @@
 RETRY_AFTER = b"retry-after"
 AUTHORIZATION = b"authorization"
 
-# RFC 9110, 7.6.1: these speak of one connection and are not passed on.
+# RFC 9110, 7.6.1: these apply to a single connection and are not forwarded.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -27,16 +27,16 @@
         b"upgrade",
     }
 )
-# Statuses whose Retry-After speaks of the server, not of one request.
+# Statuses whose Retry-After applies to the whole server, not to one request.
 _OVERLOAD_STATUSES = frozenset({429, 503})
 _SECONDS = re.compile(rb"[0-9]{1,20}(\.[0-9]{1,9})?")
-# The server in front of the callers writes its own.
+# The server that callers connect to writes its own date header.
 _TARGET_ONLY = frozenset({b"date"})
 _CALLER_ONLY = frozenset({AUTHORIZATION, b"host", b"content-length", b"expect"})
 
 
 def get_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header, given in lower case."""
+    """Return the first value of a header, None without one; `name` is in lower case."""
     for found, value in headers:
         if found == name:
             return value
@@ -46,7 +46,7 @@
 def index_headers(
     headers: Iterable[tuple[bytes, bytes]],
 ) -> dict[bytes, bytes]:
-    """Return the first value of each header by its name in lower case."""
+    """Map each header name in lower case to its first value."""
     found: dict[bytes, bytes] = {}
     for name, value in headers:
         found.setdefault(name.lower(), value)
@@ -54,31 +54,32 @@
 
 
 def read_backoff_s(status: int, fields: Mapping[bytes, bytes]) -> float | None:
-    """Return the seconds for which whoever answers wants no requests, None for none.
+    """Return the back-off in seconds that a server asks for, None without one.
 
-    Raise `ProtocolError` where the answer names them in a way that can't be read.
+    Raise `ProtocolError` when the Retry-After header is invalid.
     """
     return read_retry_after_s(fields) if status in _OVERLOAD_STATUSES else None
 
 
 def read_retry_after_s(fields: Mapping[bytes, bytes]) -> float | None:
-    """Return the seconds that an answer asks to stay away, None where it names none.
+    """Return the seconds in the Retry-After header, None without one.
 
-    Raise `ProtocolError` where it names them in a way that can't be read. A time of day
-    is not read: it would need the clock of whoever sent it.
+    Raise `ProtocolError` when the value is not a number of seconds. A date is rejected,
+    as its meaning depends on the sender's clock.
     """
     value = fields.get(RETRY_AFTER)
     if value is None:
         return None
     if _SECONDS.fullmatch(value.strip()) is None:
         raise ProtocolError(
-            "an answer says in no seconds when to come back", context=repr(value[:40])
+            "a Retry-After header is not a number of seconds",
+            context=repr(value[:40]),
         )
     return float(value)
 
 
 def select_for_target(headers: Headers, *, request_id: str) -> Headers:
-    """Return the headers that go on to a target, with the request id."""
+    """Return the headers to forward to a target, with the request id."""
     kept = tuple(
         (name, value)
         for name, value in headers
@@ -90,7 +91,7 @@
 
 
 def select_for_caller(headers: Headers) -> Headers:
-    """Return the headers of a target's answer that go on to the caller."""
+    """Return the headers of a target's answer to forward to the caller."""
     return tuple(
         (name.lower(), value)
         for name, value in headers
--- a/src/hyssopvane/_internal/protocol/idempotency.py
+++ b/src/hyssopvane/_internal/protocol/idempotency.py
@@ -1,4 +1,4 @@
-"""Read how a caller marks a request that must not run twice."""
+"""Parse and check idempotency keys of requests that must not run twice."""
 
 from dataclasses import dataclass
 from uuid import RFC_4122, UUID
@@ -8,10 +8,11 @@
 from hyssopvane._internal.protocol.messages import Headers
 
 MAX_CLOCK_SKEW_S = 120.0
-"""How far a caller's clock may run ahead of ours, in seconds.
+"""How far a caller's clock may run ahead of this process's clock, in seconds.
 
-Callers' clocks are off by a minute and ours by a little; a key from beyond twice that
-tells of a clock that would make the age of every later key worthless.
+Callers' clocks are off by up to a minute, and clocks of entries by a little. A key that
+is ahead by more than twice that comes from a clock with which the age of every later
+key is meaningless.
 """
 
 _UUID_VERSION = 7
@@ -22,19 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """Hold a caller's key and the time at which the caller made it."""
+    """Hold a caller's key and its creation time."""
 
     text: str
     created_at: float
     """Seconds since 1970, by the caller's clock."""
 
     def get_age(self, now: float) -> float:
-        """Return the age in seconds; it is negative for a clock that runs ahead."""
+        """Return the age in seconds, negative when the caller's clock runs ahead."""
         return now - self.created_at
 
 
 def read_key(found: Headers) -> IdempotencyKey | Refusal | None:
-    """Return the key of a request, its refusal, or None where there is none."""
+    """Return the key of a request, a refusal of an invalid key, None without a key."""
     values = [value for name, value in found if name == headers.IDEMPOTENCY_KEY]
     if not values:
         return None
@@ -42,14 +43,14 @@
     key = parse_key(text) if len(values) == 1 else None
     if key is not None:
         return key
-    # A key that no entry accepts can't have run anywhere, so this is proved.
+    # Every entry refuses a malformed key, so the request can't have run anywhere.
     return Refusal(RefusalReason.KEY_MALFORMED, Outcome.NOT_RUN)
 
 
 def check_key(
     key: IdempotencyKey | None, *, required: bool, window_s: float, now: float
 ) -> Refusal | None:
-    """Return why a request can't be accepted with this key, or None."""
+    """Return the refusal of a request with this key, None when it is acceptable."""
     if key is None:
         if required:
             return Refusal(RefusalReason.KEY_MISSING, Outcome.NOT_RUN)
@@ -59,8 +60,11 @@
         detail = f"the key is {age_s:.0f} s old; the window is {window_s:.0f} s"
         return Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN, detail=detail)
     if age_s < -MAX_CLOCK_SKEW_S:
-        detail = f"the key is {-age_s:.0f} s ahead; {MAX_CLOCK_SKEW_S:.0f} s are let"
-        # Another entry's clock may have accepted it, so nothing is proved.
+        detail = (
+            f"the key is {-age_s:.0f} s ahead; the limit is {MAX_CLOCK_SKEW_S:.0f} s"
+        )
+        # An entry with another clock may have accepted the key, so the request may
+        # have run.
         return Refusal(RefusalReason.KEY_FROM_FUTURE, Outcome.UNKNOWN, detail=detail)
     return None
 
--- a/src/hyssopvane/_internal/protocol/replica_headers.py
+++ b/src/hyssopvane/_internal/protocol/replica_headers.py
@@ -1,4 +1,4 @@
-"""Name the headers that callers, entries and replicas exchange on the direct path."""
+"""Define the headers of callers, entries and replicas on the direct path."""
 
 import re
 from collections.abc import Mapping
@@ -11,33 +11,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaHeaders:
-    """Hold the header names of an installation, in lower case."""
+    """Hold the configurable header names of an installation, in lower case."""
 
     request_id: bytes
     deadline_ms: bytes
-    """Milliseconds that whoever asks will still wait."""
+    """Milliseconds that the sender of the request will still wait."""
     customer: bytes
-    """Name of the customer; set by the entry, never by a caller."""
+    """Name of the customer; set by the entry, and removed from callers' requests."""
     expected_replica: bytes
-    """Replica that alone may run the request."""
+    """The only replica that may run the request."""
     not_executed: bytes
-    """Stands on answers of replicas that did not run the request."""
+    """Marks answers of replicas that did not run the request."""
     signature: bytes
-    """Stands on each answer that a replica made by running the request."""
+    """Marks each answer that a replica produced by running the request."""
     failed_replica: bytes
-    """Replica of a group that is the reason of a failure."""
+    """Replica of a group that caused a failure."""
     resume_after: bytes
-    """Id of the last event that the caller has."""
+    """Id of the last event that the caller has received."""
     token_counts: bytes
-    """Prompt tokens and the most output tokens, separated by a comma."""
+    """Number of prompt tokens and maximum of output tokens, separated by a comma."""
     length_hint: bytes
-    """Caller's guess of the output tokens."""
+    """Caller's estimate of the number of output tokens."""
     priority: bytes
-    """Rank at the replica, 0 to 9, 0 first."""
+    """Priority at the replica, from 0, the highest, to 9."""
     request_limit: bytes
-    """Requests a second that a replica in need takes from all entries together."""
+    """Requests per second that an overloaded replica accepts from all entries."""
     leaving: bytes
-    """Stands on all answers of a replica that is about to end, with the value 1."""
+    """Marks all answers of a replica that is shutting down, with the value 1."""
 
 
 _LEAVING_VALUE = b"1"
@@ -49,10 +49,10 @@
 def select_for_replica(
     headers: Headers, names: ReplicaHeaders, *, replaced: Headers
 ) -> Headers:
-    """Return a caller's headers as they go on to a replica.
+    """Return a caller's headers as they are forwarded to a replica.
 
-    Headers in `replaced` go before what the caller sent under the same name. The key
-    is left out: a replica must not be able to act as the customer.
+    Headers in `replaced` override those of the caller with the same name. The API key
+    is removed: a replica must not be able to act as the customer.
     """
     dropped = _CONNECTION_HEADERS | _list_connection_options(headers)
     dropped |= {name for name, _ in replaced}
@@ -62,7 +62,7 @@
 
 
 def select_for_caller(headers: Headers) -> Headers:
-    """Return a replica's headers as they go on to the caller."""
+    """Return a replica's headers as they are forwarded to the caller."""
     lowered = tuple((name.lower(), value) for name, value in headers)
     dropped = _CONNECTION_HEADERS | _list_connection_options(lowered) | {b"date"}
     return tuple((name, value) for name, value in lowered if name not in dropped)
@@ -71,27 +71,28 @@
 def read_request_limit(
     fields: Mapping[bytes, bytes], names: ReplicaHeaders
 ) -> float | None:
-    """Return the requests a second that a replica takes, None where it names no limit.
+    """Return a replica's limit in requests per second, None without one.
 
-    Raise `ProtocolError` where it names one that can't be read.
+    Raise `ProtocolError` when the header is not a decimal number.
     """
     value = fields.get(names.request_limit)
     if value is None:
         return None
     if _DECIMAL.fullmatch(value.strip()) is None:
         raise ProtocolError(
-            "a replica names a limit that can't be read", context=repr(value[:40])
+            "the request limit of a replica is not a decimal number",
+            context=repr(value[:40]),
         )
     return float(value)
 
 
 def indicates_leaving(fields: Mapping[bytes, bytes], names: ReplicaHeaders) -> bool:
-    """Tell whether an answer says that its replica leaves."""
+    """Return whether an answer indicates that its replica is shutting down."""
     return fields.get(names.leaving, b"").strip() == _LEAVING_VALUE
 
 
 def _list_connection_options(headers: Headers) -> frozenset[bytes]:
-    # RFC 9110, 7.6.1: the names that Connection lists concern that connection only.
+    # RFC 9110, 7.6.1: headers listed in Connection apply to that connection only.
     return frozenset(
         part.strip().lower()
         for name, value in headers
