--- a/src/hyssopvane/_internal/protocol/claims.capnp
+++ b/src/hyssopvane/_internal/protocol/claims.capnp
@@ -1,14 +1,14 @@
 @0xd8a3b1f47c20e695;
-# Claims of idempotency keys: the pages in the key-value service and the questions
+# Claims of idempotency keys: the pages in the key-value service and the messages
 # between entries.
 
 struct Claim {
-  # Three words: 24 bytes a claim in a page.
+  # Three words, so a claim takes 24 bytes in a page.
   keyHash @0 :UInt64;
   attempt @1 :UInt64;
   bodyDigest @2 :UInt32;
   target @3 :UInt16;
-  # Index into the page's targets.
+  # Index into the list of targets of the page.
   void @4 :Bool;
 }
 
@@ -21,7 +21,7 @@
   claims @0 :List(Claim);
   targets @1 :List(Target);
   writeId @2 :UInt64;
-  # Drawn anew for each write, so that the first bytes of a page name its content.
+  # Random for each write, so that the first bytes of a page identify its content.
 }
 
 struct Change {
--- a/src/hyssopvane/_internal/protocol/demand.capnp
+++ b/src/hyssopvane/_internal/protocol/demand.capnp
@@ -1,5 +1,5 @@
 @0xb3e8d1f0a6c24795;
-# What entries tell each other about shares of customers' limits.
+# Requests and grants of shares of customers' limits, sent between entries.
 
 struct Asks {
   asks @0 :List(Ask);
@@ -9,7 +9,7 @@
   customer @0 :Text;
   sequence @1 :UInt64;
   need @2 :Float64;
-  # Fraction of the customer's limits that is wanted beyond the safe share.
+  # Fraction of the customer's limits that is requested beyond the safe share.
   held @3 :Float64;
   heldMs @4 :UInt32;
 }
--- a/src/hyssopvane/_internal/protocol/group.capnp
+++ b/src/hyssopvane/_internal/protocol/group.capnp
@@ -1,6 +1,6 @@
 @0xd1f4a7c2b9e85361;
-# What entries and agents of the direct path tell each other in datagrams. Each one says
-# how things are at the moment; a lost one is made good by the next.
+# Datagrams between entries and agents of the direct path. Each one holds the current
+# state of its sender, so the next one makes up for a lost one.
 
 struct Datagram {
   union {
@@ -18,14 +18,14 @@
 struct EntryState {
   address @0 :Text;
   unusedRevision @1 :UInt64;
-  # Processes of an earlier release compare it; they take 0 for nothing new.
+  # Compared by processes of an earlier release only, which take 0 for no change.
   replicasRevision @2 :UInt64;
   beliefs @3 :Text;
   unheard @4 :Bool;
   availabilityZone @5 :Text;
   via @6 :Text;
   storeReturnedMs @7 :UInt16;
-  # Time since the store's last return, and one more; 0 for none.
+  # Milliseconds since the store last became reachable again, plus one; 0 for none.
   configurationVersion @8 :UInt64;
   replicasEra @9 :UInt64;
 }
@@ -38,7 +38,7 @@
   replica @0 :Text;
   startedMs @1 :UInt64;
   named @2 :Bool;
-  # Whether the replica names a limit now.
+  # Whether the replica currently reports a limit.
   perS @3 :Float64;
   ageMs @4 :UInt32;
 }
@@ -52,7 +52,7 @@
 }
 
 struct Beliefs {
-  # What an entry has learnt from the store, for one that can't read it.
+  # What an entry has read from the store, for an entry that can't read it.
   configurationRevision @0 :UInt64;
   configuration @1 :Data;
   replicasRevision @2 :UInt64;
@@ -77,8 +77,8 @@
   passUs @7 :UInt32;
   entries @8 :UInt16;
   members @9 :Data;
-  # Six bytes a member: two for its running requests, two for those in its queue, one
-  # for its pace in sixteenths and one for its age in hundredths of a second.
+  # Six bytes per member: two for its running requests, two for its queued requests,
+  # one for its pace in sixteenths and one for its age in hundredths of a second.
   relay @10 :Bool;
   forward @11 :Text;
 }
@@ -106,21 +106,21 @@
   group @0 :Text;
   epoch @1 :UInt32;
   step @2 :UInt64;
-  # 0 to look at the rank only.
+  # 0 to only poll the rank.
   release @3 :Bool;
 }
 
 struct Lists {
-  # Lists of experts, one behind the other, an expert in one byte or in two: lists of
-  # their own take three times the space, and a map of 12 sets on 64 ranks has 768.
+  # Concatenated lists of experts with one or two bytes per expert. Separate lists take
+  # three times the space, and a map of 12 sets on 64 ranks has 768 of them.
   items @0 :Data;
   lengths @1 :Data;
   wide @2 :Bool;
 }
 
 struct Counts {
-  # Compressed, a byte each in units that fit the largest: 12 sets of 256 experts have
-  # 6 KB in two bytes each, and 2 KB so.
+  # Compressed, one byte per count, in a unit that fits the largest count. The counts of
+  # 12 sets of 256 experts take 2 KB this way, and 6 KB with two bytes per count.
   items @0 :Data;
   unit @1 :UInt32;
   size @2 :UInt32;
@@ -143,7 +143,7 @@
   heldStep @13 :UInt64;
   experts @14 :Lists;
   counts @15 :Counts;
-  # Choices since the rank's last such word; empty in most datagrams.
+  # Expert choices since the last counts of the rank; empty in most datagrams.
   queued @16 :UInt16;
   pace @17 :Float32;
   startedMs @18 :UInt64;
@@ -154,9 +154,9 @@
   epoch @1 :UInt32;
   version @2 :UInt64;
   experts @3 :Lists;
-  # By set, then by rank.
+  # Ordered by set, then by rank.
   step @4 :UInt64;
-  # Pass from which on the map is used; 0 while its experts are being copied.
+  # Pass from which the map is used; 0 while its experts are being copied.
   sets @5 :UInt16;
   forward @6 :List(Text);
 }
--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -1,4 +1,4 @@
-"""Encode the datagrams of the direct path."""
+"""Encode and decode the datagrams and store snapshots of the direct path."""
 
 import struct
 import zlib
@@ -54,9 +54,9 @@
 _PACE_STEPS_PER_UNIT = 16
 _AGE_UNITS_PER_S = 100
 _MAX_COUNTS = 2**16
-"""Counts in one message: 16 sets of 4,096 experts."""
+"""Maximum number of counts in one message: 16 sets of 4,096 experts."""
 _COMPRESSION_LEVEL = 1
-"""Level of compression: the better ones take three times as long for a tenth less."""
+"""Fastest zlib level; better ones take three times as long to save another tenth."""
 _CHECKSUM_BYTES = 4
 
 
@@ -84,27 +84,29 @@
 
 
 def decode_message(data: bytes) -> GroupMessage:
-    """Decode a datagram; raise `ProtocolError` when it is none of ours."""
+    """Decode a datagram; raise `ProtocolError` when it is invalid."""
     try:
         body = _remove_checksum(data)
         datagram = load_schema(_SCHEMA_FILE).Datagram.from_bytes_packed(body)
         message = _READERS[str(datagram.which())](datagram)
     except (capnp.KjException, KeyError, ValueError, zlib.error) as error:
-        raise ProtocolError("a datagram can't be read", context=str(error)) from error
+        raise ProtocolError(
+            "a datagram can't be decoded", context=str(error)
+        ) from error
     _validate(message)
     return message
 
 
 def _validate(message: GroupMessage) -> None:
-    """Raise `ProtocolError` where a readable message holds what nobody sends.
+    """Raise `ProtocolError` when a decoded message holds invalid values.
 
-    Addresses are sent to and numbers are counted with; a wrong one would end the
-    process far from here, where nobody could tell who sent it.
+    The process sends to these addresses and computes with these numbers. An invalid one
+    would end the process later, where its sender is no longer known.
     """
     is_valid = True
     match message:
         case EntryState():
-            # An entry that gives nothing on names no address for its beliefs.
+            # An entry that shares no snapshots leaves the address for them empty.
             addresses = (message.address, *_drop_empty(message.beliefs, message.via))
         case GroupLoad():
             addresses = _drop_empty(message.forward)
@@ -119,7 +121,7 @@
         case Presence():
             addresses = (message.messages,)
         case RankState():
-            # A short word leaves out what the one before it has told.
+            # A short state omits the addresses that an earlier full state contained.
             addresses = _drop_empty(message.messages, message.replica)
             is_valid = message.rank < message.ranks and (
                 isfinite(message.pace) and message.pace >= 0
@@ -133,7 +135,7 @@
             is_valid = all(_is_valid_limit(one.per_s) for one in message.reports)
     if not is_valid or not all(is_address(one) for one in addresses):
         raise ProtocolError(
-            "a datagram holds what no process of ours sends", context=str(message)[:200]
+            "a datagram holds invalid values", context=str(message)[:200]
         )
 
 
@@ -146,7 +148,7 @@
 
 
 def encode_store_snapshot(snapshot: StoreSnapshot) -> bytes:
-    """Encode what an entry has learnt from the store."""
+    """Encode what an entry has read from the store."""
     message = load_schema(_SCHEMA_FILE).Beliefs.new_message()
     message.configurationRevision = snapshot.configuration_revision
     message.configuration = snapshot.configuration
@@ -161,7 +163,7 @@
 
 
 def decode_store_snapshot(data: bytes) -> StoreSnapshot:
-    """Decode another entry's beliefs; raise `ProtocolError` when they are none."""
+    """Decode another entry's snapshot; raise `ProtocolError` when it is invalid."""
     try:
         message = load_schema(_SCHEMA_FILE).Beliefs.from_bytes_packed(
             _remove_checksum(data), traversal_limit_in_words=_MAX_SNAPSHOT_WORDS
@@ -177,24 +179,29 @@
             ),
         )
     except (capnp.KjException, ValueError) as error:
-        raise ProtocolError("beliefs can't be read", context=str(error)) from error
+        raise ProtocolError(
+            "a store snapshot can't be decoded", context=str(error)
+        ) from error
 
 
 def _add_checksum(body: bytes) -> bytes:
-    """Put a checksum before a message."""
+    """Prepend a checksum to a message."""
     return zlib.crc32(body).to_bytes(_CHECKSUM_BYTES, "big") + body
 
 
 def _remove_checksum(data: bytes) -> bytes:
-    """Return the message behind a checksum; raise `ProtocolError` when it is damaged.
+    """Verify and remove the checksum; raise `ProtocolError` for a damaged message.
 
-    The decoder of packed messages ends the whole process at some damaged ones, where
-    its own clean-up fails: there is no error that Python could catch, only a line on
-    standard error, and all callers of the process are cut. So none gets there.
+    The decoder of packed messages ends the whole process on some damaged input because
+    its own clean-up fails. Python can't catch that: there is only a line on standard
+    error, and all callers lose their connections. The checksum keeps such input from
+    the decoder.
     """
     checksum, body = data[:_CHECKSUM_BYTES], data[_CHECKSUM_BYTES:]
     if zlib.crc32(body).to_bytes(_CHECKSUM_BYTES, "big") != checksum:
-        raise ProtocolError("a message is damaged", context=f"{len(data)} bytes")
+        raise ProtocolError(
+            "the checksum of a message does not match", context=f"{len(data)} bytes"
+        )
     return body
 
 
@@ -455,7 +462,7 @@
 
 
 def _unpack_numbers(data: bytes, *, wide: bool) -> tuple[int, ...]:
-    # The system's VMs are of one kind, so both ends have the same order of bytes.
+    # All VMs of the system are of the same kind, so both ends have the same byte order.
     numbers = array("H" if wide else "B")
     numbers.frombytes(data)
     return tuple(numbers)
@@ -477,7 +484,7 @@
         return ()
     if size > _MAX_COUNTS:
         raise ValueError(f"{size} counts in one message")
-    # A few bytes may unfold to gigabytes: no more is unfolded than is announced.
+    # A few bytes may decompress to gigabytes, so stop at the announced size.
     rounded = zlib.decompressobj().decompress(builder.items, size)
     if len(rounded) != size:
         raise ValueError(f"{len(rounded)} counts instead of {size}")
--- a/src/hyssopvane/_internal/protocol/peer.capnp
+++ b/src/hyssopvane/_internal/protocol/peer.capnp
@@ -1,6 +1,6 @@
 @0xc1f5a3d2b8e94c71;
-# Messages on a connection between two processes of the system. A Batch travels as one
-# frame: four bytes of length, big endian, then this message.
+# Messages on a connection between two processes of the system. A Batch is sent as one
+# frame: a length of four bytes, big endian, followed by this message.
 
 struct Batch {
   frames @0 :List(Frame);
@@ -8,7 +8,7 @@
 
 struct Frame {
   stream @0 :UInt64;
-  # The stream that the frame belongs to; 0 is the connection itself.
+  # Stream that the frame belongs to; 0 is the connection itself.
   union {
     hello @1 :Hello;
     heartbeat @2 :Heartbeat;
@@ -20,9 +20,9 @@
     refused @8 :Refused;
     cancel @9 :Void;
     credit @10 :UInt32;
-    # Bytes of chunks that the sender may send beyond those granted before.
+    # Bytes of chunks that the peer may send in addition to those granted before.
     notice @11 :Notice;
-    # Something the peer should know; nothing is answered.
+    # Information for the peer; it gets no answer.
     question @12 :Notice;
     answer @13 :Data;
   }
@@ -64,7 +64,7 @@
   key @8 :Text;
   bodyDigest @9 :Data;
   join @10 :Bool;
-  # Deliver the answer of the attempt that holds the key; start nothing.
+  # Deliver the answer of the attempt that holds the key; start no attempt.
   resumeFrom @11 :UInt64;
   keyWindowS @12 :UInt32;
 }
--- a/src/hyssopvane/_internal/protocol/spread.capnp
+++ b/src/hyssopvane/_internal/protocol/spread.capnp
@@ -1,5 +1,5 @@
 @0xc1f27d4a903be856;
-# The table and the list of VMs, passed on between entries and to agents.
+# The table and the list of VMs, exchanged between entries and sent to agents.
 
 struct PageState {
   key @0 :Text;
@@ -10,18 +10,18 @@
 struct PageChange {
   key @0 :Text;
   baseRevision @1 :UInt64;
-  # Zero when the content is the whole page.
+  # Zero when the content is the full page.
   revision @2 :UInt64;
   digest @3 :UInt64;
   content @4 :Data;
   era @5 :UInt64;
-  # Era of the service that both revisions belong to.
+  # Era of the key-value service that both revisions belong to.
 }
 
 struct Pages {
   changes @0 :List(PageChange);
   more @1 :Bool;
-  # There are further pages; ask again with what is held then.
+  # There are further pages; query again with the pages that are held by then.
 }
 
 struct Question {
@@ -30,12 +30,12 @@
 
 struct Beat {
   origin @0 :Text;
-  # The watcher that sent it first.
+  # Watcher that sent the beat first.
   incarnation @1 :UInt64;
   sequence @2 :UInt64;
   revision @3 :UInt64;
   digest @4 :UInt64;
-  # Revision and digest are the sender's own.
+  # Revision and digest are those of the sender.
   inTouch @5 :Bool;
   vmsDigest @6 :UInt64;
   era @7 :UInt64;
