--- a/src/hyssopvane/_internal/transport/__init__.py
+++ b/src/hyssopvane/_internal/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Move bytes: HTTP servers and clients, framed TCP."""
+"""Provide HTTP servers and clients, framed TCP connections and datagrams."""
--- a/src/hyssopvane/_internal/transport/asgi_messages.py
+++ b/src/hyssopvane/_internal/transport/asgi_messages.py
@@ -1,4 +1,4 @@
-"""Read and write the messages of ASGI."""
+"""Receive and send ASGI messages."""
 
 import json
 from typing import Any
@@ -12,15 +12,15 @@
 
 
 class BodyTooLarge(Exception):
-    """Tell that a body is over its limit."""
+    """Report a body that exceeds its size limit."""
 
 
 class CallerGone(Exception):
-    """Tell that the caller closed the connection before its body was whole."""
+    """Report that the caller disconnected before its body was complete."""
 
 
 async def serve_lifespan(receive: Any, send: Any) -> None:
-    """Answer the server's messages at its start and end."""
+    """Acknowledge the ASGI lifespan messages until the shutdown."""
     while True:
         message = await receive()
         if message["type"] == "lifespan.startup":
@@ -31,7 +31,7 @@
 
 
 async def read_body(receive: Any, *, max_bytes: int) -> bytes:
-    """Read a whole body; raise `BodyTooLarge` or `CallerGone`."""
+    """Read a complete body; raise `BodyTooLarge` or `CallerGone`."""
     parts: list[bytes] = []
     size = 0
     while True:
@@ -47,7 +47,7 @@
 
 
 async def discard_body(receive: Any) -> None:
-    """Read a body to its end or until the caller has gone, and keep nothing."""
+    """Read and drop a body until its end or until the caller disconnects."""
     more = True
     while more:
         message = await receive()
@@ -55,16 +55,16 @@
 
 
 async def wait_for_disconnect(receive: Any) -> None:
-    """Wait until the caller has gone; its body must have been read."""
+    """Wait until the caller disconnects; its body must have been read before."""
     while (await receive())["type"] != "http.disconnect":
-        # A server that repeats the end of the body at once must not spin the loop.
+        # Yield, as a server may return the end of the body again without waiting.
         await trio.lowlevel.checkpoint()
 
 
 async def send_response(
     send: Any, *, status: int, headers: Headers, body: bytes
 ) -> None:
-    """Send a whole response."""
+    """Send a complete response."""
     length = (b"content-length", str(len(body)).encode())
     await send(
         {
@@ -79,6 +79,6 @@
 async def send_json(
     send: Any, document: object, *, status: int = 200, headers: Headers = ()
 ) -> None:
-    """Send a response in JSON."""
+    """Send a complete JSON response."""
     body = json.dumps(document, separators=(", ", ": ")).encode() + b"\n"
     await send_response(send, status=status, headers=(*headers, JSON_TYPE), body=body)
--- a/src/hyssopvane/_internal/transport/asgi_server.py
+++ b/src/hyssopvane/_internal/transport/asgi_server.py
@@ -1,4 +1,4 @@
-"""Serve an ASGI application on a kernel or a fixed port."""
+"""Serve an ASGI application on a fixed port or on one chosen by the kernel."""
 
 import socket
 import sys
@@ -12,22 +12,22 @@
 from hyssopvane._internal.transport.http_server import ConnectionPolicy, HttpServer
 
 KEEP_ALIVE_S = 60.0
-"""Time that an idle connection stays open."""
+"""Time until an idle connection is closed."""
 
 MAX_HEADER_BYTES = 16 * 1024
-"""Largest head of an HTTP/1.1 request."""
+"""Maximum size of the request line and headers of an HTTP/1.1 request."""
 
 MAX_HTTP2_HEADER_BYTES = 16 * 1024
-"""Largest header list of an HTTP/2 request."""
+"""Maximum size of the header list of an HTTP/2 request."""
 
 MAX_HTTP2_STREAMS = 1_000
-"""Requests at one time on an HTTP/2 connection."""
+"""Maximum number of concurrent requests on an HTTP/2 connection."""
 
 MAX_REQUESTS_PER_CONNECTION = 2**31
-"""More than the numbers of streams that HTTP/2 has for one connection."""
+"""More than the stream numbers that HTTP/2 has for one connection."""
 
 BACKLOG = 1_024
-"""Connections that the kernel holds until they are accepted."""
+"""Maximum number of connections that the kernel queues until they are accepted."""
 
 
 async def serve_asgi(
@@ -43,9 +43,9 @@
 ) -> None:
     """Serve HTTP/1.1 and HTTP/2 until `shutdown` is set and requests have ended.
 
-    Report the bound address as "ip:port". From `leaving` on callers are told to use
-    another connection; `shutdown` closes the listener. Requests that still run
-    `graceful_timeout_s` after the shutdown are cut.
+    Report the bound address as "ip:port". Once `leaving` is set, answers ask callers to
+    use another connection; `shutdown` closes the listener. Requests that still run
+    `graceful_timeout_s` after the shutdown are cancelled.
     """
     listener = bind_listener(bind)
     listener.listen(BACKLOG)
@@ -69,7 +69,7 @@
     *,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve a listener whose answers need no draining; report its address."""
+    """Serve without graceful shutdown until cancelled; report the bound address."""
     await serve_asgi(
         app,
         bind=bind,
@@ -85,7 +85,7 @@
     *,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve a socket that listens already, until cancelled."""
+    """Serve on a listening socket until cancelled."""
     server = HttpServer(
         app,
         config=_make_config(keep_alive_s=KEEP_ALIVE_S),
@@ -105,14 +105,14 @@
     config.accesslog = None
     config.errorlog = None
     config.keep_alive_timeout = keep_alive_s
-    # Hypercorn ends an HTTP/2 connection after its thousandth request, and with it the
-    # answers that are still in progress there.
+    # By default, hypercorn ends an HTTP/2 connection after its thousandth request, and
+    # with it the answers in progress.
     config.keep_alive_max_requests = MAX_REQUESTS_PER_CONNECTION
     config.h11_max_incomplete_size = MAX_HEADER_BYTES
     config.h2_max_concurrent_streams = MAX_HTTP2_STREAMS
     config.h2_max_header_list_size = MAX_HTTP2_HEADER_BYTES
     config.include_server_header = False
-    # Hypercorn would end an HTTP/2 connection by GOAWAY after a thousand requests, with
-    # the answers in progress on it, which common clients drop.
+    # By default, hypercorn sends GOAWAY on an HTTP/2 connection after a thousand
+    # requests. Common clients then drop the answers in progress.
     config.keep_alive_max_requests = sys.maxsize
     return config
