--- a/src/hyssopvane/_internal/transport/datagrams.py
+++ b/src/hyssopvane/_internal/transport/datagrams.py
@@ -1,4 +1,4 @@
-"""Exchange datagrams between the system's own processes."""
+"""Exchange datagrams between processes of the system."""
 
 from collections.abc import Callable
 
@@ -18,17 +18,17 @@
 """Largest payload of a datagram over IPv4."""
 
 MAX_LOG_LINES_PER_S = 2.0
-"""Lines on datagrams that can't be read: whoever sends them may send thousands."""
+"""Rate limit of log lines on malformed datagrams; a sender may send thousands."""
 
 ReceiveMessage = Callable[[GroupMessage, str], None]
-"""Takes a message and the address it came from."""
+"""Handles a message and the address of its sender."""
 
 
 class DatagramPort:
     """Send and receive messages on one UDP socket.
 
-    The messages tell a state that is told again soon. A connection would bring what
-    was lost as well, but late, behind a silent link, and there it is worth nothing.
+    Each message holds a state that is sent again soon. A connection would retransmit
+    lost messages, but over a silent link they would arrive late, when they are useless.
     """
 
     def __init__(
@@ -36,14 +36,14 @@
     ) -> None:
         self.address = address
         self._count_event = count
-        """Takes the name of an event that operators may want to watch."""
+        """Counts an event, given by its name, in the metrics."""
         self._log_limiter = TokenBucket(
             per_s=MAX_LOG_LINES_PER_S, burst=MAX_LOG_LINES_PER_S
         )
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
 
     async def start(self, nursery: trio.Nursery, receive: ReceiveMessage) -> None:
-        """Bind the address, and pass on what arrives."""
+        """Bind the address and pass received messages to `receive`."""
         await self._socket.bind(parse_address(self.address))
         self.address = format_address(self._socket.getsockname())
         nursery.start_soon(self._receive, receive)
@@ -55,14 +55,15 @@
     async def send(self, message: GroupMessage, *addresses: str) -> int:
         """Send a message to each address, and return its size in bytes.
 
-        What can't be sent is counted.
+        Datagrams that can't be sent are counted and dropped.
         """
         data = encode_message(message)
         for address in addresses:
             try:
                 await self._socket.sendto(data, parse_address(address))
             except OSError:
-                # A full queue or no route: the next message makes it good.
+                # The queue is full or there is no route. The next message replaces this
+                # one.
                 self._count_event("datagram-unsent")
         return len(data)
 
@@ -71,7 +72,7 @@
             try:
                 data, sender = await self._socket.recvfrom(MAX_BYTES)
             except OSError as error:
-                # Linux reports here that an earlier datagram met no listener.
+                # Linux reports here that an earlier datagram reached no listener.
                 log_event("debug", "datagram-refused", why=repr(error))
                 continue
             try:
--- a/src/hyssopvane/_internal/transport/framing.py
+++ b/src/hyssopvane/_internal/transport/framing.py
@@ -1,25 +1,25 @@
-"""Carry length-prefixed frames over a TCP stream."""
+"""Send and receive length-prefixed frames over a stream."""
 
 import trio
 
 from hyssopvane._internal.exceptions import PeerLost, ProtocolError
 
 LENGTH_BYTES = 4
-# Large enough for a batch of full chunks, small enough that a peer that sends garbage
-# for a length can't make this process reserve its memory.
+# Large enough for a batch of full chunks. The limit keeps a garbage length from a peer
+# from making this process allocate that much memory.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 _READ_BYTES = 64 * 1024
 
 
 class FramedStream:
-    """Send and receive frames."""
+    """Send and receive frames with a length prefix on one stream."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self._stream = stream
         self._buffer = bytearray()
 
     async def send_frame(self, payload: bytes) -> None:
-        """Send one frame; raise `PeerLost` when the connection is gone."""
+        """Send one frame; raise `PeerLost` when the connection is closed."""
         try:
             await self._stream.send_all(
                 len(payload).to_bytes(LENGTH_BYTES, "big") + payload
@@ -28,27 +28,33 @@
             raise PeerLost("the connection closed while sending") from error
 
     async def receive_frame(self) -> bytes:
-        """Receive one frame; raise `PeerLost` or `ProtocolError` when it can't be."""
+        """Receive one frame.
+
+        Raise `PeerLost` when the connection is closed and `ProtocolError` when the
+        frame exceeds the size limit.
+        """
         header = await self._receive_exactly(LENGTH_BYTES)
         length = int.from_bytes(header, "big")
         if length > MAX_FRAME_BYTES:
             raise ProtocolError(
-                f"a frame of {length} bytes is over the limit of {MAX_FRAME_BYTES}",
+                f"a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}",
                 hint="run the same version on both ends",
             )
         return await self._receive_exactly(length)
 
     async def send_end(self) -> None:
-        """Tell the peer that nothing more comes; what it sends is still received."""
+        """Close the sending direction; frames from the peer are still received."""
         if not isinstance(self._stream, trio.abc.HalfCloseableStream):
             return
         try:
             await self._stream.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise PeerLost("the connection closed while ending") from error
+            raise PeerLost(
+                "the connection closed while closing its sending direction"
+            ) from error
 
     async def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         with trio.move_on_after(0):
             await self._stream.aclose()
 
--- a/src/hyssopvane/_internal/transport/operator_client.py
+++ b/src/hyssopvane/_internal/transport/operator_client.py
@@ -1,4 +1,4 @@
-"""Read a page of a process's operators' listener."""
+"""Read pages of the operators' listener of a process."""
 
 import json
 from typing import Any
@@ -42,7 +42,7 @@
         document = json.loads(answer.content)
     except ValueError as error:
         raise OperatorRequestError(
-            "this is no operators' listener",
+            "the address is not that of an operators' listener",
             context=address,
             hint="give the address that the entry logs as operators= at its start",
         ) from error
