--- a/src/hyssopvane/_internal/transport/http_connection.py
+++ b/src/hyssopvane/_internal/transport/http_connection.py
@@ -1,4 +1,4 @@
-"""Serve one HTTP connection by hypercorn, and end it without cutting an answer."""
+"""Serve one HTTP connection with hypercorn, and end it without cutting an answer."""
 
 import array
 import fcntl
@@ -24,21 +24,21 @@
 from hypercorn.typing import ASGIFramework, ConnectionState
 
 LINGER_S = 1.0
-"""Time that a connection without requests stays open at a shutdown, and time for which
-what comes after its end is read.
+"""Time that an idle connection stays open at a shutdown, and time for which bytes that
+arrive after its end are read.
 
-A caller may send its next request while the news that the connection ends is still on
-the way; longer than one round trip to any caller.
+A caller may send its next request before it receives the end of the connection, so the
+time is longer than one round trip to any caller.
 """
 
 DISCARD_S = 30.0
-"""Time that a caller gets to end the body of a request that is answered already."""
+"""Time for a caller to finish the body of a request that is already answered."""
 
 MIN_IDLE_BEFORE_GOAWAY_S = 0.5
-"""Time that an HTTP/2 connection has no request before its caller is told to leave.
+"""Time that an HTTP/2 connection must be idle before it gets GOAWAY.
 
-Common clients drop an answer that they have received and not yet read when GOAWAY comes
-right behind it; half a second is time to read it.
+Common clients drop an answer that they have received but not yet read when GOAWAY
+follows it directly; half a second is enough to read it.
 """
 
 _HTTP2 = "2"
@@ -49,11 +49,11 @@
 )
 
 SelectApp = Callable[[bool], ASGIFramework]
-"""Return the application for a request; tell it whether it came by HTTP/2."""
+"""Returns the application for a request; the argument is whether it uses HTTP/2."""
 
 
 class EndReason(StrEnum):
-    """Name why the server ends a connection without requests."""
+    """Name the reason why the server ends an idle connection."""
 
     IDLE = "idle"
     SHUTDOWN = "shutdown"
@@ -61,21 +61,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnd:
-    """Tell of a connection without requests that the server ended."""
+    """Describe an idle connection that the server ended."""
 
     reason: EndReason
     age_s: float
     idle_s: float
-    """Time since the last answer, or since the connection was made."""
+    """Time since the last answer, or since the connection was opened."""
     unread_bytes: int
-    """Bytes that came after the end, and were dropped."""
+    """Bytes that were received after the end and dropped."""
 
 
 RecordEnd = Callable[[ConnectionEnd], None]
 
 
 class HttpConnection(TCPServer):
-    """Run one connection and know which requests are in progress on it."""
+    """Run one connection and track the requests in progress on it."""
 
     def __init__(
         self,
@@ -118,15 +118,15 @@
             and not self._open_answers
             and event.data.startswith(_CLIENT_ERROR_START)
         ):
-            # No application was reached: hypercorn itself refuses bytes that are no
-            # request. The caller still learns that nothing ran.
+            # Hypercorn itself refuses bytes that are not a request, without calling an
+            # application. The added headers tell the caller that nothing ran.
             line, _, rest = event.data.partition(_LINE_END)
             event = RawData(line + _LINE_END + self._record_malformed() + rest)
-        # The protocol has given these bytes away and won't again. A request that is
-        # cancelled while it waits for its turn to send must not lose them: on HTTP/2
-        # they may be another caller's answer, or the room for another's upload, whose
-        # caller would wait for ever. On HTTP/1.1 they are the cancelled request's own,
-        # and a late 500 of hypercorn's would look like the target's answer.
+        # The protocol returns these bytes only once, so a request that is cancelled
+        # while it waits to send must not lose them. On HTTP/2 they may belong to
+        # another request's answer or to the flow control of another's upload, whose
+        # caller would wait forever. On HTTP/1.1 they belong to the cancelled request,
+        # and a late 500 from hypercorn would look like the target's answer.
         shared = isinstance(event, RawData) and self._get_http2() is not None
         with trio.CancelScope(shield=shared):
             await super().protocol_send(event)
@@ -134,8 +134,8 @@
         if protocol is not None and not self._prepared_http2:
             self._prepared_http2 = True
             protocol.streams = _StreamTable()
-            # Hypercorn takes the first line of HTTP/2 for a request: without this a
-            # connection that never sends one stays open for ever.
+            # Hypercorn counts the HTTP/2 preface as a request. Without this event, a
+            # connection that never sends a request would stay open forever.
             await super().protocol_send(Updated(idle=True))
 
     async def _read_data(self) -> None:
@@ -147,12 +147,12 @@
         await self.protocol.handle(Closed())
         protocol = self._get_http2()
         if protocol is not None:
-            # Nothing is sent any more; an application that waits for it would do so
-            # for ever.
+            # Nothing is sent any more, and an application that waits for its data to
+            # be sent would wait forever.
             for buffer in protocol.stream_buffers.values():
                 await buffer.close()
-        # Hypercorn's timer of idle connections goes on after the caller has closed its
-        # end, and the connection would count as open for as long.
+        # Stop hypercorn's idle timer. Otherwise it would continue after the caller
+        # closed its end, and the connection would count as open until it fires.
         await self.context.terminated.set()
         if self._end_reason is not None:
             self._record_end(self._describe_end(self._end_reason))
@@ -169,8 +169,8 @@
                 return
             self._receiving = trio.CancelScope(deadline=self._receiving.deadline)
             if self._ended:
-                # To close with unread bytes is a reset, which takes from the caller
-                # what it was sent before.
+                # Closing a socket with unread bytes sends a reset, and the caller would
+                # lose data that was sent to it before.
                 self._unread_bytes += len(data)
             else:
                 await self.protocol.handle(RawData(bytes(data)))
@@ -180,10 +180,10 @@
     async def end_if_idle(
         self, *, closed_at: float | None, skip_idle_wait: bool = False
     ) -> None:
-        """Tell the caller that a connection without requests ends, or end it.
+        """Announce the end of an idle connection by GOAWAY, or end it.
 
-        `closed_at` is the time at which the listener closed, None before. A hasty end
-        does not wait until the connection has been quiet.
+        `closed_at` is the time at which the listener closed, None before. With
+        `skip_idle_wait`, GOAWAY is sent without a minimum idle time.
         """
         if not hasattr(self, "protocol") or not self._is_idle():
             return
@@ -201,25 +201,25 @@
 
     async def _initiate_server_close(self) -> None:
         if self._is_reading and not self._ended and self._get_http2() is not None:
-            # Without GOAWAY the caller of a request that crosses the end would not know
-            # whether it ran.
+            # Without GOAWAY, a caller that sends a request while the connection ends
+            # would not know whether it ran.
             await self._send_goaway()
             await trio.sleep(LINGER_S)
         idle_since = self._idle_since
         await self._end(EndReason.IDLE)
         while self._is_reading and not self._ended and self._is_idle():
-            # What had come was no whole request, and no timer runs any more.
+            # The received bytes were no complete request, and no timer runs any more.
             await trio.sleep(LINGER_S)
             if self._idle_since != idle_since:
                 return
             await self._end(EndReason.IDLE)
 
     async def _end(self, reason: EndReason) -> None:
-        """End a connection without requests; what the caller still sends is dropped."""
+        """End an idle connection; bytes that the caller still sends are dropped."""
         if self._ended or not self._is_reading or not self._is_idle():
             return
         if not self._goaway_sent and _count_unread(self.stream):
-            # A request has come that is not read yet.
+            # A request has been received but not read yet.
             return
         self._end_reason = reason
         self._ended = True
@@ -230,9 +230,9 @@
         await self._close()
 
     async def _answer_late_request(self) -> None:
-        # No caller of HTTP/1.1 can be told that its idle connection ends. One that
-        # sends a request meanwhile takes this for the answer, and knows that the
-        # request was not read; one that sends none sees that the connection is closed.
+        # HTTP/1.1 has no way to announce the end of an idle connection. A caller that
+        # sends a request meanwhile takes this for the answer and knows that the request
+        # was not read. Any other caller sees that the connection is closed.
         with trio.move_on_after(LINGER_S):
             await self.protocol_send(
                 RawData(_REQUEST_TIMEOUT + self._describe_late() + _LINE_END)
@@ -242,13 +242,13 @@
         if not self._is_reading:
             await super()._close()
             return
-        # Bytes that come after the stream is closed are answered with a reset, too.
+        # Keep reading, as bytes that arrive on a closed stream also cause a reset.
         self._ended = True
         self._receiving.deadline = trio.current_time() + LINGER_S
         try:
             await self.stream.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The caller is gone already, and the reader ends by itself.
+            # The caller has already disconnected, and the reader ends by itself.
             return
 
     def _describe_end(self, reason: EndReason) -> ConnectionEnd:
@@ -263,7 +263,7 @@
     async def _serve(
         self, scope: Any, receive: Any, send: Any, spawn: Any, call_soon: Any
     ) -> None:
-        # Read before anything else runs: the answer may close the stream.
+        # Read the number first: the answer may close the stream.
         stream: int = send.__self__.stream_id
         answer = _Answer(receive, send, scope, self._leaving)
         self._open_requests += 1
@@ -288,9 +288,9 @@
         return send
 
     async def _reset_http2_stream(self, stream: int) -> None:
-        # On HTTP/1.1 hypercorn closes the connection of an answer without an end. On
-        # HTTP/2 it only forgets the stream, and the caller would wait for the rest for
-        # ever; a reset tells it at once that the answer is broken.
+        # On HTTP/1.1 hypercorn closes the connection after an incomplete answer. On
+        # HTTP/2 it only removes the stream, and the caller would wait forever. A reset
+        # shows immediately that the answer is broken.
         protocol = self._get_http2()
         if protocol is None:
             return
@@ -304,27 +304,28 @@
             await protocol._flush()
 
     async def _send_goaway(self) -> None:
-        # Only while no stream is open: common clients drop the answers in progress when
-        # they read GOAWAY. It names the last stream that was served, so a request that
-        # crosses it on the way is sent again by the client on another connection.
+        # Send GOAWAY only while no stream is open: common clients drop the answers in
+        # progress when they receive it. GOAWAY contains the last stream that was
+        # served, so a client retries a request that it sent meanwhile on another
+        # connection.
         protocol = self._get_http2()
         if protocol is None or self._goaway_sent or not self._is_idle():
             return
         self._goaway_sent = True
         self._idle_since = trio.current_time()
         protocol.connection.close_connection()
-        # A request that crossed GOAWAY on the way must not meet a closed connection
-        # before its caller has read why.
+        # Drop what arrives, but keep the connection open, so that a caller that sent a
+        # request meanwhile can read GOAWAY before the connection closes.
         protocol.connection.receive_data = self._drop_data  # type: ignore[method-assign]
-        # Whoever tells may be cancelled when the listener closes. GOAWAY would then be
-        # taken from the protocol's buffer and lost, and the caller would meet a closed
-        # connection a second later without having been told.
+        # This task may be cancelled when the listener closes. GOAWAY would then be
+        # taken from the protocol's buffer and lost, and a second later the connection
+        # would close without an announcement.
         with trio.CancelScope(shield=True), trio.move_on_after(LINGER_S):
             await protocol._flush()
 
     def _is_idle(self) -> bool:
-        # A stream was received before its application starts. Telling the caller in
-        # between names it as served, and the rest of its body is dropped.
+        # A stream is received before its application starts. GOAWAY sent in between
+        # would mark it as served, and the rest of its body would be dropped.
         protocol = self.protocol.protocol
         streams = (
             protocol.connection.open_inbound_streams
@@ -345,30 +346,30 @@
 
 
 def _count_unread(stream: Any) -> int:
-    """Return the number of received bytes that wait in the kernel."""
+    """Return the number of received bytes that are unread in the kernel."""
     count = array.array("i", [0])
     try:
         fcntl.ioctl(stream.socket.fileno(), termios.FIONREAD, count)
     except (OSError, ValueError):
-        # The connection is closed already.
+        # The connection is already closed.
         return 0
     return count[0]
 
 
 class _AnsweredStream(HTTPStream):
     def __init__(self) -> None:
-        """Hold nothing: the caller already has its answer."""
+        """Hold no state, as the caller already has its answer."""
 
     async def handle(self, event: StreamEvent) -> None:
-        """Drop what still comes."""
+        """Drop events that still arrive."""
 
 
 class _StreamTable(dict[int, HTTPStream | WSStream]):
-    """Give a stream for a body whose request is answered already.
+    """Provide a stream for the body of a request that is already answered.
 
-    A caller that is refused by its head alone goes on with its body. Hypercorn looks up
-    the stream without a check, and the error would end the process with all requests of
-    all callers.
+    A caller whose request is refused by its headers alone continues to send the body.
+    Hypercorn looks up the stream without a check, and the `KeyError` would end the
+    process with all requests of all callers.
     """
 
     def __missing__(self, number: int) -> HTTPStream:
@@ -404,9 +405,9 @@
             self.open = False
 
     async def _discard_body(self) -> None:
-        # A caller that is refused by its head alone goes on with its body. Hypercorn
-        # queues a few parts of it for an application that no longer reads and then
-        # waits for ever, and with it all requests of an HTTP/2 connection.
+        # A caller whose request is refused by its headers alone continues to send the
+        # body. Hypercorn queues a few parts of it for the application, which no longer
+        # reads, and then blocks forever, with all requests of an HTTP/2 connection.
         with trio.move_on_after(DISCARD_S) as scope:
             while not self._body_ended:
                 await self.receive()
--- a/src/hyssopvane/_internal/transport/http_server.py
+++ b/src/hyssopvane/_internal/transport/http_server.py
@@ -1,4 +1,4 @@
-"""Accept HTTP connections up to a limit, and end them all at a shutdown."""
+"""Accept HTTP connections up to a limit, and drain them at a shutdown."""
 
 import socket
 from collections.abc import Callable
@@ -20,21 +20,21 @@
 from hyssopvane._internal.utils.logs import log_event
 
 MAX_REFUSED_CONNECTIONS = 100
-"""Connections above the limit that get an answer; more are closed without one."""
+"""Connections over the limit that get an answer; more are closed without one."""
 
 _REFUSED_KEEP_ALIVE_S = 2.0
 _DRAIN_INTERVAL_S = 0.05
 
 SKIP_IDLE_WAIT_AFTER_S = 5.0
-"""Time after the closing of the listener from which a connection need not be quiet.
+"""Time after the listener closed from which GOAWAY needs no minimum idle time.
 
 A caller that sends one request after the other on an HTTP/2 connection is refused each
-time and could hold the shutdown by it.
+time, and could otherwise delay the shutdown.
 """
 
 
 def log_connection_end(end: ConnectionEnd) -> None:
-    """Log a connection that the server ended, louder where a request came too late."""
+    """Log an ended connection, at level info when bytes arrived after its end."""
     log_event(
         "info" if end.unread_bytes else "debug",
         "connection-ended",
@@ -47,24 +47,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionPolicy:
-    """Decide what a server does beside its application."""
+    """Set the connection limit of a server and its answers outside the application."""
 
     max_connections: int | None = None
     app_when_full: ASGIFramework | None = None
-    """Answers the requests on connections above the limit."""
+    """Answers the requests on connections over the limit."""
     app_when_late: ASGIFramework | None = None
     """Answers new requests on busy HTTP/2 connections once the listener is closed."""
     record_malformed: Callable[[], bytes] = bytes
-    """Counts bytes that are no HTTP and returns header lines for the answer."""
+    """Counts a malformed request and returns header lines for the answer."""
     describe_late: Callable[[], bytes] = bytes
-    """Returns header lines for the answer to a request that comes as its connection
-    ends; nobody reads the request."""
+    """Returns header lines for the answer to a request that arrives as its connection
+    ends; the request is not read."""
     record_end: RecordEnd = log_connection_end
-    """Takes each connection without requests that the server ended."""
+    """Records each idle connection that the server ended."""
 
 
 class HttpServer:
-    """Run one task for each connection."""
+    """Accept connections and run each one in a task of its own."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until the shutdown is set and requests have ended."""
+        """Serve until `shutdown` is set and all requests have ended."""
         with listener:
             async with trio.open_nursery() as handlers:
                 async with trio.open_nursery() as accepting:
@@ -114,9 +114,9 @@
         await trio.serve_listeners(self._handle, [wrapped], handler_nursery=handlers)
 
     def _accept_pending(self, listener: socket.socket, handlers: trio.Nursery) -> None:
-        # The kernel has accepted these callers' connections and closing the listener
-        # would reset them, with the requests they have already sent. None may join them
-        # after the last look.
+        # The kernel has established these connections. Closing the listener would reset
+        # them, with the requests that were already sent. No connection may be added
+        # after the last one is accepted here.
         try:
             drop_new_connections(listener)
         except OSError as error:
@@ -184,10 +184,10 @@
         return limit is not None and len(self._connections) >= limit
 
     def _select_app(self, http2: bool) -> ASGIFramework:
-        # A caller that sends its requests over one busy HTTP/2 connection never lets it
-        # become free, and the VM could not be replaced before the time limit, which
-        # cuts answers. Told that its new request did not run, the caller goes on
-        # elsewhere. On HTTP/1.1 the answer itself ends the connection.
+        # A caller that keeps one HTTP/2 connection busy never lets it become idle, and
+        # the VM could not be replaced before the time limit, which cuts answers. New
+        # requests on it are refused as not run, so the caller retries them elsewhere.
+        # On HTTP/1.1 the answer itself ends the connection.
         late = http2 and self._shutdown.is_set()
         if late and self._policy.app_when_late is not None:
             return self._policy.app_when_late
@@ -200,9 +200,9 @@
             await trio.sleep(_DRAIN_INTERVAL_S)
 
     async def _drain(self) -> None:
-        # Answers that began now carry the news to their callers.
+        # From now on, answers ask their callers to use another connection.
         self._leaving.set()
-        # A connection accepted a moment ago counts only once its task has started.
+        # Yield, as a connection is counted only once its task has started.
         await trio.sleep(0)
         closed_at = trio.current_time()
         skip_idle_wait_from = closed_at + SKIP_IDLE_WAIT_AFTER_S
@@ -223,7 +223,7 @@
 
 
 async def _run_isolated(connection: HttpConnection) -> None:
-    # What one caller sends must not end the process with everybody's requests.
+    # An error on one connection must not end the process with all requests.
     try:
         await connection.run()
     except Exception as error:
