--- a/src/hyssopvane/_internal/transport/raw_stream.py
+++ b/src/hyssopvane/_internal/transport/raw_stream.py
@@ -1,4 +1,4 @@
-"""Open TCP connections that notice when the other end has gone silent."""
+"""Open TCP connections that detect a silent remote end."""
 
 import socket
 import ssl
@@ -10,14 +10,14 @@
 ACKNOWLEDGEMENT_TIMEOUT_MS = 4_000
 """Time without an acknowledgement after which the kernel ends a connection.
 
-A machine without power, or behind a partition, answers nothing: without this limit a
-send is repeated for a quarter of an hour. Longer than a lost packet and its repeats
-take on a link that drops a few in a hundred.
+A machine without power or behind a network partition does not answer, and by default
+the kernel retransmits for a quarter of an hour. The limit is longer than a lost packet
+and its retransmissions take on a link that drops a few percent of packets.
 """
 
 LATE_ANSWER_S = 0.05
-"""Time for which a call that is given up still takes an answer that is on its way: a
-round trip, and some time of a busy machine."""
+"""Time for which a cancelled call still waits for an answer that is in flight: one
+round trip, and a margin for a busy machine."""
 
 _MAX_LATE_ANSWER_BYTES = 64 * 1024
 _KEEPALIVE_IDLE_S = 1
@@ -26,7 +26,7 @@
 
 
 async def open_stream(host: str, port: int) -> trio.SocketStream:
-    """Connect to an IP number and a port; raise `OSError` when that fails."""
+    """Connect to an IPv4 address and a port; raise `OSError` when that fails."""
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         set_tcp_timeouts(sock)
@@ -38,7 +38,7 @@
 
 
 def set_tcp_timeouts(sock: trio.socket.SocketType) -> None:
-    """Have the kernel end a connection whose other end no longer answers."""
+    """Make the kernel end a connection whose remote end no longer answers."""
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGEMENT_TIMEOUT_MS
     )
@@ -49,23 +49,23 @@
 
 
 class RawStream(httpcore.AsyncNetworkStream):
-    """Give httpcore a connection, and remember whether any byte was sent on it."""
+    """Wrap a connection for httpcore, and record whether any byte was sent on it."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
         self.sent = False
-        """Whether any byte of the present request may have left."""
+        """Whether any byte of the current request may have been sent."""
         self.awaits_answer = False
-        """Whether nothing of the present request's answer has been read."""
+        """Whether no byte of the answer to the current request has been read."""
         self.late_answer = b""
-        """What came of an answer that nobody waited for any more."""
+        """Bytes of an answer that were received after its call was cancelled."""
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         try:
             with trio.fail_after(_get_timeout(timeout)):
                 return bytes(await self._stream.receive_some(max_bytes))
         except trio.TooSlowError as error:
-            raise httpcore.ReadTimeout("no byte came in time") from error
+            raise httpcore.ReadTimeout("no data was received in time") from error
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise httpcore.ReadError(repr(error.__cause__ or error)) from error
 
@@ -77,7 +77,9 @@
             with trio.fail_after(_get_timeout(timeout)):
                 await self._stream.send_all(buffer)
         except trio.TooSlowError as error:
-            raise httpcore.WriteTimeout("the other end takes no bytes") from error
+            raise httpcore.WriteTimeout(
+                "the remote end accepted no data in time"
+            ) from error
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise httpcore.WriteError(repr(error.__cause__ or error)) from error
 
@@ -101,7 +103,7 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        raise NotImplementedError("replicas are reached without TLS")
+        raise NotImplementedError("TLS to replicas is not supported")
 
     def get_extra_info(self, info: str) -> Any:
         if info == "is_readable":
@@ -109,7 +111,7 @@
         return None
 
     def _is_readable(self) -> bool:
-        # Bytes or an end on a connection that waits for nothing: it can't be used.
+        # An idle connection with unread bytes or a closed remote end can't be reused.
         sock = self._stream.socket
         return sock.is_readable()
 
--- a/src/hyssopvane/_internal/transport/replica_client.py
+++ b/src/hyssopvane/_internal/transport/replica_client.py
@@ -1,4 +1,4 @@
-"""Call replicas over kept connections, and tell what a failure proves."""
+"""Call replicas over pooled connections, and classify failures by what was sent."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -18,40 +18,40 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time for a connection; one lost packet of the handshake fits in, two don't."""
+"""Time limit of connecting; it allows for one lost handshake packet, not for two."""
 
 DEFAULT_IDLE_TIMEOUT_S = 8.0
-"""Time that an idle connection is kept where the replica names none."""
+"""Time that an idle connection is kept when the replica announces no timeout."""
 
 MAX_READ_S = 20.0
-"""Time that a body may take whose parts keep coming: 16 MB at 6 Mbit/s."""
+"""Time limit of a body that makes steady progress: 16 MB at 6 Mbit/s."""
 
 MAX_IDLE_CONNECTIONS = 8
-"""Idle connections kept to a replica; more than it works on at once helps nobody."""
+"""Idle connections kept per replica; more than its concurrency would be useless."""
 
 _KEEP_ALIVE_SHARE = 0.7
-"""Part of the replica's own time after which a connection is no longer used.
+"""Share of the replica's idle timeout after which a connection is no longer used.
 
-A request that crosses the replica's close may or may not have been read, and one that
-may not be repeated would fail for nothing.
+A request that is sent while the replica closes the connection may or may not have been
+read, and a request that is not repeatable would fail needlessly.
 """
 
 
-# httpcore compares the origins of a connection and its requests; the connection here is
-# made beforehand, so one name serves for all.
+# httpcore requires that a connection and its requests have the same origin. Connections
+# are opened outside httpcore, so one placeholder works for all.
 _ORIGIN = httpcore.Origin(b"http", b"replica", 80)
 
 
 class ReplicaUnreachable(Exception):
-    """Tell that no byte of a request left for the replica."""
+    """Report that no byte of a request was sent to the replica."""
 
 
 class CallWithdrawn(Exception):
-    """Tell that a call was given up before a byte of it left."""
+    """Report that a call was withdrawn before any byte of it was sent."""
 
 
 class ReplicaFailed(Exception):
-    """Tell that a request was sent and has no whole answer."""
+    """Report that a request was sent and has no complete answer."""
 
 
 @dataclass(slots=True)
@@ -62,11 +62,11 @@
 
 
 class PartLimit:
-    """Bound the time between two parts of a body instead of the whole of it.
+    """Limit the time between two parts of a body, instead of the time of all parts.
 
-    A large document takes more than a second over a thin link. With one bound for all
-    of it, it would be asked for again and again, never read to its end, and would fill
-    the link meanwhile.
+    A large document takes more than a second over a slow link. With one limit for all
+    of it, it would be requested again and again without ever being read to its end, and
+    would saturate the link.
     """
 
     def __init__(self, scope: trio.CancelScope, *, part_s: float) -> None:
@@ -75,13 +75,13 @@
         self._final_deadline = scope.deadline + MAX_READ_S
 
     def extend_deadline(self) -> None:
-        """Allow as long again for the next part, within the longest time in all."""
+        """Restart the limit for the next part, within the limit of the whole body."""
         next_at = trio.current_time() + self._part_s
         self._scope.deadline = min(next_at, self._final_deadline)
 
 
 class AnswerHead:
-    """Hold the status and the headers of a response."""
+    """Hold the status and headers of a response."""
 
     def __init__(self, status: int, headers: Headers) -> None:
         self.status = status
@@ -90,14 +90,14 @@
 
 
 class ReplicaResponse(AnswerHead):
-    """Read one response."""
+    """Hold a response whose body is still to be read."""
 
     def __init__(self, response: httpcore.Response) -> None:
         super().__init__(response.status, tuple(response.headers))
         self._response = response
 
     async def iterate(self) -> AsyncIterator[bytes]:
-        """Give the parts of the body; raise `ReplicaFailed` when it breaks off."""
+        """Yield the parts of the body; raise `ReplicaFailed` when it is incomplete."""
         try:
             async for part in self._response.aiter_stream():
                 yield part
@@ -105,7 +105,7 @@
             raise ReplicaFailed(f"{type(error).__name__}: {error}") from error
 
     async def read(self, *, max_bytes: int, limit: "PartLimit | None" = None) -> bytes:
-        """Return the whole body."""
+        """Return the body; raise `ReplicaFailed` when it exceeds `max_bytes`."""
         parts: list[bytes] = []
         size = 0
         async for part in self.iterate():
@@ -113,18 +113,18 @@
             if limit is not None:
                 limit.extend_deadline()
             if size > max_bytes:
-                raise ReplicaFailed(f"the body is over {max_bytes} bytes")
+                raise ReplicaFailed(f"the body exceeds {max_bytes} bytes")
             parts.append(part)
         return b"".join(parts)
 
 
 class ReplicaClient:
-    """Keep the connections of one process to replicas, by address."""
+    """Pool the connections of one process to replicas, by address."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[_PooledConnection]] = {}
         self.opened = 0
-        """Connections that were opened since the start."""
+        """Number of connections opened since the start."""
 
     @asynccontextmanager
     async def call(
@@ -138,11 +138,11 @@
         may_send: Callable[[], bool] = lambda: True,
         observe_late: Callable[[AnswerHead], None] | None = None,
     ) -> AsyncIterator[ReplicaResponse]:
-        """Send a request and give its response; a cancelled call closes the connection.
+        """Send a request and yield its response; close the connection when cancelled.
 
-        Whether it may still be sent is asked once the connection is open. The head of
-        an answer that comes as the call is cancelled goes to `observe_late`. Raise
-        `CallWithdrawn`, `ReplicaUnreachable` or `ReplicaFailed`.
+        `may_send` is called once the connection is open. `observe_late` gets the head
+        of an answer that arrives as the call is cancelled. Raise `CallWithdrawn`,
+        `ReplicaUnreachable` or `ReplicaFailed`.
         """
         pooled = await self._acquire(address)
         if not may_send():
@@ -187,12 +187,12 @@
                     await pooled.connection.aclose()
 
     async def close(self) -> None:
-        """Close the connections that wait for a request."""
+        """Close all idle connections."""
         for address in tuple(self._idle):
             await self.close_idle(address)
 
     async def close_idle(self, address: str) -> None:
-        """Close the waiting connections to an address whose replica has gone."""
+        """Close the idle connections to an address whose replica is gone."""
         for pooled in self._idle.pop(address, ()):
             await pooled.connection.aclose()
 
@@ -223,7 +223,7 @@
             or _has_surplus(pooled)
             or len(idle) >= MAX_IDLE_CONNECTIONS
         ):
-            # Closed by hand: the pool of httpcore does not know this connection.
+            # No pool of httpcore manages this connection, so it is closed here.
             trio.lowlevel.spawn_system_task(pooled.connection.aclose)
             return
         pooled.usable_until = trio.current_time() + _read_idle_timeout_s(response)
@@ -231,7 +231,7 @@
 
 
 def _read_head(data: bytes) -> AnswerHead | None:
-    """Return the head of an answer, None where it is not whole or no answer."""
+    """Return the head of an answer, None when it is incomplete or malformed."""
     parser = h11.Connection(h11.CLIENT)
     parser.send(h11.Request(method="GET", target="/", headers=[("Host", "replica")]))
     parser.send(h11.EndOfMessage())
@@ -246,9 +246,9 @@
 
 
 def _has_surplus(pooled: _PooledConnection) -> bool:
-    # A faulty replica sends bytes behind a whole answer. They would be read as the
+    # A faulty replica may send bytes after a complete answer. They would be read as the
     # answer to the next request on this connection, whose caller would get another
-    # caller's answer. httpcore looks at the socket only, not at what it has read.
+    # caller's answer. httpcore checks only the socket, not the bytes it has read.
     state: Any = pooled.connection._h11_state
     surplus: bytes = state.trailing_data[0]
     return bool(surplus) or pooled.stream.get_extra_info("is_readable")
--- a/src/hyssopvane/_internal/transport/target_client.py
+++ b/src/hyssopvane/_internal/transport/target_client.py
@@ -1,4 +1,4 @@
-"""Call the target beside an agent."""
+"""Call the target of an agent."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -9,21 +9,21 @@
 from hyssopvane._internal.protocol.messages import Headers
 
 _CONNECT_TIMEOUT_S = 2.0
-# One agent serves one target; the scheduler's limit is far below this bound, which only
-# keeps a fault from using up the VM's descriptors.
+# One agent serves one target, and the scheduler's limit is far lower. This limit only
+# keeps a fault from exhausting the file descriptors of the VM.
 _MAX_CONNECTIONS = 1_000
 
 
 class TargetUnreachable(Exception):
-    """Tell that nothing of a call reached the target."""
+    """Report that no byte of a call reached the target."""
 
 
 class TargetFailed(Exception):
-    """Tell that a call may have reached the target and has no whole answer."""
+    """Report that a call may have reached the target and has no complete answer."""
 
 
 class TargetClient:
-    """Keep connections to one target."""
+    """Pool the connections to one target."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -41,7 +41,7 @@
         headers: Headers,
         body: AsyncIterator[bytes] | bytes,
     ) -> AsyncIterator[httpcore.Response]:
-        """Send a request and give the response while its body still arrives."""
+        """Send a request and yield the response before its body is complete."""
         extensions: dict[str, Any] = {"timeout": {"connect": _CONNECT_TIMEOUT_S}}
         url = httpcore.URL(
             scheme=b"http", host=self._get_host(), port=self._get_port(), target=path
