--- a/src/hyssopvane/_internal/transport/peer_connection.py
+++ b/src/hyssopvane/_internal/transport/peer_connection.py
@@ -28,15 +28,15 @@
 
 CONNECTION_STREAM = 0
 SYNC_TOPIC = "settle"
-"""Topic that nobody handles: every peer answers an unknown one with nothing."""
+"""Topic without a handler: a peer answers unknown topics with an empty body."""
 
-# A caller that reads slowly holds back at most this many bytes in this process. It is
-# several hundred tokens, so a stream at full speed never waits for credit.
+# A slow reader makes this process buffer at most this many bytes. They hold several
+# hundred tokens, so a stream at full speed never waits for credit.
 STREAM_WINDOW_BYTES = 64 * 1024
-# Chunks are cut to this size, so that one upload can't fill a whole batch and hold
-# back the tokens of all other streams behind it.
+# Maximum size of a chunk, so that one upload can't fill a whole batch and delay the
+# tokens of all other streams.
 MAX_CHUNK_BYTES = 16 * 1024
-# A batch holds what is ready in one pass of the loop, up to this size.
+# A batch holds the frames that are queued when it is written, up to this size.
 MAX_BATCH_BYTES = 256 * 1024
 MAX_BATCH_FRAMES = 512
 _SMALL_FRAME_BYTES = 64
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionTimes:
-    """Set the pace of heartbeats."""
+    """Set the interval of heartbeats and the timeout of a silent peer."""
 
     heartbeat_s: float
     silence_s: float
 
 
 class PeerHandler(ABC):
-    """Decide what a process does with what its peer sends."""
+    """Define how a process handles the messages of its peers."""
 
     @abstractmethod
     def describe_health(self) -> Heartbeat:
@@ -61,7 +61,7 @@
 
     @abstractmethod
     def receive_heartbeat(self, peer: "PeerConnection", heartbeat: Heartbeat) -> None:
-        """Take note of a heartbeat."""
+        """Handle a heartbeat."""
 
     @abstractmethod
     async def serve_stream(self, stream: "PeerStream", opening: Open) -> None:
@@ -71,11 +71,11 @@
     async def answer_question(
         self, peer: "PeerConnection", topic: str, body: bytes
     ) -> bytes:
-        """Answer a question."""
+        """Return the answer to a question."""
 
     @abstractmethod
     def receive_notice(self, peer: "PeerConnection", topic: str, body: bytes) -> None:
-        """Take note of a notice."""
+        """Handle a notice."""
 
 
 class PeerStream:
@@ -111,7 +111,7 @@
             view = view[size:]
 
     async def receive(self) -> Message:
-        """Receive the next message; chunks that are ready come joined as one."""
+        """Receive the next message; consecutive queued chunks are joined into one."""
         while not self._inbox:
             self._raise_if_lost()
             self._arrived = trio.Event()
@@ -123,11 +123,11 @@
         return message
 
     def close(self) -> None:
-        """Forget the stream; the peer is told when it may still be at work."""
+        """Remove the stream from the connection, which drops its further frames."""
         self.connection.remove_stream(self.number)
 
     def deliver(self, message: Message) -> None:
-        """Take a message that the connection received for this stream."""
+        """Queue a message that the connection received for this stream."""
         if isinstance(message, Credit):
             self._credit += message.size
             self._credit_arrived.set()
@@ -136,7 +136,7 @@
         self._arrived.set()
 
     def mark_lost(self, error: PeerLost) -> None:
-        """Take note that the connection is gone; what arrived before stays readable."""
+        """Mark the connection as lost; messages received before stay readable."""
         self._lost = error
         self._arrived.set()
         self._credit_arrived.set()
@@ -156,8 +156,8 @@
         return Chunk(b"".join(parts))
 
     def _grant_credit(self, size: int) -> None:
-        # Credit goes back in halves of the window, so that a stream of small tokens
-        # does not cost a frame of credit for each of them.
+        # Return credit in halves of the window, so that a stream of small tokens does
+        # not cost a credit frame for each of them.
         self._consumed += size
         if self._consumed >= STREAM_WINDOW_BYTES // 2:
             self.send(Credit(self._consumed))
@@ -165,7 +165,7 @@
 
 
 class PeerConnection:
-    """Run one connection: greeting, heartbeats, streams, until it is lost."""
+    """Run one connection: handshake, heartbeats and streams, until it is lost."""
 
     def __init__(
         self,
@@ -180,8 +180,8 @@
         self._hello = hello
         self._handler = handler
         self._times = times
-        # The two ends number their streams oddly and evenly, and never use a number
-        # again, so a late frame can't reach another caller's stream.
+        # One end uses odd stream numbers and the other even ones. Numbers are never
+        # reused, so a late frame can't reach another caller's stream.
         self._next_stream = 1 if opener else 2
         self._streams: dict[int, PeerStream] = {}
         self._serving: dict[int, trio.CancelScope] = {}
@@ -200,12 +200,12 @@
 
     @property
     def lost(self) -> bool:
-        """Tell whether the connection has ended."""
+        """Return whether the connection has ended."""
         return self._lost is not None
 
     @property
     def peer_leaving(self) -> bool:
-        """Tell whether the peer has said that it takes no new work."""
+        """Return whether the peer has reported that it accepts no new work."""
         return self.last_heartbeat is not None and self.last_heartbeat.leaving
 
     @property
@@ -221,7 +221,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[Hello] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Greet, then serve until the connection is lost; never raise `PeerLost`."""
+        """Exchange hellos and serve until the connection ends; raise no `PeerLost`."""
         error = PeerLost("the connection was closed by this process")
         try:
             with self._scope:
@@ -234,11 +234,13 @@
             problem = _get_first(group, ProtocolError)
             error = PeerLost(problem.message, context=problem.context)
         except* Exception as group:
-            # A fault of this process, met in what one peer sent, would end the process
-            # with the answers of all callers. It shows as connections that fail over
-            # and over; the log line names the fault.
+            # A fault of this process in handling one peer's message would end the
+            # process with the answers of all callers. Caught here, it shows as
+            # connections that fail repeatedly, and the log line contains the fault.
             fault = _get_first(group, Exception)
-            error = PeerLost("this process failed on a frame", context=repr(fault))
+            error = PeerLost(
+                "this process failed to handle a frame", context=repr(fault)
+            )
             log_event("error", "connection-failed", why=repr(fault))
         finally:
             self._mark_lost(error)
@@ -247,14 +249,14 @@
                 await self._framed.close()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """End the connection immediately."""
         self._scope.cancel()
 
     async def finish(self) -> None:
-        """Send all that is queued, then end the connection once the peer has it.
+        """Send all queued frames, and end the connection once the peer has read them.
 
-        Closing at once loses the last frames: those in the queue, and, when the peer
-        has sent something that was not read here, those that the kernel still holds.
+        Closing immediately would lose the frames in the queue, and, when bytes of the
+        peer are unread here, also those in the kernel's send buffer.
         """
         self._finishing = True
         self._outbox_filled.set()
@@ -263,24 +265,24 @@
         self.close()
 
     async def sync(self) -> None:
-        """Wait until the peer has read all that was sent, and its own answer is here.
+        """Wait until the peer has read all sent frames, and its answer has arrived.
 
-        Frames keep their order, so all that the peer sent before it read the last frame
-        from here has arrived by then.
+        Frames keep their order, so all frames that the peer sent before it read the
+        last frame of this process have arrived by then.
         """
         with trio.move_on_after(self._times.silence_s):
             try:
                 await self.ask(SYNC_TOPIC, b"")
             except PeerLost:
-                # Nothing more comes from a peer that is gone.
+                # A lost peer sends no more frames.
                 return
 
     def queue_heartbeat(self) -> None:
-        """Send a heartbeat now."""
+        """Queue a heartbeat without waiting for the next interval."""
         self.queue_frame(self._make_heartbeat())
 
     def open_stream(self, opening: Open | Question) -> PeerStream:
-        """Open a stream with its first message."""
+        """Open a stream with its first message; raise `PeerLost`."""
         if self._lost is not None:
             raise PeerLost(self._lost.message, context=self._lost.context)
         number = self._next_stream
@@ -290,7 +292,7 @@
         return stream
 
     async def ask(self, topic: str, body: bytes) -> bytes:
-        """Ask the peer a question and return its answer; raise `PeerLost`."""
+        """Send a question to the peer and return its answer; raise `PeerLost`."""
         stream = self.open_stream(Question(topic, body))
         try:
             message = await stream.receive()
@@ -301,7 +303,7 @@
         return message.body
 
     def notify(self, topic: str, body: bytes) -> None:
-        """Tell the peer something that needs no answer."""
+        """Queue a notice, which needs no answer."""
         self.queue_frame(Frame(CONNECTION_STREAM, Notice(topic, body)))
 
     def queue_frame(self, frame: Frame) -> None:
@@ -310,33 +312,33 @@
         self._outbox_filled.set()
 
     def remove_stream(self, number: int) -> None:
-        """Drop frames that still come for a stream."""
+        """Remove a stream; frames that still arrive for it are dropped."""
         self._streams.pop(number, None)
 
     async def _exchange_hello(self) -> Hello:
-        # A peer that accepts and then says nothing must not hold a task for ever.
+        # A peer that accepts and then stays silent must not block a task forever.
         with trio.move_on_after(self._times.silence_s):
             await self._framed.send_frame(
                 encode_frames([Frame(CONNECTION_STREAM, self._hello)])
             )
             frames = decode_frames(await self._framed.receive_frame())
             if len(frames) != 1 or not isinstance(frames[0].message, Hello):
-                raise ProtocolError("the peer did not greet")
+                raise ProtocolError("the first message of the peer is not a hello")
             self.peer = frames[0].message
             self._check_hello(self.peer)
             return self.peer
-        raise PeerLost("the peer did not greet in time")
+        raise PeerLost("the peer sent no hello in time")
 
     def _check_hello(self, peer: Hello) -> None:
         if peer.version != PROTOCOL_VERSION:
             raise ProtocolError(
-                f"the peer speaks version {peer.version}, not {PROTOCOL_VERSION}",
+                f"the peer uses version {peer.version}, not {PROTOCOL_VERSION}",
                 context=peer.vm,
                 hint="run the same version on both VMs",
             )
         if peer.token != self._hello.token:
             raise ProtocolError(
-                "the peer's token is another one",
+                "the peer's token does not match",
                 context=peer.vm,
                 hint="put the same token into the settings of both VMs",
             )
@@ -383,7 +385,7 @@
         self, number: int, message: Open | Question, nursery: trio.Nursery
     ) -> None:
         if number in self._streams or number % 2 == self._next_stream % 2:
-            # A doubled frame must not start the same attempt twice.
+            # A duplicate frame must not start the same attempt twice.
             self.dropped_frames += 1
             return
         stream = self._streams[number] = PeerStream(self, number)
@@ -450,16 +452,17 @@
         return Frame(CONNECTION_STREAM, heartbeat)
 
     def _is_heartbeat_due_soon(self) -> bool:
-        # At the target an entry beats on 42 connections. A heartbeat alone costs a
-        # segment and its acknowledgement; on a batch that goes out anyway it costs its
-        # own bytes, and a busy connection sends none alone.
+        # At the target size an entry sends heartbeats on 42 connections. A separate
+        # heartbeat costs a segment and its acknowledgement. Added to a batch that is
+        # sent anyway, it costs only its own bytes, so a busy connection sends no
+        # separate ones.
         attach_from = self._next_heartbeat_at - self._times.heartbeat_s / 2
         return trio.current_time() >= attach_from
 
     async def _check_silence(self) -> None:
-        # A device between the two ends may forget an open connection: nothing arrives
-        # and nothing fails. Heartbeats come often, so silence shows it; closing here
-        # makes the owner open a new connection instead of taking the target for dead.
+        # A device between the two ends may lose its state of an open connection. Then
+        # nothing arrives and no call fails, but the frequent heartbeats stop. Closing
+        # makes the owner open a new connection instead of considering the target lost.
         checked_at = trio.current_time()
         while True:
             await trio.sleep(self._times.heartbeat_s)
@@ -467,9 +470,9 @@
             late_s = now - checked_at - self._times.heartbeat_s
             checked_at = now
             if late_s > self._times.heartbeat_s:
-                # This process itself stood still, and has not yet read what the peer
-                # sent meanwhile. Taken for the peer's silence, that would cut every
-                # answer on a sound connection.
+                # This process itself was stalled and has not yet read what the peer
+                # sent meanwhile. Treated as silence of the peer, the stall would cut
+                # every answer on a working connection.
                 self._last_received_at = min(now, self._last_received_at + late_s)
             silent_s = now - self._last_received_at
             if silent_s > self._times.silence_s:
