--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Test connections that go silent between processes."""
+"""Test connections between processes that become silent."""
 
 import json
 import signal
@@ -14,10 +14,10 @@
 
 
 def test_open_connection_goes_silent_while_new_ones_work(tmp_path):
-    """A device between two VMs forgets an open connection and drops its packets.
+    """Guard against a device between two VMs that drops packets of an open connection.
 
-    Nothing fails and nothing arrives. Without the watch for silence the clerk's draft
-    stands still for ever, and so does every later one; the target itself is well.
+    No call fails and nothing arrives. Without the detection of silence, the stream in
+    progress and all later ones would hang forever, although the target works.
     """
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
@@ -36,7 +36,7 @@
             proxy.silence_open()
             cut = stream.read_to_end()
             assert b"[DONE]" not in cut
-            # A whole answer of this length would end in an empty chunk.
+            # A complete answer, which is sent in chunks, would end in an empty chunk.
             assert not cut.endswith(b"0\r\n\r\n")
             assert "was silent for" in entry.wait_for("event=peer-disconnected").string
             wait_until(lambda: proxy.accepted >= 2)
@@ -50,9 +50,9 @@
 
 
 def test_paused_agent_is_disconnected_and_serves_again(tmp_path):
-    """The VM of an agent is paused, as live migration does, and goes on later.
+    """Guard against a lost agent whose VM is paused for a while, as by live migration.
 
-    Its caller must learn that the answer is broken, and the agent must serve again.
+    Its caller must get an error, and the agent must serve again when the VM resumes.
     """
     with open_cluster(tmp_path) as cluster:
         commit_table(cluster.platform)
--- a/tests/unit/test_asgi_server.py
+++ b/tests/unit/test_asgi_server.py
@@ -1,4 +1,4 @@
-"""Test serving ASGI applications."""
+"""Test serving of ASGI applications."""
 
 import os
 import socket
@@ -82,9 +82,9 @@
 
 @pytest.mark.parametrize("http2", [False, True])
 def test_incomplete_answer_is_reported_as_broken(http2):
-    """The target dies in the middle of an answer.
+    """Guard against a caller that waits forever after a target failed within an answer.
 
-    Over HTTP/2 the server only forgot the stream, so the caller waited for ever.
+    Over HTTP/2 hypercorn only removes the stream and sends no reset.
     """
 
     async def run():
@@ -116,7 +116,7 @@
 
 
 class LateListener(socket.socket):
-    """Let a caller connect between the last look for callers and the close."""
+    """Simulate a caller that connects between the last accept and the close."""
 
     late = None
 
@@ -134,7 +134,7 @@
 
 
 def test_no_caller_connects_while_the_listener_closes():
-    """Guards against connections that are taken at a shutdown, and reset at once."""
+    """Guard against connections established during a shutdown and reset immediately."""
 
     async def run():
         listener = LateListener()
@@ -156,6 +156,6 @@
     late = trio.run(run)
     with pytest.raises(OSError, match="not connected"):
         late.getpeername()
-    # A reset that is still to be told would show here.
+    # A pending reset would show here.
     assert late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     late.close()
--- a/tests/unit/test_connection_end.py
+++ b/tests/unit/test_connection_end.py
@@ -1,4 +1,4 @@
-"""Test how a server ends connections whose callers have no request in progress."""
+"""Test how a server ends connections without a request in progress."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def open_server(clock):
-    """Run a server; the clock moves only when the test moves it."""
+    """Run a server with a clock that only the test advances."""
     config = Config()
     config.keep_alive_timeout = KEEP_ALIVE_S
     config.accesslog = config.errorlog = None
@@ -61,7 +61,7 @@
 
 
 async def receive(stream, *, until=b""):
-    """Return what comes up to some bytes, or up to the end of the connection."""
+    """Return the data received until it ends in `until` or the connection ends."""
     received = b""
     while data := await stream.receive_some():
         received += data
@@ -92,7 +92,7 @@
 
 
 async def stop_after_idle(site):
-    """Stop the server while its only connection has long been idle."""
+    """Stop the server after its only connection has been idle for a long time."""
     assert (await call(site.stream)).startswith(b"HTTP/1.1 200")
     site.clock.jump(IDLE_S)
     site.server._shutdown.set()
@@ -100,14 +100,14 @@
 
 
 async def advance(site, seconds):
-    """Let time pass in the steps in which the server looks at its connections."""
+    """Advance the clock in steps of the server's drain interval."""
     for _ in range(round(seconds / 0.05)):
         site.clock.jump(0.05)
         await wait_until_blocked()
 
 
 def test_request_on_an_idle_connection_is_answered_at_a_shutdown():
-    """Guards against idle time from before the shutdown ending a connection."""
+    """Guard against an end caused by idle time from before the shutdown."""
 
     async def check(site):
         await stop_after_idle(site)
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("end", [end_at_shutdown, end_by_idle_timeout])
 def test_request_sent_while_the_connection_ends_gets_a_408(end):
-    """Guards against a reset or silence for a request sent as its connection ends."""
+    """Guard against a reset or silence for a request sent as its connection ends."""
 
     async def check(site):
         await end(site)
@@ -151,7 +151,7 @@
 
 
 def test_received_but_unread_request_is_answered():
-    """Guards against the end of a connection whose request waits in the kernel."""
+    """Guard against the end of a connection whose request is unread in the kernel."""
 
     async def check(site):
         await stop_after_idle(site)
@@ -166,7 +166,7 @@
 
 @pytest.fixture
 def unread_request(monkeypatch):
-    """Let a caller's bytes wait in the kernel when an end is first looked at."""
+    """Simulate unread bytes in the kernel at the first check before an end."""
     counts = iter([len(REQUEST)])
     monkeypatch.setattr(
         http_connection, "_count_unread", lambda stream: next(counts, 0)
@@ -174,7 +174,7 @@
 
 
 def test_partial_request_does_not_keep_an_idle_connection_open(unread_request):
-    """Guards against a connection without a timer, as half a head came at its end."""
+    """Guard against a connection without a timer after a partial request at its end."""
 
     async def check(site):
         await call(site.stream)
@@ -191,7 +191,7 @@
 
 
 def test_request_after_a_postponed_end_keeps_the_connection_open(unread_request):
-    """Guards against an idle timer that ends a connection which was used meanwhile."""
+    """Guard against an idle timer that ends a connection which was used meanwhile."""
 
     async def check(site):
         await call(site.stream)
@@ -208,7 +208,7 @@
 
 
 def test_ended_connection_is_closed_when_its_caller_does_not():
-    """Guards against a shutdown that waits for callers who keep ended connections."""
+    """Guard against a shutdown that waits for callers to close ended connections."""
 
     async def check(site):
         await end_at_shutdown(site)
@@ -220,7 +220,7 @@
 
 
 def test_pipelined_request_after_the_last_answer_does_not_block_the_shutdown():
-    """Guards against a connection that waits for ever behind its closing answer."""
+    """Guard against a connection that stays open forever after its last answer."""
 
     async def check(site):
         site.server._leaving.set()
@@ -237,7 +237,7 @@
 
 
 def test_idle_http2_connection_gets_goaway_before_its_end():
-    """Guards against an idle end that leaves open whether a crossing request ran."""
+    """Guard against an idle end after which a caller can't know if its request ran."""
 
     async def check(site):
         client = h2.connection.H2Connection(h2.config.H2Configuration())
--- a/tests/unit/test_peer_connection.py
+++ b/tests/unit/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""Test the connection between two processes."""
+"""Test connections between two processes."""
 
 import pytest
 import trio
@@ -32,12 +32,12 @@
 
 
 def run(test):
-    """Run an async test on a clock that jumps over waits."""
+    """Run an async test with a clock that skips waits."""
     trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 async def read_body(stream):
-    """Return the joined chunks until the end."""
+    """Return the joined chunks up to the end of the body."""
     parts = []
     while True:
         message = await stream.receive()
@@ -48,7 +48,7 @@
 
 
 async def echo(stream, opening):
-    """Answer with the body that was sent."""
+    """Answer with the received body."""
     stream.send(Head(200, ()))
     await stream.send_data(await read_body(stream))
     stream.send(End())
@@ -75,10 +75,10 @@
 
 
 def test_slow_reader_uses_bounded_memory_and_blocks_no_other_stream():
-    """A caller on a bad line reads one answer slowly while others want theirs.
+    """Guard against a slow reader that exhausts memory or blocks other streams.
 
-    Without a window the whole answer would pile up in the entry's memory; with one
-    window for all streams the others would wait for the slow one.
+    Without a window, the whole answer would be buffered in the entry's memory. With one
+    window for all streams, the other streams would wait for the slow one.
     """
 
     async def main():
@@ -103,7 +103,7 @@
 
 
 def test_cancel_ends_the_attempt():
-    """A caller hangs up. Work that goes on would take a place from one who waits."""
+    """Guard against an attempt that occupies a slot after its caller disconnected."""
 
     async def main():
         ended = trio.Event()
@@ -125,7 +125,7 @@
 
 
 async def connect_to_silent_peer(nursery):
-    """Run a connection whose peer greets, and says nothing more."""
+    """Run a connection whose peer sends a hello and nothing else."""
     near, far = trio.testing.memory_stream_pair()
     connection = PeerConnection(
         near,
@@ -142,9 +142,10 @@
 
 
 def test_silent_connection_is_closed():
-    """A firewall between two VMs forgets an open connection: nothing arrives any more.
+    """Guard against an open connection whose state a firewall between two VMs lost.
 
-    A caller would wait until its deadline for a target that works well.
+    Nothing arrives on it any more, and a caller would wait until its deadline for a
+    target that works.
     """
 
     async def main():
@@ -159,10 +160,11 @@
 
 
 def test_stalled_process_closes_none_of_its_connections():
-    """A busy machine gives a process no time for seconds, and its peer goes on well.
+    """Guard against a process that takes its own stall for silence of its peers.
 
-    The process has not read what came meanwhile. Taking that for silence it would
-    close all of its connections, and each caller beside would get an error.
+    A busy machine may not run a process for seconds, and the process has not read what
+    its peers sent meanwhile. It would close all of its connections, and each caller on
+    them would get an error.
     """
 
     async def main():
@@ -227,9 +229,10 @@
     ids=["too-long", "garbage", "cut"],
 )
 def test_malformed_frames_end_the_connection(data):
-    """A peer sends garbage, a frame over the limit, or dies within a frame.
+    """Guard against a process that ends on garbage, a too long or a partial frame.
 
-    Only this connection may end; a process that fell over would take all callers down.
+    Only this connection may end: the end of the process would fail the requests of all
+    callers.
     """
 
     async def main():
@@ -250,7 +253,7 @@
 
 
 def test_duplicate_open_message_starts_one_attempt():
-    """The same frame arrives twice; a second start would be a second bid."""
+    """Guard against a duplicate frame that runs a request, such as a bid, twice."""
 
     async def main():
         started = []
@@ -284,15 +287,16 @@
 
 @pytest.mark.parametrize(("message_every_s", "alone"), [(None, 10), (0.3, 0)])
 def test_heartbeat_is_added_to_a_pending_batch(message_every_s, alone):
-    """An entry at the target keeps 42 connections, and each heartbeat takes a segment.
+    """Guard against heartbeats in separate segments on a busy connection.
 
-    Alone they would use up what a daemon may send for control; the entry's owner sees
-    that in the VM's traffic.
+    At the target size an entry has 42 connections. Separate heartbeats would use up the
+    traffic that a daemon may spend on control, which the entry's owner sees in the
+    traffic of the VM.
     """
 
     async def main():
         async with connect_pair() as pair:
-            # The first heartbeat follows the greeting at once.
+            # The first heartbeat follows the hello immediately.
             await trio.sleep(0.05)
             batches = []
             send_frame = pair.opener._framed.send_frame
@@ -315,15 +319,15 @@
 
 
 def is_heartbeat(message):
-    """Tell whether a message is a heartbeat."""
+    """Return whether a message is a heartbeat."""
     return isinstance(message, Heartbeat)
 
 
 def test_attempt_received_during_a_shutdown_is_refused():
-    """An agent is told to stop just as an entry sends it work.
+    """Guard against an unknown outcome of an attempt sent as its agent shuts down.
 
-    The connection ended under that work, and the caller was told that nobody knows
-    whether it ran, though its VM was replaced as the operators' page says.
+    The connection ended during the attempt, so its caller was told that the outcome is
+    unknown, although the VM was replaced as the operators' page says.
     """
 
     async def main():
@@ -341,9 +345,10 @@
 
 
 def test_assigned_attempt_is_not_sent_after_a_leaving_heartbeat():
-    """An entry chose a target, then read that the target's agent is shutting down.
+    """Guard against an attempt sent after its agent reported that it is shutting down.
 
-    Sent all the same, the work would meet the end of the connection.
+    The entry chose the target before it read the report, and the connection would end
+    during the attempt.
     """
 
     async def main():
@@ -371,9 +376,9 @@
 
 @pytest.mark.parametrize("topic", ["question", "stream"])
 def test_fault_in_a_handler_ends_only_its_connection(topic):
-    """A peer sends something that this process fails on by a fault of its own.
+    """Guard against a handler's fault on one message that ends the whole process.
 
-    It took the whole entry down, with the answers of all its callers.
+    It ended an entry with the answers of all its callers.
     """
 
     async def main():
