--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -1,4 +1,4 @@
-"""Feed damaged documents to all decoders, and tell which error each of them raises."""
+"""Feed damaged inputs to all decoders, and find those that raise unexpected errors."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -40,7 +40,7 @@
 from tests.lib.platform_documents import REGISTRATION, REPORT, STARTED_MS
 
 EXPECTED_ERRORS = (ConfigurationError, ProtocolError)
-"""What a decoder may raise: its callers know these."""
+"""Errors that a decoder may raise, as its callers handle them."""
 
 _CONFIGURATION = make_configuration(7)
 _CONFIGURATION["services"][1]["engine"] = ENGINE | EXPERTS  # type: ignore[index]
@@ -62,46 +62,18 @@
     "configuration": (decode_configuration, _CONFIGURATION),
 }
 
-_ADDRESS = "10.0.0.1:7340"
+_A = "10.0.0.1:7340"
 _MESSAGES = (
-    EntryState(_ADDRESS, _ADDRESS, 3, 4, "zone-a", 0.5, True, _ADDRESS),
-    GroupLoad(
-        7, 1, 5, 1, 2, True, 9, 0.06, 4, (MemberLoad(1, 0, 1.0, 0.1),), True, _ADDRESS
-    ),
-    Roster(
-        7,
-        "g",
-        (Member(_ADDRESS, 5),),
-        (EntryContact(_ADDRESS, "zone-a"),),
-        True,
-        _ADDRESS,
-    ),
-    Presence(_ADDRESS, "g", 1, 0, True),
+    EntryState(_A, _A, 3, 4, "zone-a", 0.5, True, _A),
+    GroupLoad(7, 1, 5, 1, 2, True, 9, 0.06, 4, (MemberLoad(1, 0, 1.0, 0.1),), True, _A),
+    Roster(7, "g", (Member(_A, 5),), (EntryContact(_A, "zone-a"),), True, _A),
+    Presence(_A, "g", 1, 0, True),
     OrderRequest("g", 1, 9, True),
     RankState(
-        _ADDRESS,
-        _ADDRESS,
-        "g",
-        1,
-        0,
-        2,
-        True,
-        1,
-        0,
-        9,
-        1,
-        2,
-        3,
-        4,
-        5,
-        ((0, 1),),
-        1.0,
-        (1, 2),
-    ),
-    MapChange("g", 1, 2, (((0,), (1,)),), 3, (_ADDRESS,)),
-    ReplicaLimits(
-        (LimitReport(_ADDRESS, 5, 2.5, 0.1), LimitReport(_ADDRESS, 0, None, 1.0))
+        _A, _A, "g", 1, 0, 2, True, 1, 0, 9, 1, 2, 3, 4, 5, ((0, 1),), 1.0, (1, 2)
     ),
+    MapChange("g", 1, 2, (((0,), (1,)),), 3, (_A,)),
+    ReplicaLimits((LimitReport(_A, 5, 2.5, 0.1), LimitReport(_A, 0, None, 1.0))),
 )
 _SNAPSHOT = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
 
@@ -132,7 +104,7 @@
 
 @dataclass(frozen=True)
 class UnexpectedError:
-    """Hold an input at which a decoder raised what nobody expects."""
+    """Hold an input on which a decoder raised an unexpected error."""
 
     decoder: str
     data: bytes
@@ -140,9 +112,10 @@
 
 
 def fuzz(seed: int, count: int) -> Iterator[UnexpectedError]:
-    """Try damaged inputs on each decoder; yield those whose error would end a process.
+    """Yield the damaged inputs on which a decoder raises an unexpected error.
 
-    Each decoder gets `count` inputs, and the same ones for the same seed.
+    Such an error would end a process. Each decoder gets `count` inputs, which are the
+    same for the same seed.
     """
     for name, decode, make in _list_decoders():
         random = Random(f"{name}/{seed}")
--- a/tests/lib/http.py
+++ b/tests/lib/http.py
@@ -1,4 +1,4 @@
-"""Call HTTP servers from tests."""
+"""Send HTTP requests in tests."""
 
 import socket
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """Hold a whole response."""
+    """Hold a complete response."""
 
     status: int
     headers: dict[str, str]
@@ -23,7 +23,7 @@
     headers: dict[str, str] | None = None,
     body: bytes = b"",
 ) -> Response:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     with httpcore.ConnectionPool() as pool:
         answer = pool.request(
             method,
@@ -40,7 +40,7 @@
 
 
 class OpenRequest:
-    """Hold a request whose answer is read as raw bytes of HTTP/1.1."""
+    """Hold a sent request, and read its answer as raw HTTP/1.1 bytes."""
 
     def __init__(self, address: str, head: bytes) -> None:
         host, _, port = address.rpartition(":")
@@ -48,7 +48,7 @@
         self._socket.sendall(head)
 
     def read(self, size: int) -> bytes:
-        """Read up to so many bytes; an empty result is the end."""
+        """Read up to `size` bytes; return an empty result at the end."""
         return self._socket.recv(size)
 
     def read_to_end(self) -> bytes:
@@ -66,7 +66,7 @@
 def open_request(
     method: str, address: str, path: str, *, headers: dict[str, str], body: bytes = b""
 ) -> OpenRequest:
-    """Send a request and leave its answer to be read."""
+    """Send a request without reading its answer."""
     fields = {"Host": address, "Content-Length": str(len(body)), **headers}
     lines = [f"{method} {path} HTTP/1.1"] + [f"{k}: {v}" for k, v in fields.items()]
     return OpenRequest(address, "\r\n".join([*lines, "", ""]).encode() + body)
--- a/tests/lib/proxy.py
+++ b/tests/lib/proxy.py
@@ -1,4 +1,4 @@
-"""Stand between two processes and lose what they send."""
+"""Simulate a network device that drops data of open connections."""
 
 import threading
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 
 
 class Proxy:
-    """Pass TCP connections on to one address until told otherwise."""
+    """Forward TCP connections to one address, until they are silenced."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -23,7 +23,7 @@
         self.accepted = 0
 
     def silence_open(self) -> None:
-        """Drop all data of the connections that are open now; leave them open."""
+        """Drop all further data of the open connections without closing them."""
         self._silent |= self._open
 
     async def run(self) -> None:
@@ -68,13 +68,13 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
         if connection in self._silent:
-            # A device that forgot the connection passes no end on either.
+            # A device that lost the connection's state does not forward its end either.
             await trio.sleep_forever()
 
 
 @contextmanager
 def run_proxy(target: str) -> Iterator[Proxy]:
-    """Run a proxy in a thread of its own."""
+    """Run a proxy in a separate thread."""
     proxy = Proxy(target)
     thread = threading.Thread(target=trio.run, args=(proxy.run,))
     thread.start()
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -1,4 +1,4 @@
-"""Test the codec of the messages between processes."""
+"""Test encoding and decoding of the messages between processes."""
 
 import pytest
 from hypothesis import given, settings
@@ -62,9 +62,10 @@
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=200))
 def test_decode_frames_survives_garbage(data):
-    """A peer of another version, or a cut frame, sends bytes that are no batch.
+    """Guard against a crash on bytes that are not a batch.
 
-    The connection must end with a typed error, not the whole process.
+    They come from a peer of another version or from a truncated frame. A typed error
+    must end the connection, not the whole process.
     """
     try:
         decode_frames(data)
@@ -75,7 +76,7 @@
 @settings(derandomize=True, max_examples=200)
 @given(st.integers(0, 400), st.integers(0, 255))
 def test_decode_frames_survives_a_changed_byte(position, value):
-    """A byte changes on the way; the frame is refused or decodes to other values."""
+    """Guard against a crash on a corrupted byte, which may decode to other values."""
     data = bytearray(encode_frames([Frame(1, message) for message in MESSAGES]))
     data[position % len(data)] = value
     try:
--- a/tests/unit/test_decoder_fuzz.py
+++ b/tests/unit/test_decoder_fuzz.py
@@ -1,4 +1,4 @@
-"""Test that no input ends a process: decoders raise what their callers know."""
+"""Test that decoders raise only errors that their callers handle."""
 
 import json
 import subprocess
@@ -21,10 +21,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_damaged_input_raises_only_expected_errors(seed):
-    """Bits flip on the way, or another program writes to the same place.
+    """Guard against an unexpected error from a corrupted or foreign document.
 
-    An unexpected error ends the task that follows the store, and with it the process:
-    all callers of an entry would lose their connections over one bad document.
+    It would end the task that follows the store, and with it the process: all callers
+    of an entry would lose their connections because of one invalid document.
     """
     assert list(fuzz(seed, 300)) == []
 
@@ -70,7 +70,7 @@
     "010c500101000050e102010301040000110572110972ff31302e302e302e31001f3a37330b30ff31302e"
     "302eb42e31001f3a37333430",
 )
-"""Damaged messages at which the decoder ended its process."""
+"""Damaged messages on which the decoder ended its process."""
 
 _DECODE_CUT_MESSAGES = """
 import sys
@@ -94,10 +94,10 @@
 
 
 def test_truncated_or_damaged_message_ends_no_process():
-    """A datagram arrives without its end, or with bytes that nobody sent.
+    """Guard against a decoder that aborts in C++ on a truncated or damaged datagram.
 
-    The decoder gives up in C++, where no error can be caught: the process ends, and
-    with it all streams of its callers.
+    No error can be caught there: the process ends, and with it all streams of its
+    callers.
     """
     command = [sys.executable, "-c", _DECODE_CUT_MESSAGES, *_FATAL_BODIES]
     ended = subprocess.run(command, capture_output=True, text=True, check=False)
--- a/tests/unit/test_event_stream.py
+++ b/tests/unit/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Test that a stream is passed on in whole events only."""
+"""Test that a stream is forwarded in complete events only."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 
 @given(st.lists(st.integers(1, 20), max_size=30), st.integers(0, 19))
 def test_any_chunking_yields_complete_events_in_order(sizes, missing):
-    """Bytes of a stream arrive in any pieces, and the last event may be cut."""
+    """Split a stream at random positions, with a possibly truncated last event."""
     data = b"".join(EVENTS)
     data = data[: len(data) - missing]
     splitter = EventSplitter()
--- a/tests/unit/test_part_limit.py
+++ b/tests/unit/test_part_limit.py
@@ -1,4 +1,4 @@
-"""Test how long a large document may take over a thin link."""
+"""Test the time limits of reading a large document over a slow link."""
 
 import pytest
 import trio
@@ -14,7 +14,7 @@
 
 
 class SlowResponse:
-    """Give a body in parts, each after a pause."""
+    """Yield a body in parts, each after a pause."""
 
     status = 200
     headers = ()
@@ -40,10 +40,11 @@
 
 
 def test_document_with_steady_progress_is_read_to_its_end():
-    """The configuration has grown, and an agent reads it over a link of 4 Mbit/s.
+    """Guard against a time limit of one second for a whole configuration.
 
-    With a second for all of it the agent asks again and again and never has it; its
-    group gets no map that follows the demand for as long as it leads.
+    Over a link of 4 Mbit/s an agent would request a large configuration again and again
+    without reading it to its end. While that agent leads, its group would get no expert
+    map that follows the demand.
     """
     assert run([0.9] * 5) == b"x" * 5
 
@@ -51,7 +52,7 @@
 @pytest.mark.parametrize(
     "pauses_s",
     [[1.1], [0.9, 1.1], [0.9] * (int(MAX_READ_S) + 10)],
-    ids=["no answer", "it stops", "it trickles"],
+    ids=["no answer", "stops after a part", "too slow in total"],
 )
 def test_read_from_a_silent_or_slow_store_times_out(pauses_s):
     with pytest.raises(trio.TooSlowError):
