--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -220,17 +220,17 @@
 
 
 def _read_entry(datagram: Any) -> EntryState:
-    one = datagram.entry
+    reader = datagram.entry
     return EntryState(
-        address=one.address,
-        beliefs=one.beliefs,
-        configuration_version=one.configurationVersion,
-        replicas_revision=one.replicasRevision,
-        replicas_era=one.replicasEra,
-        lacks_load=one.unheard,
-        availability_zone=one.availabilityZone,
-        via=one.via,
-        store_returned_s=_read_store_returned(one.storeReturnedMs),
+        address=reader.address,
+        beliefs=reader.beliefs,
+        configuration_version=reader.configurationVersion,
+        replicas_revision=reader.replicasRevision,
+        replicas_era=reader.replicasEra,
+        lacks_load=reader.unheard,
+        availability_zone=reader.availabilityZone,
+        via=reader.via,
+        store_returned_s=_read_store_returned(reader.storeReturnedMs),
     )
 
 
@@ -247,8 +247,10 @@
 
 
 def _read_presence(datagram: Any) -> Presence:
-    one = datagram.presence
-    return Presence(one.messages, one.group, one.epoch, one.rank, one.leads)
+    reader = datagram.presence
+    return Presence(
+        reader.messages, reader.group, reader.epoch, reader.rank, reader.leads
+    )
 
 
 def _write_order(builder: Any, message: OrderRequest) -> None:
@@ -259,8 +261,8 @@
 
 
 def _read_order(datagram: Any) -> OrderRequest:
-    one = datagram.order
-    return OrderRequest(one.group, one.epoch, one.step, one.release)
+    reader = datagram.order
+    return OrderRequest(reader.group, reader.epoch, reader.step, reader.release)
 
 
 def _write_limits(builder: Any, message: ReplicaLimits) -> None:
@@ -312,29 +314,29 @@
 
 
 def _read_load(datagram: Any) -> GroupLoad:
-    one = datagram.load
+    reader = datagram.load
     try:
         members = tuple(
             MemberLoad(
                 active, queued, pace / _PACE_STEPS_PER_UNIT, age / _AGE_UNITS_PER_S
             )
-            for active, queued, pace, age in _MEMBER.iter_unpack(one.members)
+            for active, queued, pace, age in _MEMBER.iter_unpack(reader.members)
         )
     except struct.error as error:
         raise ValueError(f"members of a load: {error}") from error
     return GroupLoad(
-        roster=one.roster,
-        source=one.source,
-        sequence=one.sequence,
-        epoch=one.epoch,
-        ranks=one.ranks,
-        open=one.open,
-        step=one.step,
-        pass_s=one.passUs / _US_PER_S,
-        entries=one.entries,
+        roster=reader.roster,
+        source=reader.source,
+        sequence=reader.sequence,
+        epoch=reader.epoch,
+        ranks=reader.ranks,
+        open=reader.open,
+        step=reader.step,
+        pass_s=reader.passUs / _US_PER_S,
+        entries=reader.entries,
         members=members,
-        relay=one.relay,
-        forward=one.forward,
+        relay=reader.relay,
+        forward=reader.forward,
     )
 
 
@@ -354,16 +356,17 @@
 
 
 def _read_roster(datagram: Any) -> Roster:
-    one = datagram.roster
+    reader = datagram.roster
     return Roster(
-        number=one.number,
-        group=one.group,
-        members=tuple(Member(m.address, m.startedMs) for m in one.members),
+        number=reader.number,
+        group=reader.group,
+        members=tuple(Member(m.address, m.startedMs) for m in reader.members),
         entries=tuple(
-            EntryContact(entry.address, entry.availabilityZone) for entry in one.entries
+            EntryContact(entry.address, entry.availabilityZone)
+            for entry in reader.entries
         ),
-        relay=one.relay,
-        forward=one.forward,
+        relay=reader.relay,
+        forward=reader.forward,
     )
 
 
@@ -390,27 +393,27 @@
 
 
 def _read_rank(datagram: Any) -> RankState:
-    one = datagram.rank
+    reader = datagram.rank
     return RankState(
-        messages=one.messages,
-        replica=one.replica,
-        group=one.group,
-        epoch=one.epoch,
-        rank=one.rank,
-        ranks=one.ranks,
-        open=one.open,
-        active=one.active,
-        step=one.step,
-        map_version=one.mapVersion,
-        prepared=one.prepared,
-        armed_version=one.armedVersion,
-        armed_step=one.armedStep,
-        held_step=one.heldStep,
-        experts=_read_lists(one.experts),
-        queued=one.queued,
-        pace=one.pace,
-        counts=_read_counts(one.counts),
-        started_ms=one.startedMs,
+        messages=reader.messages,
+        replica=reader.replica,
+        group=reader.group,
+        epoch=reader.epoch,
+        rank=reader.rank,
+        ranks=reader.ranks,
+        open=reader.open,
+        active=reader.active,
+        step=reader.step,
+        map_version=reader.mapVersion,
+        prepared=reader.prepared,
+        armed_version=reader.armedVersion,
+        armed_step=reader.armedStep,
+        held_step=reader.heldStep,
+        experts=_read_lists(reader.experts),
+        queued=reader.queued,
+        pace=reader.pace,
+        counts=_read_counts(reader.counts),
+        started_ms=reader.startedMs,
     )
 
 
@@ -426,18 +429,19 @@
 
 
 def _read_change(datagram: Any) -> MapChange:
-    one = datagram.change
-    by_rank = _read_lists(one.experts)
-    ranks = len(by_rank) // max(1, one.sets)
+    reader = datagram.change
+    by_rank = _read_lists(reader.experts)
+    ranks = len(by_rank) // max(1, reader.sets)
     return MapChange(
-        group=one.group,
-        epoch=one.epoch,
-        version=one.version,
+        group=reader.group,
+        epoch=reader.epoch,
+        version=reader.version,
         experts=tuple(
-            by_rank[at : at + ranks] for at in range(0, ranks * one.sets, ranks or 1)
+            by_rank[start : start + ranks]
+            for start in range(0, ranks * reader.sets, ranks or 1)
         ),
-        step=one.step,
-        forward=tuple(one.forward),
+        step=reader.step,
+        forward=tuple(reader.forward),
     )
 
 
@@ -450,10 +454,10 @@
 
 def _read_lists(builder: Any) -> tuple[tuple[int, ...], ...]:
     items = _unpack_numbers(builder.items, wide=builder.wide)
-    found, at = [], 0
+    found, offset = [], 0
     for length in _unpack_numbers(builder.lengths, wide=True):
-        found.append(items[at : at + length])
-        at += length
+        found.append(items[offset : offset + length])
+        offset += length
     return tuple(found)
 
 
--- a/src/hyssopvane/_internal/protocol/replica_headers.py
+++ b/src/hyssopvane/_internal/protocol/replica_headers.py
@@ -47,18 +47,18 @@
 
 
 def select_for_replica(
-    headers: Headers, names: ReplicaHeaders, *, replaced: Headers
+    headers: Headers, names: ReplicaHeaders, *, overrides: Headers
 ) -> Headers:
     """Return a caller's headers as they are forwarded to a replica.
 
-    Headers in `replaced` override those of the caller with the same name. The API key
+    Headers in `overrides` replace those of the caller with the same name. The API key
     is removed: a replica must not be able to act as the customer.
     """
     dropped = _CONNECTION_HEADERS | _list_connection_options(headers)
-    dropped |= {name for name, _ in replaced}
+    dropped |= {name for name, _ in overrides}
     dropped |= {b"authorization", b"content-length", names.customer}
     kept = tuple((name, value) for name, value in headers if name not in dropped)
-    return (*kept, *replaced)
+    return (*kept, *overrides)
 
 
 def select_for_caller(headers: Headers) -> Headers:
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -307,7 +307,7 @@
             replaced.append((names.customer, request.customer.name.encode()))
         if self._last_event_id is not None:
             replaced.append((names.resume_after, self._last_event_id))
-        headers = select_for_replica(request.headers, names, replaced=tuple(replaced))
+        headers = select_for_replica(request.headers, names, overrides=tuple(replaced))
         if request.body or request.method in _METHODS_WITH_BODY:
             headers += ((b"content-length", str(len(request.body)).encode()),)
         return headers
--- a/src/hyssopvane/_internal/transport/peer_connection.py
+++ b/src/hyssopvane/_internal/transport/peer_connection.py
@@ -127,7 +127,7 @@
         self.connection.remove_stream(self.number)
 
     def deliver(self, message: Message) -> None:
-        """Queue a message that the connection received for this stream."""
+        """Handle a message that the connection received for this stream."""
         if isinstance(message, Credit):
             self._credit += message.size
             self._credit_arrived.set()
