--- a/src/hyssopvane/_internal/transport/framing.py
+++ b/src/hyssopvane/_internal/transport/framing.py
@@ -49,9 +49,7 @@
         try:
             await self._stream.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise PeerLost(
-                "the connection closed while closing its sending direction"
-            ) from error
+            raise PeerLost("the connection closed before its end was sent") from error
 
     async def close(self) -> None:
         """Close the connection immediately."""
