--- a/src/hyssopvane/_internal/commands/status.py
+++ b/src/hyssopvane/_internal/commands/status.py
@@ -1,4 +1,4 @@
-"""Show what every VM of the platform's list says of itself."""
+"""Show the status that each VM of the platform's list reports."""
 
 from typing import Any, ClassVar
 from urllib.parse import urlencode
@@ -12,14 +12,14 @@
     "zone", None, "Only the VMs of this availability zone.", flag=False
 )
 
-_GAP = "  "
+_COLUMN_GAP = "  "
 
 
 class StatusCommand(OperatorCommand):
-    """Show table, load and leaving of every VM, those that lag behind marked."""
+    """Show the table, the load and the state of every VM; mark those that lag."""
 
     name = "status"
-    description = "Show what is in force on every VM, and how it fares."
+    description = "Show the table in force, the load and the state of every VM."
     options = [*OPERATOR_OPTIONS, ZONE_OPTION]
     columns: ClassVar[dict[str, str]] = {
         "vm": "vm",
@@ -52,12 +52,14 @@
 def _format_lines(vms: list[dict[str, Any]], columns: dict[str, str]) -> list[str]:
     rows = [list(columns.values())]
     rows += [[_format_cell(vm, name) for name in columns] for vm in vms]
-    widths = [max(len(row[place]) for row in rows) for place in range(len(columns))]
+    widths = [max(len(row[index]) for row in rows) for index in range(len(columns))]
     lines = []
     for row, vm in zip(rows, [None, *vms], strict=True):
         cells = [text.ljust(width) for text, width in zip(row, widths, strict=True)]
         behind = vm is not None and vm["in_force"] != "newest"
-        lines.append(("* " if behind else _GAP) + _GAP.join(cells).rstrip())
+        lines.append(
+            ("* " if behind else _COLUMN_GAP) + _COLUMN_GAP.join(cells).rstrip()
+        )
     return lines
 
 
--- a/src/hyssopvane/_internal/commands/table_show.py
+++ b/src/hyssopvane/_internal/commands/table_show.py
@@ -1,4 +1,4 @@
-"""Show the table like a spreadsheet."""
+"""Show the table as text."""
 
 import shutil
 from typing import TYPE_CHECKING
@@ -12,7 +12,7 @@
     from hyssopvane._internal.coordination.key_value import KeyValueStore
     from hyssopvane._internal.state.table import Table
 
-_NARROWEST = 80
+_MIN_WIDTH = 80
 
 
 class TableShowCommand(TableCommand):
@@ -41,11 +41,11 @@
         kinds = [kind for kind in RowKind if what in {"", f"{kind}s", str(kind)}]
         if not kinds:
             raise TableError(
-                f"there is nothing in the table called {what!r}",
+                f"the table has no kind or row {what!r}",
                 context="kinds: customers, services, targets",
-                hint="name one of these, or a row as in customer/alice",
+                hint="use one of these, or a row as in customer/alice",
             )
-        width = max(_NARROWEST, shutil.get_terminal_size().columns)
+        width = max(_MIN_WIDTH, shutil.get_terminal_size().columns)
         lines = [f"table revision {table.revision}"]
         for kind in kinds:
             lines += ["", *format_rows(table, kind, width=width)]
--- a/src/hyssopvane/_internal/roles/caller_app.py
+++ b/src/hyssopvane/_internal/roles/caller_app.py
@@ -1,4 +1,4 @@
-"""Answer callers: know them, read their requests, run them."""
+"""Serve callers: authenticate them, then read and run their requests."""
 
 import hashlib
 import time
@@ -43,8 +43,8 @@
 _RETRY_AFTER_S = 1.0
 
 
-class Refuse(Exception):
-    """Carry a refusal out of the checks of a request."""
+class RequestRefused(Exception):
+    """Abort the checks of a request with a refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.reason.value)
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what one caller can make an entry hold."""
+    """Limit the memory that one caller's request can use at an entry."""
 
     max_body_bytes: int
 
 
 class CallerApp:
-    """Serve the callers' listener."""
+    """Handle the requests on the callers' listener."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._limits = limits
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one caller's request."""
+        """Handle one ASGI scope."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -89,8 +89,8 @@
         started_at = trio.current_time()
         try:
             request = await self._read_request(scope, receive, request_id)
-        except Refuse as refuse:
-            refusal = _qualify(refuse.refusal, _read_headers(scope))
+        except RequestRefused as refused:
+            refusal = _make_unknown_if_keyed(refused.refusal, _read_headers(scope))
             self._metrics.count_refusal(refusal.reason.value)
             await reply.send_refusal(refusal)
             return
@@ -122,15 +122,15 @@
         async def wait() -> None:
             await wait_for_disconnect(receive)
             if reply.ended:
-                # The server reports a caller gone from within the sending of the last
-                # part. Cancelling that sending leaves a kept connection that never
-                # counts as idle, and a shutdown waits for it to its time limit.
+                # The server may report the disconnect while the last part is being
+                # sent. If that send were cancelled, a keep-alive connection would never
+                # count as idle, and a shutdown would wait for it until its time limit.
                 await trio.sleep_forever()
 
         outcome = "cut"
         try:
             await run_until_disconnect(run, wait)
-            # The server reports the caller gone after a whole answer, too.
+            # The server reports a disconnect after a complete answer, too.
             outcome = "ended" if reply.ended else "caller-gone"
         except* AnswerCut:
             pass
@@ -139,17 +139,17 @@
     async def _read_request(
         self, scope: Any, receive: Any, request_id: str
     ) -> CallerRequest:
-        found = _read_headers(scope)
+        fields = _read_headers(scope)
         directory = self._source.get_directory()
-        customer = _find_customer(directory, found)
+        customer = _find_customer(directory, fields)
         service = _find_service(directory, scope["path"])
-        deadline_s = _read_deadline(found, service)
-        key = _read_key(found, service)
+        deadline_s = _read_deadline(fields, service)
+        key = _read_key(fields, service)
         try:
             body = await read_body(receive, max_bytes=self._limits.max_body_bytes)
         except BodyTooLarge:
             detail = f"the limit is {self._limits.max_body_bytes} bytes"
-            raise Refuse(
+            raise RequestRefused(
                 Refusal(RefusalReason.BODY_TOO_LARGE, Outcome.NOT_RUN, detail=detail)
             ) from None
         query: bytes = scope.get("query_string", b"")
@@ -168,7 +168,7 @@
             ),
             method=scope["method"],
             path=_strip_prefix(path, service) + (b"?" + query if query else b""),
-            headers=found,
+            headers=fields,
             body=body,
             key=key,
             key_window_s=service.idempotency_window_s,
@@ -176,15 +176,15 @@
 
 
 class DirectorySource:
-    """Give the directory of the table in force; empty until one is known."""
+    """Hold the directory of the table in force; `None` until a table is known."""
 
     def __init__(self) -> None:
         self.directory: Directory | None = None
 
     def get_directory(self) -> Directory:
-        """Return the directory, or refuse while no table is known."""
+        """Return the directory; raise `RequestRefused` while no table is known."""
         if self.directory is None:
-            raise Refuse(
+            raise RequestRefused(
                 Refusal(
                     RefusalReason.NOT_READY,
                     Outcome.NOT_RUN,
@@ -199,10 +199,10 @@
     return tuple((bytes(name), bytes(value)) for name, value in scope["headers"])
 
 
-def _read_key(found: Headers, service: ServiceRow) -> IdempotencyKey | None:
-    key = read_key(found)
+def _read_key(fields: Headers, service: ServiceRow) -> IdempotencyKey | None:
+    key = read_key(fields)
     if isinstance(key, Refusal):
-        raise Refuse(key)
+        raise RequestRefused(key)
     refusal = check_key(
         key,
         required=service.key_required,
@@ -210,40 +210,44 @@
         now=time.time(),
     )
     if refusal is not None:
-        raise Refuse(refusal)
+        raise RequestRefused(refusal)
     return key
 
 
-def _qualify(refusal: Refusal, found: Headers) -> Refusal:
-    """Say no more of a key than what holds for all its attempts."""
-    if isinstance(read_key(found), IdempotencyKey):
+def _make_unknown_if_keyed(refusal: Refusal, fields: Headers) -> Refusal:
+    """Make the outcome unknown for a keyed request: another attempt may have run."""
+    if isinstance(read_key(fields), IdempotencyKey):
         return make_outcome_unknown(refusal)
     return refusal
 
 
-def _find_customer(directory: Directory, found: Headers) -> CustomerRow:
-    value = headers.get_header(found, headers.AUTHORIZATION) or b""
+def _find_customer(directory: Directory, fields: Headers) -> CustomerRow:
+    value = headers.get_header(fields, headers.AUTHORIZATION) or b""
     key = value.removeprefix(_BEARER) if value.startswith(_BEARER) else b""
     customer = directory.find_customer(hashlib.sha256(key).hexdigest()) if key else None
     if customer is None:
-        raise Refuse(Refusal(RefusalReason.UNKNOWN_CALLER, Outcome.NOT_RUN))
+        raise RequestRefused(Refusal(RefusalReason.UNKNOWN_CALLER, Outcome.NOT_RUN))
     return customer
 
 
 def _find_service(directory: Directory, path: str) -> ServiceRow:
     service = directory.find_service(path)
     if service is None:
-        raise Refuse(Refusal(RefusalReason.UNKNOWN_SERVICE, Outcome.NOT_RUN))
+        raise RequestRefused(Refusal(RefusalReason.UNKNOWN_SERVICE, Outcome.NOT_RUN))
     return service
 
 
-def _read_deadline(found: Headers, service: ServiceRow) -> float:
-    value = headers.get_header(found, headers.DEADLINE_MS)
+def _read_deadline(fields: Headers, service: ServiceRow) -> float:
+    value = headers.get_header(fields, headers.DEADLINE_MS)
     if value is None:
         return float(service.deadline_s)
     if not value.isdigit() or not 0 < int(value) <= _MAX_DEADLINE_MS:
-        detail = "Hyssopvane-Deadline-Ms is a whole number of milliseconds, up to a day"
-        raise Refuse(Refusal(RefusalReason.MALFORMED, Outcome.NOT_RUN, detail=detail))
+        detail = (
+            "Hyssopvane-Deadline-Ms must be a whole number of milliseconds, up to a day"
+        )
+        raise RequestRefused(
+            Refusal(RefusalReason.MALFORMED, Outcome.NOT_RUN, detail=detail)
+        )
     return int(value) / 1_000
 
 
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -1,4 +1,4 @@
-"""Run the entry: callers' HTTP in front, agents behind."""
+"""Run the entry, which accepts callers' HTTP requests and sends them to agents."""
 
 import secrets
 from collections.abc import Mapping
@@ -41,15 +41,15 @@
 from hyssopvane._internal.roles.claim_router import ClaimRouter
 from hyssopvane._internal.roles.dispatcher import Dispatcher
 from hyssopvane._internal.roles.entry_links import EntryLinks
+from hyssopvane._internal.roles.operator_queries import OperatorQueries
 from hyssopvane._internal.roles.operators import (
     OperatedProcess,
     OperatorsApp,
 )
 from hyssopvane._internal.roles.peer_listener import serve_peers
 from hyssopvane._internal.roles.peer_pool import PeerAddress, PeerObserver, PeerPool
-from hyssopvane._internal.roles.read_back import ReadBack
 from hyssopvane._internal.roles.refusing_app import (
-    MalformedNotes,
+    MalformedRequestHandler,
     RefusingApp,
     describe_late_request,
 )
@@ -71,15 +71,16 @@
 )
 from hyssopvane._internal.utils.logs import log_event
 
-# A connection to another entry costs heartbeats both ways, and most are used seldom.
+# A connection to another entry costs heartbeats in both directions, and most are rarely
+# used.
 _IDLE_LINK_S = 30.0
-_SETTLE_INTERVAL_S = 0.05
+_DEADLINE_CHECK_INTERVAL_S = 0.05
 _AGENT_ROLE = "agent"
 _ENTRY_ROLE = "entry"
 
 
 class Entry(OperatedProcess, PeerHandler, PeerObserver):
-    """Serve callers, with the targets' agents behind."""
+    """Serve callers and send their requests to the agents of targets."""
 
     def __init__(self, settings: EntrySettings) -> None:
         super().__init__(settings)
@@ -129,7 +130,7 @@
             self.scheduler.admission,
             own_vm=settings.vm,
             incarnation=self.incarnation,
-            send_request=self.links.ask_briefly,
+            send_request=self.links.ask_once,
             get_customers=self._get_customers,
         )
         self.topics.add_question(DEMAND_TOPIC, self._answer_demand)
@@ -142,11 +143,11 @@
             own_vm=settings.vm,
             incarnation=self.incarnation,
             random=self._random,
-            observe=self._put_in_force,
+            observe=self._apply_table,
             vm_list=settings.vm_list,
-            observe_vms=self._use_vms,
+            observe_vms=self._update_vms,
         )
-        self._read_back = ReadBack(
+        self._operator_queries = OperatorQueries(
             self,
             report=self._report_status,
             links=self.links,
@@ -166,14 +167,14 @@
             scheduler=self.scheduler,
             pool=self._pool,
             metrics=self.metrics,
-            memory=self.decisions,
+            decision_log=self.decisions,
             claims=self.claims,
         )
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve callers until cancelled."""
+        """Serve callers, peers and operators until cancelled."""
         async with trio.open_nursery() as nursery:
             await self._store.start(nursery)
             self.links.start(nursery)
@@ -184,7 +185,10 @@
             self.sharing.start(nursery)
             nursery.start_soon(self._quarantine.run)
             nursery.start_soon(
-                partial(self.dispatcher.watch_deadlines, interval_s=_SETTLE_INTERVAL_S)
+                partial(
+                    self.dispatcher.watch_deadlines,
+                    interval_s=_DEADLINE_CHECK_INTERVAL_S,
+                )
             )
             self.operators_address = await nursery.start(
                 serve_until_cancelled, OperatorsApp(self), self.settings.operators
@@ -202,27 +206,27 @@
             await trio.sleep_forever()
 
     async def drain(self) -> None:
-        """Leave the balancer, then let every request in progress end whole."""
+        """Leave the platform's balancer, then complete every request in progress."""
         self.leaving = True
         self._callers_leaving.set()
         log_event("info", "draining", open=self.scheduler.count_requests())
-        # The balancer keeps sending until it has seen the readiness change; a listener
-        # closed before that refuses callers who did nothing wrong.
+        # The balancer sends callers here until it has seen the readiness change. If the
+        # listener closed before that, their connections would be refused.
         await trio.sleep(self.settings.shutdown_delay_s)
         self._callers_shutdown.set()
         await self._callers_closed.wait()
 
     async def close(self) -> None:
-        """Release the connection to the platform and the instruments."""
+        """Close the connection to the store, and the metrics."""
         await self._store.close()
         self.metrics.close()
 
     def is_ready(self) -> bool:
-        """Tell whether the entry takes new work."""
+        """Return whether the entry has a table and is not shutting down."""
         return not self.leaving and self._source.directory is not None
 
     def describe(self) -> dict[str, object]:
-        """Return what is in force here."""
+        """Return the state shown to operators: identity, table, watches and targets."""
         directory = self._source.directory
         return {
             "role": "entry",
@@ -269,7 +273,7 @@
         self.topics.receive(peer, topic, body)
 
     async def serve_stream(self, stream: PeerStream, opening: Open) -> None:
-        """Do nothing: nobody sends work to an entry by the internal protocol."""
+        """Do nothing: entries get no requests over the internal protocol."""
 
     def connect_peer(self, hello: Hello) -> None:
         self.scheduler.connect_target(
@@ -282,8 +286,8 @@
         )
         self.sharing.connect_agent(hello.vm, hello.service)
         if hello.vm in self._listed_leaving:
-            self._tell_leaving(hello.vm)
-        self.dispatcher.settle()
+            self._notify_leaving(hello.vm)
+        self.dispatcher.deliver_decisions()
 
     def disconnect_peer(self, vm: str) -> None:
         self.scheduler.disconnect_target(vm)
@@ -299,23 +303,23 @@
             ),
         )
 
-    def _note_leaving(self, records: tuple[VmRecord, ...]) -> None:
-        # The platform may announce a leaving VM long before its agent is told to
-        # stop. The next heartbeat says the same again, or that it has come back.
+    def _update_leaving(self, records: tuple[VmRecord, ...]) -> None:
+        # The platform may list a VM as leaving long before its agent is signaled to
+        # stop. The next heartbeat confirms it, or reports that the VM has returned.
         before = self._listed_leaving
         self._listed_leaving = frozenset(
             record.name for record in records if record.state is VmState.LEAVING
         )
         for vm in before ^ self._listed_leaving:
-            self._tell_leaving(vm)
+            self._notify_leaving(vm)
 
-    def _tell_leaving(self, vm: str) -> None:
-        # Entries with an older list go on to send work there; the agent refuses it.
+    def _notify_leaving(self, vm: str) -> None:
+        # Entries with an older list still send requests there; the agent refuses them.
         connection = self._pool.get_connection(vm)
         if connection is None:
             return
-        word = LEAVING if vm in self._listed_leaving else STAYING
-        connection.notify(LISTED_TOPIC, word)
+        notice = LEAVING if vm in self._listed_leaving else STAYING
+        connection.notify(LISTED_TOPIC, notice)
         if connection.last_heartbeat is not None:
             self.observe_heartbeat(vm, connection.last_heartbeat)
 
@@ -373,7 +377,7 @@
             app_when_late=RefusingApp(
                 RefusalReason.ENTRY_LEAVING, metrics=self.metrics
             ),
-            record_malformed=MalformedNotes(self.metrics),
+            record_malformed=MalformedRequestHandler(self.metrics),
             describe_late=describe_late_request,
         )
 
@@ -388,20 +392,20 @@
             task_status=task_status,
         )
 
-    def _put_in_force(self, table: Table) -> None:
+    def _apply_table(self, table: Table) -> None:
         self._source.directory = Directory(table)
         self.scheduler.update_table(table, now=trio.current_time())
 
-    def _use_vms(self, records: tuple[VmRecord, ...]) -> None:
+    def _update_vms(self, records: tuple[VmRecord, ...]) -> None:
         assert self._nursery is not None
         self._pool.update(self._select_agents(records), self._nursery)
         self.links.update(_select_entries(records, own_vm=self.settings.vm))
         self._demand.update_entries(self.links.list_vms())
-        self._read_back.update_vms(records)
-        self._note_leaving(records)
+        self._operator_queries.update_vms(records)
+        self._update_leaving(records)
 
     def _select_agents(self, records: tuple[VmRecord, ...]) -> frozenset[PeerAddress]:
-        """Return the agents that this entry connects to."""
+        """Return the agents in this entry's subset and set those that get suspects."""
         chosen = self._subset.update(
             entries=_list_members(records, VmRole.ENTRY),
             targets=_list_members(records, VmRole.AGENT),
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -1,4 +1,4 @@
-"""Carry out the steps of requests with idempotency keys."""
+"""Run requests with idempotency keys."""
 
 import secrets
 import time
@@ -56,45 +56,45 @@
 )
 from hyssopvane._internal.transport.peer_connection import PeerConnection
 
-FRESH_KEY_S = 2.0
-"""Age below which a key is taken for a first attempt.
+FIRST_ATTEMPT_MAX_AGE_S = 2.0
+"""Age below which a key is assumed to be on its first attempt.
 
-Its claim is not read before it is written. At 870 keyed requests a second this keeps
-the reads near none; a repeat that comes sooner is found by the write.
+The claim of such a key is written without a read before. At 870 keyed requests a second
+this avoids nearly all reads; a repeat within this time is detected by the write.
 """
 
-REJOIN_S = 5.0
-"""Time to wait for a new connection to an agent, above the silence that closes one."""
+RECONNECT_TIMEOUT_S = 5.0
+"""Time to wait for a reconnection; longer than the silence that closes a connection."""
 
-_REJOIN_INTERVAL_S = 0.1
+_RECONNECT_POLL_INTERVAL_S = 0.1
 _VOID_TIMEOUT_S = 1.0
 _RETRY_AFTER_S = 1.0
 
 
-class Places(ABC):
-    """Give places at targets."""
+class Placer(ABC):
+    """Place requests at targets."""
 
     @abstractmethod
     async def submit(self, work: WorkRequest) -> Placed | Refusal:
-        """Wait for a place, or for the refusal."""
+        """Wait until the request is placed or refused."""
 
     @abstractmethod
     async def finish(
         self, work: WorkRequest, report: AttemptReport
     ) -> Placed | Refusal | None:
-        """Give a place back; wait for the next one where there is to be one."""
+        """Release the place after an attempt; wait for another one if it is retried."""
 
     @abstractmethod
     def withdraw(self, work: WorkRequest) -> None:
-        """Give everything back."""
+        """Remove the request from the queue and release its place."""
 
     @abstractmethod
     def record(self, request_id: str, decision: str, why: str) -> None:
-        """Keep a decision for operators."""
+        """Record a decision for operators."""
 
 
 class KeyedDispatch:
-    """Run one request with a key."""
+    """Run one request with an idempotency key."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         reply: ReplyWriter,
         *,
         key: IdempotencyKey,
-        places: Places,
+        placer: Placer,
         pool: PeerPool,
         claims: ClaimRouter,
     ) -> None:
@@ -110,7 +110,7 @@
         self._work = request.work
         self._reply = reply
         self._key = key
-        self._places = places
+        self._placer = placer
         self._pool = pool
         self._claims = claims
         self._claim_key = make_claim_key(self._work.customer, key.text, key.created_at)
@@ -120,52 +120,52 @@
         self._placed = False
 
     async def run(self) -> Refusal | None:
-        """Run to the end; return the refusal where the caller got no answer."""
-        old = self._key.get_age(time.time()) > FRESH_KEY_S
+        """Run the request; return the refusal, or `None` after an answer."""
+        old = self._key.get_age(time.time()) > FIRST_ATTEMPT_MAX_AGE_S
         step = self._flow.begin(look=old)
         while True:
             if isinstance(step, Refuse):
-                self._give_up_place()
-                return self._tell(step.refusal)
+                self._release_place()
+                return self._refuse_or_cut(step.refusal)
             if isinstance(step, Send | Join):
                 end = await self._exchange(step)
                 if isinstance(end, Answered):
-                    await self._end_answered(end)
+                    await self._report_answer(end)
                     return None
                 if isinstance(end, Failed) and self._placed:
                     await self._report_failure()
-                step = self._go_on(step, end)
+                step = self._handle_end(step, end)
             else:
                 step = await self._prepare(step)
 
     async def _report_failure(self) -> None:
-        # The body may be what broke the target; the scheduler keeps count of it.
+        # The body may have crashed the target; the scheduler counts such failures.
         report = AttemptReport(AttemptResult.BROKEN, "target-broken", final=True)
-        await self._places.finish(self._work, report)
+        await self._placer.finish(self._work, report)
         self._placed = False
 
     async def _prepare(self, step: ReadClaim | Place | Write) -> Step:
         if isinstance(step, ReadClaim):
-            return await self._look()
+            return await self._read_claim()
         if isinstance(step, Place):
-            return await self._place()
+            return await self._request_place()
         return await self._write(step)
 
-    async def _look(self) -> Step:
+    async def _read_claim(self) -> Step:
         try:
             with trio.move_on_at(self._work.deadline):
                 claim = await self._claims.find(self._claim_key)
                 return self._flow.handle_claim(claim)
         except HyssopvaneError as error:
             return self._flow.handle_write_failure(error.message)
-        return self._flow.handle_write_failure("the claim was not read in time")
+        return self._flow.handle_write_failure("reading the claim timed out")
 
-    async def _place(self) -> Step:
+    async def _request_place(self) -> Step:
         if self._placed:
             report = AttemptReport(AttemptResult.NOT_STARTED, "not-started")
-            decision = await self._places.finish(self._work, report)
+            decision = await self._placer.finish(self._work, report)
         else:
-            decision = await self._places.submit(self._work)
+            decision = await self._placer.submit(self._work)
         self._placed = isinstance(decision, Placed)
         if isinstance(decision, Placed):
             return self._flow.handle_target(
@@ -179,22 +179,22 @@
     async def _write(self, step: Write) -> Step:
         deadline = self._work.deadline
         if step.change.claim.void:
-            # Often the deadline is why the claim is made void; the caller is better
-            # served by a certain answer a moment later.
+            # A claim is often made void because the deadline has passed. A definite
+            # outcome shortly after the deadline is better for the caller.
             deadline = max(deadline, trio.current_time() + _VOID_TIMEOUT_S)
         with trio.move_on_at(deadline):
             result = await self._claims.change(step.change)
             if result.status is ChangeStatus.KNOWN:
                 next_step = self._flow.handle_written(result.claim)
                 if not isinstance(next_step, Send):
-                    self._give_up_place()
+                    self._release_place()
                 return next_step
             if result.status is ChangeStatus.EXPIRED:
                 return Refuse(Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN))
             return self._flow.handle_write_failure(
-                "the key-value service is out; the claim is not confirmed"
+                "the key-value service is unavailable; the claim is not confirmed"
             )
-        return self._flow.handle_write_failure("the claim was not confirmed in time")
+        return self._flow.handle_write_failure("confirming the claim timed out")
 
     async def _exchange(self, step: Send | Join) -> ExchangeEnd:
         claim = step.claim
@@ -207,7 +207,7 @@
             if join:
                 return Lost("no connection to the agent that holds the key")
             return NotStarted(AgentRefusal.NOT_CONNECTED)
-        self._places.record(
+        self._placer.record(
             self._work.request_id, "joined" if join else "claimed", claim.target
         )
         opening = make_opening(
@@ -225,7 +225,7 @@
             deadline=self._work.deadline,
         )
 
-    def _go_on(self, step: Send | Join, end: ExchangeEnd) -> Step:
+    def _handle_end(self, step: Send | Join, end: ExchangeEnd) -> Step:
         if isinstance(end, NotStarted):
             return self._flow.handle_agent_refusal(
                 end.reason, joined=isinstance(step, Join)
@@ -247,37 +247,39 @@
             return Refuse(
                 Refusal(RefusalReason.TARGET_BROKEN, Outcome.UNKNOWN, detail=end.why)
             )
-        detail = "the same key, sent again, gets the answer if it comes"
+        detail = "a retry with the same key gets the answer if the target completes it"
         return Refuse(
             Refusal(RefusalReason.DEADLINE_PASSED, Outcome.UNKNOWN, detail=detail)
         )
 
     async def _wait_for_connection(self, claim: Claim) -> PeerConnection | None:
-        """Wait a little: a connection that went silent is opened anew."""
-        with trio.move_on_at(min(self._work.deadline, trio.current_time() + REJOIN_S)):
+        """Wait for a connection, since a silent one is closed and opened again."""
+        with trio.move_on_at(
+            min(self._work.deadline, trio.current_time() + RECONNECT_TIMEOUT_S)
+        ):
             while True:
                 connection = self._get_connection(claim)
                 if connection is not None:
                     return connection
-                await trio.sleep(_REJOIN_INTERVAL_S)
+                await trio.sleep(_RECONNECT_POLL_INTERVAL_S)
         return None
 
     def _get_connection(self, claim: Claim) -> PeerConnection | None:
         connection = self._pool.get_connection(claim.target)
         return None if connection is None or connection.lost else connection
 
-    async def _end_answered(self, end: Answered) -> None:
+    async def _report_answer(self, end: Answered) -> None:
         if self._placed:
             report = AttemptReport(AttemptResult.ANSWERED, latency_s=end.latency_s)
             self._placed = False
-            await self._places.finish(self._work, report)
+            await self._placer.finish(self._work, report)
 
-    def _give_up_place(self) -> None:
+    def _release_place(self) -> None:
         if self._placed:
             self._placed = False
-            self._places.withdraw(self._work)
+            self._placer.withdraw(self._work)
 
-    def _tell(self, refusal: Refusal) -> Refusal:
+    def _refuse_or_cut(self, refusal: Refusal) -> Refusal:
         if self._reply.started:
             raise AnswerCut(refusal.reason.value)
         return refusal
--- a/src/hyssopvane/_internal/roles/metrics_app.py
+++ b/src/hyssopvane/_internal/roles/metrics_app.py
@@ -1,4 +1,4 @@
-"""Answer whoever collects the metrics of a process on the direct path."""
+"""Serve the metrics of a process on the direct path to collectors."""
 
 from typing import Any, Protocol
 
@@ -11,21 +11,21 @@
 METRICS_PATH = "/metrics"
 
 
-class Rendered(Protocol):
-    """Tell what metrics say."""
+class RenderableMetrics(Protocol):
+    """Represent metrics that can be rendered as text."""
 
     def render(self) -> bytes:
         """Return all instruments in the Prometheus text format."""
 
 
 class MetricsApp:
-    """Serve the metrics address."""
+    """Answer requests for the metrics in the Prometheus text format."""
 
-    def __init__(self, metrics: Rendered) -> None:
+    def __init__(self, metrics: RenderableMetrics) -> None:
         self._metrics = metrics
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Answer one request; any other path gets 404."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
--- a/src/hyssopvane/_internal/roles/belief_exchange.py
+++ b/src/hyssopvane/_internal/roles/snapshot_exchange.py
@@ -1,8 +1,8 @@
-"""Pass what an entry has learnt from the store on to entries that can't read it.
+"""Share the state of the store with peers that can't read it.
 
-The store may turn away some machines while it serves the operators and all others.
-A machine that it turns away would go on with routes and keys that were removed, and
-nobody would see it but the callers. What its peers know reaches it within a second.
+The store may refuse some machines while it serves the operators and all others. A
+refused machine would continue with removed routes and keys, and only callers would
+notice. The snapshot of its peers reaches it within a second.
 """
 
 from typing import Any
@@ -29,11 +29,13 @@
 )
 from hyssopvane._internal.utils.logs import log_event
 
-BELIEFS_PATH = "/beliefs"
+SNAPSHOT_PATH = "/beliefs"
 
-SETTLE_S = 0.25
-"""Time that the store's own news get before a peer is asked: they come within
-milliseconds, and asking costs bytes between zones."""
+FETCH_DELAY_S = 0.25
+"""Wait for an update from the store itself before a peer is queried.
+
+Such updates arrive within milliseconds, and a query costs traffic between zones.
+"""
 
 FETCH_TIMEOUT_S = 1.0
 MAX_BYTES = 16 * 1024 * 1024
@@ -42,39 +44,39 @@
 _OK = 200
 
 
-class BeliefExchange:
-    """Ask peers for what is newer, and answer them."""
+class SnapshotExchange:
+    """Fetch newer snapshots of the store from peers, and serve the own one."""
 
     def __init__(self, feed: RoutingFeed, *, seeds: tuple[str, ...]) -> None:
         self._feed = feed
         self._seeds = seeds
         self._client = ReplicaClient()
         self._nursery: trio.Nursery | None = None
-        self._asking: set[str] = set()
+        self._fetching: set[str] = set()
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Ask the seeds until something is known."""
+        """Start to poll the seeds until a configuration is known."""
         self._nursery = nursery
         if self._seeds:
-            nursery.start_soon(self._ask_seeds)
+            nursery.start_soon(self._fetch_from_seeds)
 
     async def close(self) -> None:
         """Close the connections to peers."""
         await self._client.close()
 
     def observe(self, peer: EntryState) -> None:
-        """Take note of how new a peer's beliefs are."""
-        if self._is_newer(peer) and peer.beliefs not in self._asking:
+        """Fetch the snapshot of a peer if its state is newer than the own one."""
+        if self._is_newer(peer) and peer.beliefs not in self._fetching:
             assert self._nursery is not None
-            self._asking.add(peer.beliefs)
-            self._nursery.start_soon(self._ask_later, peer)
+            self._fetching.add(peer.beliefs)
+            self._nursery.start_soon(self._fetch_later, peer)
 
     async def answer(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer a peer."""
+        """Answer a peer's request with the own snapshot."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
             return
-        known = scope["path"] == BELIEFS_PATH
+        known = scope["path"] == SNAPSHOT_PATH
         body = encode_store_snapshot(self._feed.export()) if known else b""
         await send_response(send, status=_OK if known else 404, headers=(), body=body)
 
@@ -86,16 +88,16 @@
             or known > feed.replicas_position
         )
 
-    async def _ask_later(self, peer: EntryState) -> None:
+    async def _fetch_later(self, peer: EntryState) -> None:
         try:
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(FETCH_DELAY_S)
             if self._is_newer(peer):
                 await self._fetch(peer.beliefs)
         finally:
-            self._asking.discard(peer.beliefs)
+            self._fetching.discard(peer.beliefs)
 
-    async def _ask_seeds(self) -> None:
-        # After a restart during an outage of the store, only peers know anything.
+    async def _fetch_from_seeds(self) -> None:
+        # After a restart during a store outage only peers have the configuration.
         await trio.sleep(SEED_INTERVAL_S)
         while not self._feed.is_ready():
             for seed in self._seeds:
@@ -108,12 +110,12 @@
                 async with self._client.call(
                     address,
                     method="GET",
-                    target=BELIEFS_PATH.encode(),
+                    target=SNAPSHOT_PATH.encode(),
                     headers=((b"host", b"peer"),),
                 ) as response:
                     limit = PartLimit(scope, part_s=FETCH_TIMEOUT_S)
                     body = await response.read(max_bytes=MAX_BYTES, limit=limit)
-            beliefs = decode_store_snapshot(body)
+            snapshot = decode_store_snapshot(body)
         except (
             ReplicaUnreachable,
             ReplicaFailed,
@@ -122,12 +124,12 @@
         ) as error:
             log_event("info", "beliefs-unavailable", peer=address, why=repr(error))
             return
-        self._feed.merge(beliefs)
+        self._feed.merge(snapshot)
         log_event(
             "info",
             "beliefs-merged",
             peer=address,
-            configuration_revision=beliefs.configuration_revision,
-            replicas_revision=beliefs.replicas_revision,
-            era=beliefs.replicas_era,
+            configuration_revision=snapshot.configuration_revision,
+            replicas_revision=snapshot.replicas_revision,
+            era=snapshot.replicas_era,
         )
--- a/tests/functional/test_build.py
+++ b/tests/functional/test_build.py
@@ -1,4 +1,4 @@
-"""Test the one-file build, and that light commands load nothing heavy."""
+"""Test the one-file build, and that help commands import no large libraries."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def program(tmp_path_factory):
-    """Give the program's path, and unpack it into a temporary folder."""
+    """Return the command of the built program, which unpacks to a temporary folder."""
     if not PROGRAM.exists():
         subprocess.run([ROOT / "dev", "build"], check=True)
     before = os.environ.get("SHIV_ROOT")
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     ("arguments", "text"), [(["--help"], "Usage:"), (["list"], "run entry")]
 )
-def test_program_tells_its_commands(program, arguments, text):
+def test_program_lists_its_commands(program, arguments, text):
     done = subprocess.run(
         [*program, *arguments], capture_output=True, text=True, check=True
     )
--- a/tests/functional/test_direct_promises.py
+++ b/tests/functional/test_direct_promises.py
@@ -1,4 +1,4 @@
-"""Test what an entry promises, whatever its replicas do with its requests."""
+"""Test the guarantees of an entry under any faults of its replicas."""
 
 from collections import Counter
 
@@ -34,7 +34,7 @@
 
 
 class Journal:
-    """Make replicas do what a plan says, and remember what they ran."""
+    """Let replicas follow a plan of faults, and record the requests that they ran."""
 
     def __init__(self, plan):
         self._plan = iter(plan)
@@ -96,14 +96,14 @@
     if path == "/bids/7":
         assert runs <= 1, "ran more than once"
         if answer is not None and answer.status in (429, 503, 408, 421):
-            assert runs == 0, "was said not to have run"
-    assert runs <= 2, "more replicas than the route allows"
+            assert runs == 0, "ran but was reported as not run"
+    assert runs <= 2, "ran more often than the route allows"
     if answer is not None and answer.status == 200:
         assert answer.body == b"for " + request_id.encode()
         assert "x-response-signature" in answer.headers
 
 
-async def play(plan, paths):
+async def run_plan(plan, paths):
     journal = Journal(plan)
     async with open_direct() as site:
         for number in range(REPLICAS):
@@ -116,7 +116,7 @@
             except ReplicaFailed:
                 answer = None
             check_answer(path, request_id, answer, journal)
-        # A second later nothing of it runs after all.
+        # No request may run after its answer.
         before = journal.runs.copy()
         await trio.sleep(0.01)
         assert journal.runs == before
@@ -134,46 +134,46 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(PLANS, CALLS)
-def test_promises_hold_whatever_replicas_do(plan, paths):
-    """Replicas lose, double, spoil and delay their answers in any order.
+def test_guarantees_hold_with_any_replica_faults(plan, paths):
+    """Guard against violations when answers are lost, doubled, malformed or late.
 
-    A bid must not run twice, a refused one must not have run, and nobody may get the
-    answer to somebody else's request.
+    A bid must not run twice, a refused bid must not have run, and no caller may get the
+    answer to another caller's request.
     """
-    trio.run(play, plan, paths)
+    trio.run(run_plan, plan, paths)
 
 
 @pytest.mark.parametrize("path", PATHS)
-def test_refusal_of_another_request_proves_nothing_of_this_one(path):
-    """Guards against a request that runs twice by a refusal of another one."""
-    trio.run(play, ["another-refusal"] * 4, [path] * 4)
+def test_refusal_of_another_request_does_not_allow_a_retry(path):
+    """Guard against a second run of a request after the refusal of another one."""
+    trio.run(run_plan, ["another-refusal"] * 4, [path] * 4)
 
 
-def find_break(plan, paths):
-    broken = False
+def find_violation(plan, paths):
+    is_violated = False
     try:
-        trio.run(play, plan, paths)
+        trio.run(run_plan, plan, paths)
     except* AssertionError:
-        broken = True
-    return broken
+        is_violated = True
+    return is_violated
 
 
-def test_check_sees_a_request_that_is_repeated_without_proof(monkeypatch):
+def test_check_detects_a_retry_without_proof(monkeypatch):
     monkeypatch.setattr(
         direct_call.DirectCall, "_may_repeat", lambda self, failure: True
     )
-    assert find_break(["nothing"] * 4, ["/bids/7"] * 4)
+    assert find_violation(["nothing"] * 4, ["/bids/7"] * 4)
 
 
-def test_check_sees_a_failure_that_is_told_as_not_run(monkeypatch):
+def test_check_detects_a_failure_reported_as_not_run(monkeypatch):
     def describe(self):
         return direct_call.DirectAnswer(direct_call.DirectRefusal.REPLICA_REFUSED, 0.1)
 
     monkeypatch.setattr(direct_call.DirectCall, "_describe_failure", describe)
-    assert find_break(["nothing"] * 4, ["/bids/7"] * 4)
+    assert find_violation(["nothing"] * 4, ["/bids/7"] * 4)
 
 
-def test_check_sees_an_answer_that_belongs_to_another_request(monkeypatch):
+def test_check_detects_an_answer_to_another_request(monkeypatch):
     monkeypatch.setattr(replica_client, "_has_surplus", lambda kept: False)
     monkeypatch.setattr(
         replica_client.httpcore.AsyncHTTP11Connection, "has_expired", lambda self: False
@@ -183,10 +183,10 @@
         await self._relay_whole(response)
 
     monkeypatch.setattr(direct_call.DirectCall, "_relay", relay)
-    assert find_break(["twice"] * 12, ["/status/7"] * 8)
+    assert find_violation(["twice"] * 12, ["/status/7"] * 8)
 
 
 @pytest.mark.parametrize("share", [0.0])
-def test_no_repeat_goes_beyond_the_budget(share, monkeypatch):
+def test_retries_do_not_exceed_the_budget(share, monkeypatch):
     monkeypatch.setattr(repeat_budget.RepeatBudget, "take", lambda self, *_, now: False)
-    trio.run(play, ["nothing"] * 8, ["/status/7"] * 4)
+    trio.run(run_plan, ["nothing"] * 8, ["/status/7"] * 4)
--- a/tests/functional/test_operations.py
+++ b/tests/functional/test_operations.py
@@ -1,4 +1,4 @@
-"""Test that the way from a failed request's id to its cause needs the logs alone."""
+"""Test that the logs are sufficient to find the cause of a request's outcome."""
 
 import re
 import subprocess
@@ -21,8 +21,8 @@
 PAGE = Path(__file__).parents[2] / "docs/OPERATIONS.md"
 
 
-def play(tmp_path, test):
-    """Run a direct path and return the file of its log lines."""
+def record_log(tmp_path, test):
+    """Run a test on the direct path and return its log file."""
     log = tmp_path / "entries.log"
 
     async def main():
@@ -40,7 +40,7 @@
 
 
 def explain(log, request_id):
-    """Run the command that the page gives for a request."""
+    """Run the explain command of the page for a request and return its output."""
     command = re.search(r"^hyssopvane (explain .*)$", PAGE.read_text(), re.MULTILINE)[1]
     words = command.replace("REQUEST", request_id).replace("LOG", str(log)).split()
     done = subprocess.run(
@@ -53,8 +53,8 @@
     return done.stdout
 
 
-def test_refused_request_shows_the_load_that_refused_it(tmp_path):
-    """A caller was told to come back later, and asks why."""
+def test_refused_request_shows_the_load_at_its_refusal(tmp_path):
+    """The log explains why a caller got a refusal with Retry-After."""
 
     async def hang(replica, stream, request):
         await trio.sleep_forever()
@@ -69,39 +69,39 @@
             assert answer.status == 503
             nursery.cancel_scope.cancel()
 
-    story = explain(play(tmp_path, test), "the-one")
-    assert "outcome=overloaded" in story
-    in_flight = float(re.search(r"in_flight=(\S+)", story)[1])
-    limit = float(re.search(r"limit=(\S+)", story)[1])
-    assert in_flight >= limit or "heard=0" in story
+    output = explain(record_log(tmp_path, test), "the-one")
+    assert "outcome=overloaded" in output
+    in_flight = float(re.search(r"in_flight=(\S+)", output)[1])
+    limit = float(re.search(r"limit=(\S+)", output)[1])
+    assert in_flight >= limit or "heard=0" in output
 
 
 async def _call_quietly(site, request_id):
     await site.call("/drafts/7", request_id=request_id)
 
 
-def test_cut_stream_shows_the_replica_that_broke_off(tmp_path):
-    """A clerk's draft ended in the middle, and nobody knows which machine it was."""
+def test_cut_stream_shows_the_replica_that_failed(tmp_path):
+    """The log identifies the replica that ended a stream early."""
 
-    async def break_off(replica, stream, request):
+    async def fail_after_two_events(replica, stream, request):
         head = make_answer(request, body=b"", headers=STREAM_HEAD)
         await stream.send_all(head + chunk(make_event(1)))
         return False
 
     async def test(site):
-        await site.add_replica("i-broken", break_off, service="drafting")
+        await site.add_replica("i-broken", fail_after_two_events, service="drafting")
         with pytest.raises(ReplicaFailed):
             await site.call("/once/7", request_id="the-one")
 
-    story = explain(play(tmp_path, test), "the-one")
-    first, second = story.splitlines()
+    output = explain(record_log(tmp_path, test), "the-one")
+    first, second = output.splitlines()
     assert "attempt-failed" in first
     assert "replica=i-broken" in first
     assert "outcome=cut" in second
 
 
 def test_late_answer_shows_where_the_time_went(tmp_path):
-    """A bidder's page stood still, though the answer came in the end."""
+    """The log shows which part of a slow request took the time."""
 
     async def answer_late(replica, stream, request):
         await trio.sleep(0.3)
@@ -112,10 +112,10 @@
         await site.add_replica("i-slow", answer_late)
         assert (await site.call("/status/7", request_id="the-one")).status == 200
 
-    story = explain(play(tmp_path, test), "the-one")
-    placed = int(re.search(r"placed_ms=(\S+)", story)[1])
-    first = int(re.search(r"first_ms=(\S+)", story)[1])
-    assert "replica=i-slow" in story
+    output = explain(record_log(tmp_path, test), "the-one")
+    placed = int(re.search(r"placed_ms=(\S+)", output)[1])
+    first = int(re.search(r"first_ms=(\S+)", output)[1])
+    assert "replica=i-slow" in output
     assert first - placed >= 250
 
 
@@ -129,4 +129,4 @@
         timeout=HANG_S,
     )
     assert done.returncode != 0
-    assert "no line speaks of request x" in done.stderr
+    assert "no line of the log has request x" in done.stderr
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -19,7 +19,7 @@
     encode_store_snapshot,
 )
 from hyssopvane._internal.protocol.headers import index_headers
-from hyssopvane._internal.roles.belief_exchange import BeliefExchange
+from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.transport.replica_client import (
     ReplicaFailed,
@@ -104,7 +104,7 @@
 
     feed: RoutingFeed
     client: DirectStoreClient
-    exchange: BeliefExchange
+    exchange: SnapshotExchange
     scope: trio.CancelScope
     in_contact_from: float
     version: int = 0
@@ -265,7 +265,7 @@
         self._nursery.start_soon(self._run_feed, feed, scope)
         in_contact_from = trio.current_time() + RECOVERY_S
         return Process(
-            feed, client, BeliefExchange(feed, seeds=()), scope, in_contact_from
+            feed, client, SnapshotExchange(feed, seeds=()), scope, in_contact_from
         )
 
     async def _run_feed(self, feed: RoutingFeed, scope: trio.CancelScope) -> None:
--- a/tests/unit/test_keyed_runs.py
+++ b/tests/unit/test_keyed_runs.py
@@ -1,4 +1,4 @@
-"""Test how an agent runs requests with keys and keeps their answers."""
+"""Test how an agent runs requests with idempotency keys and keeps their answers."""
 
 import hashlib
 from contextlib import asynccontextmanager
@@ -28,7 +28,7 @@
 
 
 class FakeResponse:
-    """Give two parts of an answer, the second when the test allows it."""
+    """Yield an answer in two parts, the second one when the test allows it."""
 
     status = 200
     headers = ()
@@ -38,16 +38,16 @@
 
     async def aiter_stream(self):
         yield b"first, "
-        await self.target.go_on.wait()
+        await self.target.may_continue.wait()
         yield self.target.rest
 
 
 class FakeTarget:
-    """Count calls."""
+    """Record the bodies of calls."""
 
     def __init__(self):
         self.calls = []
-        self.go_on = trio.Event()
+        self.may_continue = trio.Event()
         self.rest = b"second"
 
     @asynccontextmanager
@@ -68,9 +68,11 @@
 
 @asynccontextmanager
 async def run_agent():
-    """Run the keyed part of an agent; give its target and a way to connect to it."""
+    """Run the keyed part of an agent; yield its target and a function to connect."""
     target = FakeTarget()
-    runs = KeyedRuns(register=AttemptRegister(1), target=target, memory=DecisionLog())
+    runs = KeyedRuns(
+        register=AttemptRegister(1), target=target, decision_log=DecisionLog()
+    )
 
     async def serve(stream, opening):
         await runs.serve(stream, opening, leaving=False)
@@ -89,7 +91,7 @@
 
 
 async def receive_all(stream):
-    """Return the messages of an answer, its chunks joined."""
+    """Return the messages of an answer, with adjacent chunks joined."""
     messages = []
     while True:
         message = await stream.receive()
@@ -109,9 +111,10 @@
     ("resume_from", "data"), [(0, b"first, second"), (7, b"second")]
 )
 def test_repeat_gets_the_answer_after_the_entry_died(resume_from, data):
-    """The entry's connection breaks while the answer streams.
+    """Guard against a run that ends with its connection.
 
-    The run must go on, and the repeat gets its answer from where the caller stands.
+    The entry's connection is lost while the answer streams. The run continues, and the
+    repeated request gets the answer from the byte that the caller has reached.
     """
 
     async def run():
@@ -126,24 +129,24 @@
                     key, FIRST, join=True, resume_from=resume_from
                 )
                 stream = pair.opener.open_stream(opening)
-                target.go_on.set()
+                target.may_continue.set()
                 assert await receive_all(stream) == [Head(200, ()), Chunk(data), End()]
             assert target.calls == [BODY]
 
     run_test(run)
 
 
-def test_late_copy_of_a_buried_attempt_is_refused():
-    """A repeat asks for an attempt whose frame is still on its way.
+def test_late_copy_of_an_attempt_with_a_tombstone_is_refused():
+    """Guard against a bid that is made twice.
 
-    The repeat is told that it did not start, and its entry starts another; if the late
-    frame ran after that, the bid would be made twice.
+    A repeat joins an attempt whose opening has not arrived yet. It is refused, and its
+    entry starts another attempt. The late opening must not start after that.
     """
 
     async def run():
         key = make_key()
         async with run_agent() as (target, connect), connect() as pair:
-            target.go_on.set()
+            target.may_continue.set()
             join = pair.opener.open_stream(make_keyed_opening(key, FIRST, join=True))
             assert await join.receive() == Refused("tombstone")
             late = await open_run(pair, make_keyed_opening(key, FIRST))
@@ -159,7 +162,7 @@
 
 
 def test_entry_that_dies_within_the_body_leaves_nothing_running():
-    """The entry dies after it sent half of a bid; the target must not see half."""
+    """Guard against a partial bid at the target when the entry dies within the body."""
 
     async def run():
         key = make_key()
@@ -196,8 +199,8 @@
     run_test(run)
 
 
-def test_answer_that_is_no_longer_kept_is_told():
-    """A very long answer does not fit into the agent's memory once its caller left."""
+def test_answer_that_is_no_longer_kept_is_reported():
+    """A repeat gets an error when its answer was too large to keep without a reader."""
 
     async def run():
         key = make_key()
@@ -208,7 +211,7 @@
             stream.close()
             pair.opener.close()
             await trio.testing.wait_all_tasks_blocked()
-            target.go_on.set()
+            target.may_continue.set()
             await trio.testing.wait_all_tasks_blocked()
             async with connect() as again:
                 opening = make_keyed_opening(key, FIRST, join=True)
--- a/tests/unit/test_layers.py
+++ b/tests/unit/test_layers.py
@@ -1,4 +1,4 @@
-"""Test that no layer imports one above it."""
+"""Test that each layer imports only the layers that it may use."""
 
 import ast
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 ROOT = Path(next(iter(hyssopvane._internal.__path__)))
 PACKAGE = "hyssopvane._internal"
-# What each layer may import, as docs/architecture.md tells it.
+# The imports that docs/architecture.md allows for each layer.
 SHARED = {"exceptions", "models", "utils"}
 ALLOWED = {
     "models": {"exceptions"},
@@ -20,7 +20,7 @@
     "transport": SHARED | {"state", "policy", "protocol", "transport"},
     "coordination": SHARED | {"state", "policy", "protocol", "coordination"},
 }
-# These decide from what they are given, so that a test needs no socket and no clock.
+# These layers decide by their arguments alone, so tests need no sockets and no clock.
 PURE = ("state", "policy")
 IMPURE_MODULES = {"trio", "socket", "time", "asyncio", "httpcore", "hypercorn"}
 
@@ -30,7 +30,7 @@
 
 
 def list_imports(path):
-    """Return the modules that a file imports."""
+    """Yield the modules that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -54,7 +54,7 @@
         assert not found & IMPURE_MODULES, path.name
 
 
-def test_only_the_assembly_and_the_adapter_import_the_platform():
+def test_only_assembly_imports_the_platform_adapter():
     for path in sorted(ROOT.rglob("*.py")):
         if path.parent.name == "platform" or path == ROOT / "assembly.py":
             continue
@@ -62,7 +62,7 @@
         assert not found, path.relative_to(ROOT)
 
 
-def test_the_platforms_names_stand_in_its_folder_only():
+def test_platform_names_appear_only_in_the_adapter():
     words = ("kv-", "/api/", "x-tenant", "X-Tenant", "expert-map", "op/config")
     for path in sorted(ROOT.rglob("*.py")):
         if path.parent.name != "platform":
