--- a/src/hyssopvane/_internal/coordination/claims.py
+++ b/src/hyssopvane/_internal/coordination/claims.py
@@ -163,7 +163,7 @@
         Return a claim that the service has lost if this entry still knows it.
         """
         if self._buckets[key.bucket].is_failing:
-            raise KeyValueUnavailable("the key-value service is unavailable")
+            raise KeyValueUnavailable("the key-value service is out")
         page_key = get_page_key(key.slice, key.bucket)
         item = await self._store.get(page_key)
         claim = _decode_item(item).page.claims.get(key.key_hash)
--- a/src/hyssopvane/_internal/protocol/idempotency.py
+++ b/src/hyssopvane/_internal/protocol/idempotency.py
@@ -60,9 +60,7 @@
         detail = f"the key is {age_s:.0f} s old; the window is {window_s:.0f} s"
         return Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN, detail=detail)
     if age_s < -MAX_CLOCK_SKEW_S:
-        detail = (
-            f"the key is {-age_s:.0f} s ahead; the limit is {MAX_CLOCK_SKEW_S:.0f} s"
-        )
+        detail = f"the key is {-age_s:.0f} s ahead; {MAX_CLOCK_SKEW_S:.0f} s are let"
         # An entry with another clock may have accepted the key, so the request may
         # have run.
         return Refusal(RefusalReason.KEY_FROM_FUTURE, Outcome.UNKNOWN, detail=detail)
--- a/src/hyssopvane/_internal/roles/attempt.py
+++ b/src/hyssopvane/_internal/roles/attempt.py
@@ -50,7 +50,7 @@
 
     async def run(self) -> None:
         """Run the attempt; the last message on the stream reports how it ended."""
-        self._record("started", "the agent accepts new requests")
+        self._record("started", "the agent takes new work")
         opening = self._opening
         try:
             async with self._target.call(
@@ -69,7 +69,7 @@
             self._record("broken", str(error))
             self._stream.send(Broken(str(error)))
         else:
-            self._record("answered", "the target's answer is complete")
+            self._record("answered", "the target's answer is whole")
 
     async def _relay(self, response: httpcore.Response) -> None:
         observe_backoff(self._backoff, response)
--- a/src/hyssopvane/_internal/roles/caller_app.py
+++ b/src/hyssopvane/_internal/roles/caller_app.py
@@ -242,9 +242,7 @@
     if value is None:
         return float(service.deadline_s)
     if not value.isdigit() or not 0 < int(value) <= _MAX_DEADLINE_MS:
-        detail = (
-            "Hyssopvane-Deadline-Ms must be a whole number of milliseconds, up to a day"
-        )
+        detail = "Hyssopvane-Deadline-Ms is a whole number of milliseconds, up to a day"
         raise RequestRefused(
             Refusal(RefusalReason.MALFORMED, Outcome.NOT_RUN, detail=detail)
         )
--- a/src/hyssopvane/_internal/roles/keyed_dispatch.py
+++ b/src/hyssopvane/_internal/roles/keyed_dispatch.py
@@ -158,7 +158,7 @@
                 return self._flow.handle_claim(claim)
         except HyssopvaneError as error:
             return self._flow.handle_write_failure(error.message)
-        return self._flow.handle_write_failure("reading the claim timed out")
+        return self._flow.handle_write_failure("the claim was not read in time")
 
     async def _request_place(self) -> Step:
         if self._placed:
@@ -192,9 +192,9 @@
             if result.status is ChangeStatus.EXPIRED:
                 return Refuse(Refusal(RefusalReason.KEY_EXPIRED, Outcome.UNKNOWN))
             return self._flow.handle_write_failure(
-                "the key-value service is unavailable; the claim is not confirmed"
+                "the key-value service is out; the claim is not confirmed"
             )
-        return self._flow.handle_write_failure("confirming the claim timed out")
+        return self._flow.handle_write_failure("the claim was not confirmed in time")
 
     async def _exchange(self, step: Send | Join) -> ExchangeEnd:
         claim = step.claim
@@ -247,7 +247,7 @@
             return Refuse(
                 Refusal(RefusalReason.TARGET_BROKEN, Outcome.UNKNOWN, detail=end.why)
             )
-        detail = "a retry with the same key gets the answer if the target completes it"
+        detail = "the same key, sent again, gets the answer if it comes"
         return Refuse(
             Refusal(RefusalReason.DEADLINE_PASSED, Outcome.UNKNOWN, detail=detail)
         )
--- a/src/hyssopvane/_internal/roles/keyed_runs.py
+++ b/src/hyssopvane/_internal/roles/keyed_runs.py
@@ -167,13 +167,11 @@
             self._record(opening, "broken", str(error))
             answer.finish(Broken(str(error)))
         else:
-            self._record(opening, "answered", "the target's answer is complete")
+            self._record(opening, "answered", "the target's answer is whole")
             answer.finish(End())
         finally:
             if not answer.ended:
-                answer.finish(
-                    Broken("the agent stopped before the answer was complete")
-                )
+                answer.finish(Broken("the agent was stopped"))
             self._end_work()
 
     async def _call_target(
