--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -122,11 +122,11 @@
         # Sent at once, not with the next heartbeat: until an entry knows, it sends
         # requests here that are refused and have to go to another target.
         for connection in self._connections:
-            connection.announce_health()
+            connection.queue_heartbeat()
         # An entry may have sent requests before it received that. If the connection
         # closed at once, they would be lost and their callers would get the outcome
         # "unknown", although a graceful shutdown must not cut off any request.
-        await self._for_each_connection(PeerConnection.settle)
+        await self._for_each_connection(PeerConnection.sync)
         await self._wait_idle()
         self._stop_accepting.set()
         await self._for_each_connection(PeerConnection.finish)
@@ -191,7 +191,7 @@
         """Record the position of the table that an entry has."""
         # On a new connection a heartbeat may arrive before the rows.
         if peer in self._row_senders:
-            self.rows.update_position(heartbeat.table_mark)
+            self.rows.update_position(heartbeat.table_position)
 
     def _receive_rows(self, peer: PeerConnection, body: bytes) -> None:
         try:
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -17,13 +17,13 @@
     Rejection,
 )
 from hyssopvane._internal.policy.stream_pauses import StreamPauses
-from hyssopvane._internal.protocol.event_stream import EventCutter, StreamEvent
-from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_rest
+from hyssopvane._internal.protocol.event_stream import EventSplitter, StreamEvent
+from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_backoff_s
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.protocol.replica_headers import (
     ReplicaHeaders,
+    indicates_leaving,
     read_request_limit,
-    says_leaving,
     select_for_caller,
     select_for_replica,
 )
@@ -311,7 +311,7 @@
             replaced.append((names.customer, request.customer.name.encode()))
         if self._last_event_id is not None:
             replaced.append((names.resume_after, self._last_event_id))
-        headers = select_for_replica(request.headers, names, replaced=tuple(replaced))
+        headers = select_for_replica(request.headers, names, overrides=tuple(replaced))
         if request.body or request.method in _METHODS_WITH_BODY:
             headers += ((b"content-length", str(len(request.body)).encode()),)
         return headers
@@ -352,7 +352,7 @@
             return
         self._record_limit(replica, response)
         self._record_backoff(replica, response)
-        if says_leaving(response.fields, self._dependencies.names):
+        if indicates_leaving(response.fields, self._dependencies.names):
             self._dependencies.gates.observe_leaving(self._request.service, replica)
 
     def _record_limit(self, replica: Replica, response: AnswerHead) -> None:
@@ -371,7 +371,7 @@
 
     def _record_backoff(self, replica: Replica, response: AnswerHead) -> None:
         try:
-            backoff_s = read_rest(response.status, response.fields)
+            backoff_s = read_backoff_s(response.status, response.fields)
         except ProtocolError as error:
             self._dependencies.metrics.count_event("rest-unreadable")
             log_event("warning", "rest-unreadable", replica=replica.id, why=error)
@@ -427,14 +427,14 @@
         await self._send({"type": "http.response.body", "body": body})
 
     async def _relay_stream(self, response: ReplicaResponse) -> None:
-        cutter = EventCutter()
+        splitter = EventSplitter()
         async for part in response.iterate():
-            for event in cutter.feed(part):
+            for event in splitter.feed(part):
                 self._check_event(event)
                 self.pauses.observe(trio.current_time())
                 await self._start_stream(response)
                 await self._send_part(event.data)
-        if cutter.rest.strip():
+        if splitter.remainder.strip():
             raise ReplicaFailed("the stream ended within an event")
         await self._start_stream(response)
         self.ended = True
