--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -10,7 +10,7 @@
 
 from tests.soak.callers import KINDS, Call
 from tests.soak.fleet import Member, reset_reload_action
-from tests.soak.notices import Notices, Seen
+from tests.soak.notices import Notices, Observation
 from tests.soak.run import Size, run_seed
 
 SMALL = Size(entries=2, groups=1, plain=2, callers=6, seconds=6.0, patience=6.0)
@@ -87,8 +87,8 @@
 def test_check_sees_requests_into_a_rest(into, others, excused, broken):
     calls = [make_call(f"r-{number}", sent_at=1.0) for number in range(into)]
     calls += [make_call("told"), make_call("other", **({"sent_at": 3.5} | others))]
-    notices = Notices([Seen("i-1", call.id, call.sent_at) for call in calls])
-    notices.rests.append(Seen("i-1", "told", 0.0, rest_s=3.0))
+    notices = Notices([Observation("i-1", call.id, call.sent_at) for call in calls])
+    notices.backoffs.append(Observation("i-1", "told", 0.0, backoff_s=3.0))
     found = notices.check(calls, is_excused=lambda *span: excused, late_s=0.0)
     assert bool(found) is broken
 
@@ -96,8 +96,8 @@
 @pytest.mark.parametrize(("sent_at", "broken"), [(1.9, False), (2.1, True)])
 def test_check_sees_requests_to_a_replica_that_leaves(sent_at, broken):
     calls = [make_call("told"), make_call("late", sent_at=sent_at)]
-    notices = Notices([Seen("i-1", call.id, call.sent_at) for call in calls])
-    notices.leavings.append(Seen("i-1", "told", 0.0))
+    notices = Notices([Observation("i-1", call.id, call.sent_at) for call in calls])
+    notices.leaving_reports.append(Observation("i-1", "told", 0.0))
     found = notices.check(calls, is_excused=lambda *span: False, late_s=0.0)
     assert bool(found) is broken
 
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -16,14 +16,14 @@
 )
 from tests.lib.rank_standin import GroupStandIn
 from tests.soak.link import Link
-from tests.soak.notices import LeavingStream, Notices, Seen
+from tests.soak.notices import LeavingStream, Notices, Observation
 
 EVENTS = 6
 """Events of a stream."""
 
 EVENT_PAUSE_S = 0.03
 
-RESTS_S = (0.0, 0.7, 3.0, 6.0)
+BACKOFFS_S = (0.0, 0.7, 3.0, 6.0)
 """Times without requests that a refusing replica asks for; one is drawn each time."""
 
 FULL = "full"
@@ -136,15 +136,15 @@
             await stream.send_all(make_answer(request, status=421, signed=False))
             return True
         notices, now = self._journal.notices, trio.current_time()
-        seen = Seen(replica.id, request.headers.get("x-request-id", ""), now)
+        seen = Observation(replica.id, request.headers.get("x-request-id", ""), now)
         if self.link.is_calm(now):
             notices.arrivals.append(seen)
         if self.leaving:
             stream = LeavingStream(stream)  # type: ignore[assignment]
             if self.link.is_calm(now):
-                notices.leavings.append(seen)
+                notices.leaving_reports.append(seen)
         if self.refusing:
-            await self._ask_for_rest(stream, request, seen)
+            await self._request_backoff(stream, request, seen)
             return True
         trouble = "whole"
         if self._random.random() < self.trouble_share:
@@ -161,15 +161,15 @@
         finally:
             self.running -= 1
 
-    async def _ask_for_rest(
-        self, stream: trio.SocketStream, request: Received, seen: Seen
+    async def _request_backoff(
+        self, stream: trio.SocketStream, request: Received, seen: Observation
     ) -> None:
-        rest_s = self._random.choice(RESTS_S)
-        headers = (("X-Not-Executed", "1"), ("Retry-After", f"{rest_s:g}"))
+        backoff_s = self._random.choice(BACKOFFS_S)
+        headers = (("X-Not-Executed", "1"), ("Retry-After", f"{backoff_s:g}"))
         answer = make_answer(request, status=503, signed=False, headers=headers)
         await stream.send_all(answer)
         if self.link.is_calm(seen.at):
-            self._journal.notices.rests.append(replace(seen, rest_s=rest_s))
+            self._journal.notices.backoffs.append(replace(seen, backoff_s=backoff_s))
 
     def _note_run(self, request: Received) -> None:
         headers, told = request.headers, self._journal.violate
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -8,10 +8,10 @@
 if TYPE_CHECKING:
     from tests.soak.callers import Call
 
-HEARD_S = 0.5
+BACKOFF_GRACE_S = 0.5
 """Time after an answer from which a rest that it asks for is to be kept."""
 
-MOST_IN_REST = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 """Requests that an entry may send to a replica within one rest."""
 
 DRAIN_S = 2.0
@@ -38,13 +38,13 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class Observation:
     """Hold a request that reached a replica, or an answer that said something."""
 
     replica: str
     request_id: str
     at: float
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     """Time for which the answer asks for rest."""
 
 
@@ -52,9 +52,9 @@
 class Notices:
     """Hold what replicas have seen and said over a run."""
 
-    arrivals: list[Seen] = field(default_factory=list)
-    rests: list[Seen] = field(default_factory=list)
-    leavings: list[Seen] = field(default_factory=list)
+    arrivals: list[Observation] = field(default_factory=list)
+    backoffs: list[Observation] = field(default_factory=list)
+    leaving_reports: list[Observation] = field(default_factory=list)
 
     def check(
         self,
@@ -68,37 +68,39 @@
         `is_excused` tells whether an entry was stopped in a span of time.
         """
         sent = {call.id: call for call in calls}
-        reached: dict[str, list[tuple[Seen, Call]]] = defaultdict(list)
-        for one in self.arrivals:
-            if one.request_id in sent:
-                reached[one.replica].append((one, sent[one.request_id]))
-        broken = []
-        for word in self.rests:
-            told = sent.get(word.request_id)
-            until = word.at + word.rest_s
-            if told is None or is_excused(told.entry, word.at, until):
+        reached: dict[str, list[tuple[Observation, Call]]] = defaultdict(list)
+        for arrival in self.arrivals:
+            if arrival.request_id in sent:
+                reached[arrival.replica].append((arrival, sent[arrival.request_id]))
+        violations = []
+        for notice in self.backoffs:
+            notified = sent.get(notice.request_id)
+            until = notice.at + notice.backoff_s
+            if notified is None or is_excused(notified.entry, notice.at, until):
                 continue
-            against = [
-                one.request_id
-                for one, call in reached[word.replica]
-                if _is_same_start(told, call)
-                and word.at + HEARD_S + late_s < one.at < until
+            violating = [
+                arrival.request_id
+                for arrival, call in reached[notice.replica]
+                if _is_same_start(notified, call)
+                and notice.at + BACKOFF_GRACE_S + late_s < arrival.at < until
             ]
-            if len(against) > MOST_IN_REST:
-                broken.append(f"{told.entry} sent {against} into {word}")
-        for word in self.leavings:
-            told = sent.get(word.request_id)
-            if told is None or not told.whole:
+            if len(violating) > MAX_REQUESTS_IN_BACKOFF:
+                violations.append(f"{notified.entry} sent {violating} into {notice}")
+        for notice in self.leaving_reports:
+            notified = sent.get(notice.request_id)
+            if notified is None or not notified.whole:
                 continue
-            for one, call in reached[word.replica]:
-                if not _is_same_start(told, call) or is_excused(
-                    told.entry, word.at, one.at
+            for arrival, call in reached[notice.replica]:
+                if not _is_same_start(notified, call) or is_excused(
+                    notified.entry, notice.at, arrival.at
                 ):
                     continue
-                if call.sent_at > word.at + DRAIN_S + late_s:
-                    broken.append(f"{told.entry} sent {one.request_id} after {word}")
-        return broken
+                if call.sent_at > notice.at + DRAIN_S + late_s:
+                    violations.append(
+                        f"{notified.entry} sent {arrival.request_id} after {notice}"
+                    )
+        return violations
 
 
-def _is_same_start(told: "Call", call: "Call") -> bool:
-    return (told.entry, told.starts) == (call.entry, call.starts)
+def _is_same_start(notified: "Call", call: "Call") -> bool:
+    return (notified.entry, notified.starts) == (call.entry, call.starts)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -38,7 +38,7 @@
 from tests.soak.faults import Faults
 from tests.soak.fleet import Fleet, Member
 from tests.soak.link import Link
-from tests.soak.notices import HEARD_S
+from tests.soak.notices import BACKOFF_GRACE_S
 
 KEPT_FOLDER = Path(__file__).parents[2] / ".bench" / "soak-failures"
 
@@ -394,7 +394,7 @@
         self.journal.violations += self.journal.notices.check(
             self.callers.calls,
             is_excused=self.faults.interrupted,
-            late_s=HEARD_S * (self.size.patience - 1),
+            late_s=BACKOFF_GRACE_S * (self.size.patience - 1),
         )
 
     def _check_calls(self) -> None:
