--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -27,7 +27,7 @@
 """Times without requests that a refusing replica asks for; one is drawn each time."""
 
 FULL = "full"
-TROUBLES = ("error", "lost", "half", "extra", "slow", FULL)
+ANSWER_FAULTS = ("error", "lost", "half", "extra", "slow", FULL)
 """What a troubled replica does instead of answering."""
 
 
@@ -62,7 +62,7 @@
         self.service = service
         self.host = host
         self.link = Link("", listen=f"{host}:0")
-        self.trouble_share = 0.0
+        self.fault_share = 0.0
         self.orders_lost = 0.0
         self.orders_late = 0.0
         self.refusing = False
@@ -146,10 +146,10 @@
         if self.refusing:
             await self._request_backoff(stream, request, seen)
             return True
-        trouble = "whole"
-        if self._random.random() < self.trouble_share:
-            trouble = self._random.choice(TROUBLES)
-        if trouble == FULL or (self.group is not None and self.group.broken):
+        fault = "whole"
+        if self._random.random() < self.fault_share:
+            fault = self._random.choice(ANSWER_FAULTS)
+        if fault == FULL or (self.group is not None and self.group.broken):
             headers = (("X-Not-Executed", "1"),)
             answer = make_answer(request, status=503, signed=False, headers=headers)
             await stream.send_all(answer)
@@ -157,7 +157,7 @@
         self._note_run(request)
         self.running += 1
         try:
-            return await self._answer(trouble, stream, request)
+            return await self._answer(fault, stream, request)
         finally:
             self.running -= 1
 
@@ -184,12 +184,12 @@
             told(f"{request_id}: body {request.body!r}")
 
     async def _answer(
-        self, trouble: str, stream: trio.SocketStream, request: Received
+        self, fault: str, stream: trio.SocketStream, request: Received
     ) -> bool:
         if self.group is not None:
-            return await self._stream(trouble, stream, request)
+            return await self._stream(fault, stream, request)
         whole = make_answer(request, body=make_body(request.headers["x-request-id"]))
-        match trouble:
+        match fault:
             case "error":
                 await stream.send_all(make_answer(request, status=500, body=b"sorry"))
             case "lost":
@@ -208,15 +208,15 @@
         return True
 
     async def _stream(
-        self, trouble: str, stream: trio.SocketStream, request: Received
+        self, fault: str, stream: trio.SocketStream, request: Received
     ) -> bool:
         first = int(request.headers.get("last-event-id", "0")) + 1
-        ends_at = self._random.randint(first, EVENTS) if trouble != "whole" else 0
+        ends_at = self._random.randint(first, EVENTS) if fault != "whole" else 0
         await stream.send_all(make_answer(request, body=b"", headers=STREAM_HEAD))
         for number in range(first, EVENTS + 1):
-            await trio.sleep(EVENT_PAUSE_S if trouble != "slow" else 0.3)
+            await trio.sleep(EVENT_PAUSE_S if fault != "slow" else 0.3)
             event = chunk(make_event(request.headers["x-request-id"], number))
-            if number == ends_at and trouble != "slow":
+            if number == ends_at and fault != "slow":
                 await stream.send_all(event[: len(event) // 2])
                 return False
             await stream.send_all(event)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from tests.soak.run import SoakRun
 
-SERIES = 3
+MAX_CONCURRENT_FAULTS = 3
 """Faults that may be there at the same time."""
 
 PLANNED = frozenset({"stop", "configure", "reload"})
@@ -23,16 +23,16 @@
 
 _INTERRUPTIONS = frozenset({"stop", "kill", "pause"})
 
-PLANNED_PART = 0.35
+PLANNED_SHARE = 0.35
 """Part of a run in which only planned work is done."""
 
-TROUBLE_SHARE = 0.04
+FAULT_SHARE = 0.04
 """Requests that every replica fails, spoils or cuts after the planned part."""
 
 _GRACE_S = 6.0
-_SETTLED_S = 1.0
+_LINK_SETTLE_S = 1.0
 """Time after a link's fault in which what it held up may still arrive."""
-_ADDRESS_REST_S = 1.0
+_ADDRESS_REUSE_DELAY_S = 1.0
 """Time until another replica serves at the address of one that has gone."""
 
 
@@ -54,56 +54,58 @@
         self._random = Random(run.random.random())
         self._busy: set[str] = set()
         self.spans: list[Span] = []
-        self.told: list[str] = []
-        self._due = ["refuse", "leave"] if run.size.notices else []
-        self._due += ["return"] if run.size.store_returns else []
+        self.descriptions: list[str] = []
+        self._queued = ["refuse", "leave"] if run.size.notices else []
+        self._queued += ["return"] if run.size.store_returns else []
         """Faults that come first after the planned part: a short run draws few."""
 
     async def run(self, seconds: float) -> None:
         """Draw faults for a while, and wait until all are healed."""
         # Planned work alone comes first: what is cut then was cut by it.
-        await self._run_series(PLANNED, seconds * PLANNED_PART)
+        await self._run_series(PLANNED, seconds * PLANNED_SHARE)
         for backend in self._run.backends:
-            backend.trouble_share = TROUBLE_SHARE
+            backend.fault_share = FAULT_SHARE
         # A replica that breaks off cuts the caller's stream, whatever an entry does.
         began_at = trio.current_time()
         self.spans.append(Span("spoilt", "replicas", began_at, float("inf")))
-        await self._run_series(None, seconds * (1 - PLANNED_PART))
+        await self._run_series(None, seconds * (1 - PLANNED_SHARE))
         for backend in self._run.backends:
-            backend.trouble_share = 0.0
+            backend.fault_share = 0.0
 
     async def _run_series(self, names: frozenset[str] | None, seconds: float) -> None:
         end = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
-            for _ in range(SERIES):
+            for _ in range(MAX_CONCURRENT_FAULTS):
                 nursery.start_soon(self._draw, end, names)
 
-    def harmed(self, entry: str, from_s: float, to_s: float) -> bool:
+    def overlaps_fault(self, entry: str, from_s: float, to_s: float) -> bool:
         """Tell whether a fault of an entry or of all fell into a span of time."""
         return any(
             span.name not in PLANNED and span.where in (entry, "all")
-            for span in self._list(from_s, to_s)
+            for span in self._list_overlapping(from_s, to_s)
         )
 
-    def harmed_anything(self, from_s: float, to_s: float) -> bool:
+    def overlaps_any_fault(self, from_s: float, to_s: float) -> bool:
         """Tell whether any unplanned fault fell into a span of time."""
-        return any(span.name not in PLANNED for span in self._list(from_s, to_s))
+        return any(
+            span.name not in PLANNED for span in self._list_overlapping(from_s, to_s)
+        )
 
-    def interrupted(self, entry: str, from_s: float, to_s: float) -> bool:
+    def overlaps_interruption(self, entry: str, from_s: float, to_s: float) -> bool:
         """Tell whether an entry was stopped, killed or paused in a span of time."""
         return any(
             span.name in _INTERRUPTIONS and span.where in (entry, "all")
-            for span in self._list(from_s, to_s)
+            for span in self._list_overlapping(from_s, to_s)
         )
 
-    def stopped(self, entry: str, from_s: float, to_s: float) -> bool:
+    def overlaps_stop(self, entry: str, from_s: float, to_s: float) -> bool:
         """Tell whether an entry was told to end in a span of time."""
         return any(
             span.name == "stop" and span.where == entry
-            for span in self._list(from_s, to_s)
+            for span in self._list_overlapping(from_s, to_s)
         )
 
-    def _list(self, from_s: float, to_s: float) -> list[Span]:
+    def _list_overlapping(self, from_s: float, to_s: float) -> list[Span]:
         return [
             span for span in self.spans if span.from_s <= to_s and span.to_s >= from_s
         ]
@@ -116,36 +118,36 @@
             ("pause", self._pause),
             ("reload", self._reload),
             ("configure", self._configure),
-            ("link", self._harm_link),
-            ("link", self._harm_link),
-            ("store", self._harm_store),
-            ("trouble", self._trouble),
+            ("link", self._disturb_link),
+            ("link", self._disturb_link),
+            ("store", self._disturb_store),
+            ("trouble", self._raise_fault_share),
             ("crash", self._crash),
-            ("orders", self._harm_orders),
+            ("orders", self._disturb_orders),
             ("drain", self._drain),
         ]
         if self._run.size.notices:
             choices += 4 * [("refuse", self._refuse), ("leave", self._leave)]
         if self._run.size.store_returns:
-            choices += 2 * [("return", self._take_store_back)]
-        fitting = [one for one in choices if names is None or one[0] in names]
+            choices += 2 * [("return", self._restore_store)]
+        eligible = [one for one in choices if names is None or one[0] in names]
         while trio.current_time() < end:
-            name, fault = self._random.choice(fitting)
-            if names is None and self._due:
-                name = self._due.pop(0)
+            name, fault = self._random.choice(eligible)
+            if names is None and self._queued:
+                name = self._queued.pop(0)
                 fault = dict(choices)[name]
             at = trio.current_time()
             # A fault that is still there has no end yet.
-            open_span = Span(name, "all", at, float("inf"))
-            self.spans.append(open_span)
+            ongoing = Span(name, "all", at, float("inf"))
+            self.spans.append(ongoing)
             where = await fault()
-            self.spans.remove(open_span)
+            self.spans.remove(ongoing)
             known = where if where.startswith("entry") else "all"
             self.spans.append(Span(name, known, at, trio.current_time()))
-            self.told.append(f"{at:.1f} {name} {where}")
+            self.descriptions.append(f"{at:.1f} {name} {where}")
             await trio.sleep(self._random.uniform(0.0, 1.0))
 
-    def _take(self, members: list[Member]) -> Member | None:
+    def _reserve_member(self, members: list[Member]) -> Member | None:
         free = [one for one in members if one.name not in self._busy]
         if not free:
             return None
@@ -154,7 +156,7 @@
         return found
 
     async def _stop(self) -> str:
-        member = self._take(self._run.fleet.members)
+        member = self._reserve_member(self._run.fleet.members)
         if member is None:
             return "nobody"
         member.stopping = True
@@ -169,7 +171,7 @@
         return member.name
 
     async def _kill(self) -> str:
-        member = self._take(self._run.fleet.members)
+        member = self._reserve_member(self._run.fleet.members)
         if member is None:
             return "nobody"
         member.kill()
@@ -179,7 +181,7 @@
         return member.name
 
     async def _pause(self) -> str:
-        member = self._take(self._run.fleet.members)
+        member = self._reserve_member(self._run.fleet.members)
         if member is None:
             return "nobody"
         member.send_signal(signal.SIGSTOP)
@@ -200,7 +202,7 @@
             await trio.sleep(self._random.uniform(0.02, 0.3))
         return f"generation {self._run.generation}"
 
-    async def _harm_link(self) -> str:
+    async def _disturb_link(self) -> str:
         links = [*self._run.store_links.items()]
         links += [(one.name, one.link) for one in self._run.backends]
         where, link = self._random.choice(links)
@@ -219,9 +221,9 @@
         link.calm_from = float("inf")
         await trio.sleep(self._random.uniform(0.3, 4.0))
         link.state = LinkState.SOUND
-        link.calm_from = trio.current_time() + _SETTLED_S
+        link.calm_from = trio.current_time() + _LINK_SETTLE_S
 
-    async def _harm_store(self) -> str:
+    async def _disturb_store(self) -> str:
         store = self._run.store
         how = self._random.choice(["down", "lost", "forget"])
         if how == "forget":
@@ -235,7 +237,7 @@
         store.answer_status, store.lose_answers = 0, False
         return f"store {how}"
 
-    async def _take_store_back(self) -> str:
+    async def _restore_store(self) -> str:
         store = self._run.store
         copy = store.copy()
         await trio.sleep(self._random.uniform(0.3, 4.0))
@@ -247,11 +249,11 @@
         self._run.write_again()
         return f"store back at {copy.revision}"
 
-    async def _trouble(self) -> str:
+    async def _raise_fault_share(self) -> str:
         backend = self._random.choice(self._run.backends)
-        backend.trouble_share = self._random.uniform(0.1, 0.9)
+        backend.fault_share = self._random.uniform(0.1, 0.9)
         await trio.sleep(self._random.uniform(0.5, 4.0))
-        backend.trouble_share = TROUBLE_SHARE
+        backend.fault_share = FAULT_SHARE
         return f"trouble {backend.name}"
 
     async def _crash(self) -> str:
@@ -259,13 +261,13 @@
         if backend.name in self._busy:
             return "nobody"
         self._busy.add(backend.name)
-        gone = backend.id
+        old_id = backend.id
         if backend.group is not None:
             backend.group.broken = True
         await backend.end()
         await trio.sleep(self._random.uniform(0.1, 1.0))
-        self._run.unregister(gone)
-        await trio.sleep(_ADDRESS_REST_S)
+        self._run.unregister(old_id)
+        await trio.sleep(_ADDRESS_REUSE_DELAY_S)
         await backend.begin()
         if backend.group is not None:
             backend.group.form()
@@ -278,18 +280,18 @@
         if backend.name in self._busy or backend.group is not None:
             return "nobody"
         self._busy.add(backend.name)
-        gone = backend.id
+        old_id = backend.id
         backend.draining_since = trio.current_time()
         self._run.register(backend)
         await trio.sleep(3.0)
-        await self._replace(backend, gone)
+        await self._replace(backend, old_id)
         return f"drain {backend.name}"
 
-    async def _replace(self, backend: Backend, gone: str) -> None:
+    async def _replace(self, backend: Backend, old_id: str) -> None:
         """End a replica that leaves, and start the next one at its address."""
         await backend.end()
-        self._run.unregister(gone)
-        await trio.sleep(_ADDRESS_REST_S)
+        self._run.unregister(old_id)
+        await trio.sleep(_ADDRESS_REUSE_DELAY_S)
         await backend.begin()
         self._run.register(backend)
         self._busy.discard(backend.name)
@@ -308,15 +310,15 @@
         if backend.name in self._busy:
             return "nobody"
         self._busy.add(backend.name)
-        gone = backend.id
+        old_id = backend.id
         backend.leaving = True
         await trio.sleep(self._random.uniform(0.5, 3.0))
         self._run.register(backend)
         await trio.sleep(self._random.uniform(2.0, 4.0))
-        await self._replace(backend, gone)
+        await self._replace(backend, old_id)
         return f"leave {backend.name}"
 
-    async def _harm_orders(self) -> str:
+    async def _disturb_orders(self) -> str:
         ranks = [one for one in self._run.backends if one.group is not None]
         for one in ranks:
             one.orders_lost = self._random.uniform(0.0, 0.3)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -378,7 +378,7 @@
         self.register(backend)
         await trio.sleep(DRAIN_S * self.size.patience)
         before = sum(self.journal.runs.values())
-        backend.trouble_share = 0.0
+        backend.fault_share = 0.0
         client = ReplicaClient()
         runs = backend.started
         for number in range(30):
@@ -393,7 +393,7 @@
     def _check_notices(self) -> None:
         self.journal.violations += self.journal.notices.check(
             self.callers.calls,
-            is_excused=self.faults.interrupted,
+            is_excused=self.faults.overlaps_interruption,
             late_s=BACKOFF_GRACE_S * (self.size.patience - 1),
         )
 
@@ -409,7 +409,7 @@
                 self.journal.violate(f"served, and never ran: {told}")
             if self._is_cut_by_plan(call) and runs:
                 self.journal.violate(f"cut by a planned stop: {told}")
-            if call.status == -1 and not self.faults.harmed(
+            if call.status == -1 and not self.faults.overlaps_fault(
                 call.entry, call.sent_at - CALM_S, call.ended_at
             ):
                 self.journal.violate(
@@ -421,9 +421,9 @@
             return False
         if not call.sent or not call.ended_at:
             return False
-        if self.faults.harmed_anything(call.sent_at, call.ended_at):
+        if self.faults.overlaps_any_fault(call.sent_at, call.ended_at):
             return False
-        return self.faults.stopped(call.entry, call.sent_at, call.ended_at)
+        return self.faults.overlaps_stop(call.entry, call.sent_at, call.ended_at)
 
     def _fill_report(self) -> None:
         calls = self.callers.calls
@@ -431,7 +431,7 @@
         self.report.served = sum(one.status == 200 for one in calls)
         self.report.refused = sum(one.status in NOT_RUN for one in calls)
         self.report.left = self.callers.left
-        self.report.faults = self.faults.told
+        self.report.faults = self.faults.descriptions
         self.report.violations = self.journal.violations
         self.report.changes = sum(
             member.read_log().count("event=map-in-force")
