--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -39,7 +39,7 @@
     violations: list[str] = field(default_factory=list)
     notices: Notices = field(default_factory=Notices)
 
-    def violate(self, what: str) -> None:
+    def add_violation(self, what: str) -> None:
         """Note a broken promise."""
         self.violations.append(what)
 
@@ -63,8 +63,8 @@
         self.host = host
         self.link = Link("", listen=f"{host}:0")
         self.fault_share = 0.0
-        self.orders_lost = 0.0
-        self.orders_late = 0.0
+        self.lost_order_share = 0.0
+        self.late_order_share = 0.0
         self.refusing = False
         """Whether it turns all requests away and asks for rest."""
         self.leaving = False
@@ -76,7 +76,7 @@
         self.group = group
         self._rank = rank
         self._starts = 0
-        self._life: trio.CancelScope | None = None
+        self._serving_scope: trio.CancelScope | None = None
         self._nursery: trio.Nursery | None = None
         self.running = 0
         self.started = 0
@@ -90,23 +90,23 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Start the first replica, and the link before it."""
         self._nursery = nursery
-        await self.begin()
+        await self.start_replica()
         await nursery.start(self.link.serve)
 
-    async def begin(self) -> None:
+    async def start_replica(self) -> None:
         """Start a replica with an id of its own."""
         assert self._nursery is not None
         self._starts += 1
         self.leaving = False
         self.draining_since = float("inf")
-        replica = DirectReplica(self.id, self._behave)
+        replica = DirectReplica(self.id, self._handle_request)
         await self._nursery.start(self._serve, replica)
         self.link.target = replica.address
 
-    async def end(self) -> None:
+    async def stop_replica(self) -> None:
         """Let the replica crash with all its connections."""
-        if self._life is not None:
-            self._life.cancel()
+        if self._serving_scope is not None:
+            self._serving_scope.cancel()
         await self.link.reset_open()
         self.link.target = "127.0.0.1:9"
 
@@ -124,10 +124,10 @@
     async def _serve(
         self, replica: DirectReplica, *, task_status: trio.TaskStatus[None]
     ) -> None:
-        with trio.CancelScope() as self._life:
+        with trio.CancelScope() as self._serving_scope:
             await replica.serve(task_status=task_status)
 
-    async def _behave(
+    async def _handle_request(
         self, replica: DirectReplica, stream: trio.SocketStream, request: Received
     ) -> bool:
         if request.target.startswith("/api/"):
@@ -154,7 +154,7 @@
             answer = make_answer(request, status=503, signed=False, headers=headers)
             await stream.send_all(answer)
             return True
-        self._note_run(request)
+        self._record_run(request)
         self.running += 1
         try:
             return await self._answer(fault, stream, request)
@@ -171,17 +171,17 @@
         if self.link.is_calm(seen.at):
             self._journal.notices.backoffs.append(replace(seen, backoff_s=backoff_s))
 
-    def _note_run(self, request: Received) -> None:
-        headers, told = request.headers, self._journal.violate
+    def _record_run(self, request: Received) -> None:
+        headers, add_violation = request.headers, self._journal.add_violation
         self.started += 1
         request_id = headers.get("x-request-id", "")
         self._journal.runs[request_id] += 1
         if "authorization" in headers:
-            told(f"{request_id}: the caller's key reached a replica")
+            add_violation(f"{request_id}: the caller's key reached a replica")
         if headers.get("x-tenant") != "registry" and "/gen" not in request.target:
-            told(f"{request_id}: customer {headers.get('x-tenant')!r}")
+            add_violation(f"{request_id}: customer {headers.get('x-tenant')!r}")
         if request.body != f"body of {request_id}".encode():
-            told(f"{request_id}: body {request.body!r}")
+            add_violation(f"{request_id}: body {request.body!r}")
 
     async def _answer(
         self, fault: str, stream: trio.SocketStream, request: Received
@@ -227,11 +227,11 @@
         assert self.group is not None
         path, _, query = request.target.partition("?")
         if path == "/api/order":
-            if self._random.random() < self.orders_lost:
+            if self._random.random() < self.lost_order_share:
                 return False
-            if self._random.random() < self.orders_late:
+            if self._random.random() < self.late_order_share:
                 assert self._nursery is not None
-                self._nursery.start_soon(self._take_late, request.body)
+                self._nursery.start_soon(self._apply_late_order, request.body)
                 return False
         scope = {"path": path, "query_string": query}
         status, answer = self.group.answer(self._rank, scope, request.body)
@@ -242,7 +242,7 @@
         await stream.send_all(data)
         return True
 
-    async def _take_late(self, body: bytes) -> None:
+    async def _apply_late_order(self, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0.3, 5.0))
         assert self.group is not None
         self.group.answer(self._rank, {"path": "/api/order"}, body)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -153,20 +153,22 @@
             self._check(call, response.fields, content)
 
     def _check(self, call: Call, fields: dict[bytes, bytes], content: bytes) -> None:
-        told = self.journal.violate
+        add_violation = self.journal.add_violation
         if fields.get(b"x-request-id", call.id.encode()) != call.id.encode():
-            told(f"{call.id}: an answer to {fields[b'x-request-id']!r}")
+            add_violation(f"{call.id}: an answer to {fields[b'x-request-id']!r}")
         signed = b"x-response-signature" in fields
         if call.status in OWN_ERRORS:
-            told(f"{call.id}: {call.status} for what every configuration allows")
+            add_violation(
+                f"{call.id}: {call.status} for what every configuration allows"
+            )
         if call.status >= 300 and signed and call.status != 500:
-            told(f"{call.id}: a signed {call.status}")
+            add_violation(f"{call.id}: a signed {call.status}")
         if call.status != 200:
             return
         if not signed:
-            told(f"{call.id}: a success without a signature")
+            add_violation(f"{call.id}: a success without a signature")
         if content != _make_answer(call):
-            told(f"{call.id}: {content!r} is not the whole answer")
+            add_violation(f"{call.id}: {content!r} is not the whole answer")
 
 
 def _make_answer(call: Call) -> bytes:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -164,7 +164,9 @@
         if self._random.random() < 0.3:
             member.send_signal(signal.SIGHUP)
         if not await member.wait_ended((_GRACE_S + 2.0) * self._run.size.patience):
-            self._run.journal.violate(f"{member.name} does not end in its grace period")
+            self._run.journal.add_violation(
+                f"{member.name} does not end in its grace period"
+            )
             member.kill()
         await member.start()
         self._busy.discard(member.name)
@@ -264,11 +266,11 @@
         old_id = backend.id
         if backend.group is not None:
             backend.group.broken = True
-        await backend.end()
+        await backend.stop_replica()
         await trio.sleep(self._random.uniform(0.1, 1.0))
         self._run.unregister(old_id)
         await trio.sleep(_ADDRESS_REUSE_DELAY_S)
-        await backend.begin()
+        await backend.start_replica()
         if backend.group is not None:
             backend.group.form()
         self._run.register(backend)
@@ -289,10 +291,10 @@
 
     async def _replace(self, backend: Backend, old_id: str) -> None:
         """End a replica that leaves, and start the next one at its address."""
-        await backend.end()
+        await backend.stop_replica()
         self._run.unregister(old_id)
         await trio.sleep(_ADDRESS_REUSE_DELAY_S)
-        await backend.begin()
+        await backend.start_replica()
         self._run.register(backend)
         self._busy.discard(backend.name)
 
@@ -321,9 +323,9 @@
     async def _disturb_orders(self) -> str:
         ranks = [one for one in self._run.backends if one.group is not None]
         for one in ranks:
-            one.orders_lost = self._random.uniform(0.0, 0.3)
-            one.orders_late = self._random.uniform(0.0, 0.3)
+            one.lost_order_share = self._random.uniform(0.0, 0.3)
+            one.late_order_share = self._random.uniform(0.0, 0.3)
         await trio.sleep(self._random.uniform(1.0, 4.0))
         for one in ranks:
-            one.orders_lost = one.orders_late = 0.0
+            one.lost_order_share = one.late_order_share = 0.0
         return "orders lost and late"
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -139,7 +139,7 @@
                 nursery.cancel_scope.cancel()
         except* AssertionError as errors:
             for error in errors.exceptions:
-                self.journal.violate(repr(error))
+                self.journal.add_violation(repr(error))
         finally:
             self.fleet.close()
         self._check_calls()
@@ -293,7 +293,7 @@
             await trio.sleep(0.1)
             for member in self.fleet.members:
                 if member.starts and not member.stopping and not member.is_running:
-                    self.journal.violate(f"{member.name} ended by itself")
+                    self.journal.add_violation(f"{member.name} ended by itself")
                     member.stopping = True
 
     async def _probe_generations(self) -> None:
@@ -311,7 +311,9 @@
                 status = await self._probe(client, member, generation, f"p-{number}")
                 knows = status not in (0, 404, 503)
                 if knows and generation < seen and member.starts == start[1]:
-                    self.journal.violate(f"{start} went back to {generation} of {seen}")
+                    self.journal.add_violation(
+                        f"{start} went back to {generation} of {seen}"
+                    )
                 if knows:
                     newest[start] = max(seen, generation)
 
@@ -352,7 +354,7 @@
                 ):
                     await trio.sleep(0.2)
             if scope.cancelled_caught:
-                self.journal.violate(
+                self.journal.add_violation(
                     f"{member.name} has not generation {self.generation} in force"
                 )
         await client.close()
@@ -369,7 +371,7 @@
                 if call.status == 200 and call.whole:
                     return
                 await trio.sleep(0.2)
-        self.journal.violate(f"{member.name} does not serve {kind} again")
+        self.journal.add_violation(f"{member.name} does not serve {kind} again")
 
     async def _check_drain(self) -> None:
         """Check that a replica that leaves gets nothing new."""
@@ -386,9 +388,11 @@
             await self.callers.send(client, member, KINDS[0], f"drain-{number}")
         await client.close()
         if backend.started != runs:
-            self.journal.violate(f"{backend.id} got new work while it was leaving")
+            self.journal.add_violation(
+                f"{backend.id} got new work while it was leaving"
+            )
         if sum(self.journal.runs.values()) == before:
-            self.journal.violate("nothing was served while a replica was leaving")
+            self.journal.add_violation("nothing was served while a replica was leaving")
 
     def _check_notices(self) -> None:
         self.journal.violations += self.journal.notices.check(
@@ -400,20 +404,22 @@
     def _check_calls(self) -> None:
         for call in self.callers.calls:
             runs = self.journal.runs[call.id]
-            told = f"{call.id} {call.kind.path} at {call.entry}, status {call.status}"
+            description = (
+                f"{call.id} {call.kind.path} at {call.entry}, status {call.status}"
+            )
             if call.kind.once and runs > 1:
-                self.journal.violate(f"ran {runs} times: {told}")
+                self.journal.add_violation(f"ran {runs} times: {description}")
             if call.kind.once and call.status in NOT_RUN and runs:
-                self.journal.violate(f"told not-run, and ran: {told}")
+                self.journal.add_violation(f"told not-run, and ran: {description}")
             if call.status == 200 and not runs:
-                self.journal.violate(f"served, and never ran: {told}")
+                self.journal.add_violation(f"served, and never ran: {description}")
             if self._is_cut_by_plan(call) and runs:
-                self.journal.violate(f"cut by a planned stop: {told}")
+                self.journal.add_violation(f"cut by a planned stop: {description}")
             if call.status == -1 and not self.faults.overlaps_fault(
                 call.entry, call.sent_at - CALM_S, call.ended_at
             ):
-                self.journal.violate(
-                    f"no answer in {TIMEOUT_S + self.callers.late_s} s: {told}"
+                self.journal.add_violation(
+                    f"no answer in {TIMEOUT_S + self.callers.late_s} s: {description}"
                 )
 
     def _is_cut_by_plan(self, call: Call) -> bool:
