--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -89,7 +89,7 @@
     calls += [make_call("told"), make_call("other", **({"sent_at": 3.5} | others))]
     notices = Notices([Observation("i-1", call.id, call.sent_at) for call in calls])
     notices.backoffs.append(Observation("i-1", "told", 0.0, backoff_s=3.0))
-    found = notices.check(calls, is_excused=lambda *span: excused, late_s=0.0)
+    found = notices.check(calls, is_excused=lambda *span: excused, late_tolerance_s=0.0)
     assert bool(found) is broken
 
 
@@ -98,7 +98,7 @@
     calls = [make_call("told"), make_call("late", sent_at=sent_at)]
     notices = Notices([Observation("i-1", call.id, call.sent_at) for call in calls])
     notices.leaving_reports.append(Observation("i-1", "told", 0.0))
-    found = notices.check(calls, is_excused=lambda *span: False, late_s=0.0)
+    found = notices.check(calls, is_excused=lambda *span: False, late_tolerance_s=0.0)
     assert bool(found) is broken
 
 
@@ -138,12 +138,12 @@
     """
     # An interpreter that waits, in place of one that is still loading.
     early = start_member(tmp_path, "-c", "input()")
-    assert not early.takes_reload
+    assert not early.handles_reload
     early.send_signal(signal.SIGHUP)
     assert early._popen.wait() == -signal.SIGHUP
     command = ("-m", "hyssopvane", "run", "rank-agent", "/nowhere")
     member = start_member(tmp_path, *command)
-    while not member.takes_reload and member.is_running:
+    while not member.handles_reload and member.is_running:
         time.sleep(0.001)
     member.send_signal(signal.SIGHUP)
     # The settings file does not exist: the program says so and ends in order.
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -137,11 +137,11 @@
             return True
         notices, now = self._journal.notices, trio.current_time()
         seen = Observation(replica.id, request.headers.get("x-request-id", ""), now)
-        if self.link.is_calm(now):
+        if self.link.is_settled(now):
             notices.arrivals.append(seen)
         if self.leaving:
             stream = LeavingStream(stream)  # type: ignore[assignment]
-            if self.link.is_calm(now):
+            if self.link.is_settled(now):
                 notices.leaving_reports.append(seen)
         if self.refusing:
             await self._request_backoff(stream, request, seen)
@@ -168,7 +168,7 @@
         headers = (("X-Not-Executed", "1"), ("Retry-After", f"{backoff_s:g}"))
         answer = make_answer(request, status=503, signed=False, headers=headers)
         await stream.send_all(answer)
-        if self.link.is_calm(seen.at):
+        if self.link.is_settled(seen.at):
             self._journal.notices.backoffs.append(replace(seen, backoff_s=backoff_s))
 
     def _record_run(self, request: Received) -> None:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -17,15 +17,15 @@
 TIMEOUT_S = 4.0
 """Timeout of the routes."""
 
-LATE_S = 1.5
+LATE_TOLERANCE_S = 1.5
 """Time beyond the route's timeout in which an answer must be there: the machine that
 runs the soak may be busy."""
 
 NOT_RUN = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run and never will."""
 
-OWN_ERRORS = frozenset({401, 403, 404})
-_LONG = 2**24
+ENTRY_ERRORS = frozenset({401, 403, 404})
+_MAX_BODY_BYTES = 2**24
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
 
     path: str
     streamed: bool = False
-    once: bool = False
+    at_most_once: bool = False
     """Whether it may run no more than once."""
 
     @property
@@ -45,9 +45,9 @@
 
 KINDS = (
     Kind("/status/1"),
-    Kind("/bids/1", once=True),
+    Kind("/bids/1", at_most_once=True),
     Kind("/drafts/1", streamed=True),
-    Kind("/once/1", streamed=True, once=True),
+    Kind("/once/1", streamed=True, at_most_once=True),
 )
 
 
@@ -77,7 +77,7 @@
     entries: list[Member]
     journal: Journal
     random: Random
-    late_s: float = LATE_S
+    late_tolerance_s: float = LATE_TOLERANCE_S
     calls: list[Call] = field(default_factory=list)
     left: int = 0
     """Requests whose caller went away."""
@@ -92,10 +92,10 @@
                 member = self.random.choice(self.entries)
                 kind = self.random.choice(KINDS)
                 name = f"{self.random.getrandbits(48):x}-{number}"
-                patience_s = TIMEOUT_S + self.late_s
+                timeout_s = TIMEOUT_S + self.late_tolerance_s
                 if self.random.random() < 0.1:
-                    patience_s = self.random.uniform(0.0, 0.2)
-                await self.send(client, member, kind, name, patience_s=patience_s)
+                    timeout_s = self.random.uniform(0.0, 0.2)
+                await self.send(client, member, kind, name, timeout_s=timeout_s)
                 await trio.sleep(self.random.uniform(0.0, 0.05))
         finally:
             with trio.CancelScope(shield=True):
@@ -108,13 +108,13 @@
         kind: Kind,
         request_id: str,
         *,
-        patience_s: float = TIMEOUT_S + LATE_S,
+        timeout_s: float = TIMEOUT_S + LATE_TOLERANCE_S,
     ) -> Call:
         """Send one request and note what became of it."""
         call = Call(request_id, kind, member.name, member.starts, trio.current_time())
         self.calls.append(call)
-        impatient = patience_s < TIMEOUT_S
-        with trio.move_on_after(patience_s) as scope:
+        impatient = timeout_s < TIMEOUT_S
+        with trio.move_on_after(timeout_s) as scope:
             try:
                 await self._exchange(client, member, call)
             except ReplicaUnreachable:
@@ -148,7 +148,7 @@
             body=body,
         ) as response:
             status = response.status
-            content = await response.read(max_bytes=_LONG)
+            content = await response.read(max_bytes=_MAX_BODY_BYTES)
             call.status, call.whole = status, True
             self._check(call, response.fields, content)
 
@@ -157,7 +157,7 @@
         if fields.get(b"x-request-id", call.id.encode()) != call.id.encode():
             add_violation(f"{call.id}: an answer to {fields[b'x-request-id']!r}")
         signed = b"x-response-signature" in fields
-        if call.status in OWN_ERRORS:
+        if call.status in ENTRY_ERRORS:
             add_violation(
                 f"{call.id}: {call.status} for what every configuration allows"
             )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -194,7 +194,7 @@
 
     async def _reload(self) -> str:
         member = self._random.choice(self._run.fleet.members)
-        if member.takes_reload and not member.stopping:
+        if member.handles_reload and not member.stopping:
             member.send_signal(signal.SIGHUP)
         return member.name
 
@@ -212,7 +212,7 @@
         if how == "reset":
             await link.reset_open()
         elif how == "forget":
-            link.forget_open()
+            link.blackhole_open()
         else:
             await self._hold_state(link, LinkState(how))
         return f"link {where} {how}"
@@ -220,10 +220,10 @@
     async def _hold_state(self, link: Link, state: LinkState) -> None:
         link.delay_s = self._random.uniform(0.02, 0.4)
         link.state = state
-        link.calm_from = float("inf")
+        link.settled_at = float("inf")
         await trio.sleep(self._random.uniform(0.3, 4.0))
         link.state = LinkState.SOUND
-        link.calm_from = trio.current_time() + _LINK_SETTLE_S
+        link.settled_at = trio.current_time() + _LINK_SETTLE_S
 
     async def _disturb_store(self) -> str:
         store = self._run.store
@@ -248,7 +248,7 @@
         store.restore_from(copy)
         store.answer_status = 0
         await trio.sleep(self._random.uniform(0.0, 1.5))
-        self._run.write_again()
+        self._run.rewrite_lost()
         return f"store back at {copy.revision}"
 
     async def _raise_fault_share(self) -> str:
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -11,7 +11,7 @@
 
 import trio
 
-START_LIMIT_S = 60.0
+START_TIMEOUT_S = 60.0
 """Time after which a start counts as hanging, also on a busy machine."""
 
 _POLL_S = 0.02
@@ -45,7 +45,7 @@
         return self._popen is not None and self._popen.poll() is None
 
     @property
-    def takes_reload(self) -> bool:
+    def handles_reload(self) -> bool:
         """Tell whether SIGHUP reaches the program, and not the interpreter alone.
 
         Until the first line of the program has run, some hundredths of a second after
@@ -73,7 +73,7 @@
         self.stopping = False
         path = self.folder / f"{self.name}.json"
         path.write_text(json.dumps(self.settings))
-        begun = self.log_file.stat().st_size if self.log_file.exists() else 0
+        offset = self.log_file.stat().st_size if self.log_file.exists() else 0
         with self.log_file.open("ab") as log:
             self._popen = subprocess.Popen(
                 [
@@ -89,8 +89,8 @@
                 env={**os.environ, "PYTHONUNBUFFERED": "1"},
                 preexec_fn=reset_reload_action,
             )
-        with trio.fail_after(START_LIMIT_S):
-            while not (found := self._find_start(begun)):
+        with trio.fail_after(START_TIMEOUT_S):
+            while not (found := self._find_started_address(offset)):
                 if not self.is_running:
                     raise AssertionError(
                         f"{self.name} ended: {self.read_log()[-2000:]}"
@@ -103,9 +103,9 @@
         if self._popen is not None and self.is_running:
             self._popen.send_signal(number)
 
-    async def wait_ended(self, limit_s: float) -> bool:
+    async def wait_ended(self, timeout_s: float) -> bool:
         """Wait for the end of the process; tell whether it came."""
-        with trio.move_on_after(limit_s):
+        with trio.move_on_after(timeout_s):
             while self.is_running:
                 await trio.sleep(_POLL_S)
         return not self.is_running
@@ -122,9 +122,9 @@
         """Return all it has written."""
         return self.log_file.read_text(errors="replace")
 
-    def _find_start(self, begun: int) -> str:
+    def _find_started_address(self, offset: int) -> str:
         with self.log_file.open("rb") as log:
-            log.seek(begun)
+            log.seek(offset)
             text = log.read().decode(errors="replace")
         match = re.search(r"event=started (?:callers=(\S+))?(?:replica=(\S+))?", text)
         return (match[1] or match[2]) if match else ""
--- a/tests/soak/link.py
+++ b/tests/soak/link.py
@@ -31,10 +31,10 @@
         self.address = ""
         self.state = LinkState.SOUND
         self.delay_s = 0.0
-        self.calm_from = 0.0
+        self.settled_at = 0.0
         """Time from which nothing that a fault held up can still arrive."""
         self._open: set[trio.SocketStream] = set()
-        self._forgotten: set[trio.SocketStream] = set()
+        self._blackholed: set[trio.SocketStream] = set()
 
     async def serve(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -47,61 +47,61 @@
         task_status.started()
         await trio.serve_listeners(self._serve, listeners)
 
-    def is_calm(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Tell whether what arrives now was not held up by a fault."""
-        return now >= self.calm_from
+        return now >= self.settled_at
 
-    def forget_open(self) -> None:
+    def blackhole_open(self) -> None:
         """Let the open connections go silent for good, while new ones work."""
-        self._forgotten |= self._open
+        self._blackholed |= self._open
 
     async def reset_open(self) -> None:
         """Reset all open connections."""
         for stream in list(self._open):
             await _reset(stream)
 
-    async def _serve(self, near: trio.SocketStream) -> None:
+    async def _serve(self, client: trio.SocketStream) -> None:
         if self.state is LinkState.REFUSED:
-            await _reset(near)
+            await _reset(client)
             return
         host, _, port = self.target.rpartition(":")
         try:
-            far = await trio.open_tcp_stream(host, int(port))
+            server = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            await _reset(near)
+            await _reset(client)
             return
-        self._open.add(near)
+        self._open.add(client)
         try:
-            async with far, near, trio.open_nursery() as nursery:
-                nursery.start_soon(self._pass_on, near, far, near, False)
-                await self._pass_on(far, near, near, True)
+            async with server, client, trio.open_nursery() as nursery:
+                nursery.start_soon(self._forward, client, server, client, False)
+                await self._forward(server, client, client, True)
                 nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
-            await _reset(near)
+            await _reset(client)
         finally:
-            self._open.discard(near)
-            self._forgotten.discard(near)
+            self._open.discard(client)
+            self._blackholed.discard(client)
 
-    async def _pass_on(
+    async def _forward(
         self,
         source: trio.SocketStream,
         sink: trio.SocketStream,
-        near: trio.SocketStream,
+        client: trio.SocketStream,
         is_answer: bool,
     ) -> None:
         while data := await source.receive_some(_READ_BYTES):
             if self.state is LinkState.DELAYED:
                 await trio.sleep(self.delay_s)
-            if not self._drops(near, is_answer):
+            if not self._drops(client, is_answer):
                 await sink.send_all(data)
-        if self._drops(near, is_answer):
+        if self._drops(client, is_answer):
             # Whoever forgot the connection passes no end on either.
             await trio.sleep_forever()
         if not is_answer:
             await sink.send_eof()
 
-    def _drops(self, near: trio.SocketStream, is_answer: bool) -> bool:
-        if near in self._forgotten or self.state is LinkState.SILENT:
+    def _drops(self, client: trio.SocketStream, is_answer: bool) -> bool:
+        if client in self._blackholed or self.state is LinkState.SILENT:
             return True
         return is_answer and self.state is LinkState.ONE_WAY
 
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -61,7 +61,7 @@
         calls: "Iterable[Call]",
         *,
         is_excused: Callable[[str, float, float], bool],
-        late_s: float,
+        late_tolerance_s: float,
     ) -> list[str]:
         """Return what went to replicas against their word.
 
@@ -82,7 +82,7 @@
                 arrival.request_id
                 for arrival, call in reached[notice.replica]
                 if _is_same_start(notified, call)
-                and notice.at + BACKOFF_GRACE_S + late_s < arrival.at < until
+                and notice.at + BACKOFF_GRACE_S + late_tolerance_s < arrival.at < until
             ]
             if len(violating) > MAX_REQUESTS_IN_BACKOFF:
                 violations.append(f"{notified.entry} sent {violating} into {notice}")
@@ -95,7 +95,7 @@
                     notified.entry, notice.at, arrival.at
                 ):
                     continue
-                if call.sent_at > notice.at + DRAIN_S + late_s:
+                if call.sent_at > notice.at + DRAIN_S + late_tolerance_s:
                     violations.append(
                         f"{notified.entry} sent {arrival.request_id} after {notice}"
                     )
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -28,7 +28,7 @@
 from tests.soak.backends import Backend, Journal
 from tests.soak.callers import (
     KINDS,
-    LATE_S,
+    LATE_TOLERANCE_S,
     NOT_RUN,
     TIMEOUT_S,
     Call,
@@ -40,15 +40,15 @@
 from tests.soak.link import Link
 from tests.soak.notices import BACKOFF_GRACE_S
 
-KEPT_FOLDER = Path(__file__).parents[2] / ".bench" / "soak-failures"
+FAILURES_FOLDER = Path(__file__).parents[2] / ".bench" / "soak-failures"
 
-HEAL_S = 20.0
+RECOVERY_S = 20.0
 """Time after the last fault in which everything is served again."""
 
 DRAIN_S = 2.0
 """Time after which a replica that leaves gets nothing new."""
 
-CALM_S = 3.0
+FAULT_FREE_S = 3.0
 """Time without faults before a request from which a planned stop must not cut it."""
 
 
@@ -116,7 +116,7 @@
             self.fleet.entries,
             self.journal,
             Random(self.random.random()),
-            late_s=LATE_S * size.patience,
+            late_tolerance_s=LATE_TOLERANCE_S * size.patience,
         )
         self.faults = Faults(self)
 
@@ -157,7 +157,7 @@
         del self.written[key]
         self.store.remove(key)
 
-    def write_again(self) -> None:
+    def rewrite_lost(self) -> None:
         """Write what the store lost, and remove again what it brought back."""
         for key in self.store.items.keys() - self.written.keys():
             self.store.remove(key)
@@ -234,10 +234,10 @@
         for group in self.groups:
             nursery.start_soon(group.make_passes)
         self._write_configuration()
-        await self._describe_members(nursery, store_address)
+        await self._add_members(nursery, store_address)
         await self.fleet.start()
 
-    async def _describe_members(self, nursery: trio.Nursery, store: str) -> None:
+    async def _add_members(self, nursery: trio.Nursery, store: str) -> None:
         entry_port, agent_port, beliefs = _find_ports()
         hosts = [f"127.0.5.{n + 1}" for n in range(self.size.entries)]
         seeds = [f"{host}:{beliefs}" for host in hosts]
@@ -348,7 +348,7 @@
         for member in self.fleet.entries:
             for kind in KINDS:
                 await self._wait_served(client, member, kind)
-            with trio.move_on_after(HEAL_S * self.size.patience) as scope:
+            with trio.move_on_after(RECOVERY_S * self.size.patience) as scope:
                 while (
                     await self._probe(client, member, self.generation, "p-end") != 200
                 ):
@@ -363,7 +363,7 @@
         self, client: ReplicaClient, member: Member, kind: Kind
     ) -> None:
         number = 0
-        with trio.move_on_after(HEAL_S * self.size.patience):
+        with trio.move_on_after(RECOVERY_S * self.size.patience):
             while True:
                 number += 1
                 name = f"end-{member.name}-{number}-{kind.name}"
@@ -398,7 +398,7 @@
         self.journal.violations += self.journal.notices.check(
             self.callers.calls,
             is_excused=self.faults.overlaps_interruption,
-            late_s=BACKOFF_GRACE_S * (self.size.patience - 1),
+            late_tolerance_s=BACKOFF_GRACE_S * (self.size.patience - 1),
         )
 
     def _check_calls(self) -> None:
@@ -407,22 +407,22 @@
             description = (
                 f"{call.id} {call.kind.path} at {call.entry}, status {call.status}"
             )
-            if call.kind.once and runs > 1:
+            if call.kind.at_most_once and runs > 1:
                 self.journal.add_violation(f"ran {runs} times: {description}")
-            if call.kind.once and call.status in NOT_RUN and runs:
+            if call.kind.at_most_once and call.status in NOT_RUN and runs:
                 self.journal.add_violation(f"told not-run, and ran: {description}")
             if call.status == 200 and not runs:
                 self.journal.add_violation(f"served, and never ran: {description}")
-            if self._is_cut_by_plan(call) and runs:
+            if self._is_cut_by_planned_stop(call) and runs:
                 self.journal.add_violation(f"cut by a planned stop: {description}")
             if call.status == -1 and not self.faults.overlaps_fault(
-                call.entry, call.sent_at - CALM_S, call.ended_at
+                call.entry, call.sent_at - FAULT_FREE_S, call.ended_at
             ):
                 self.journal.add_violation(
-                    f"no answer in {TIMEOUT_S + self.callers.late_s} s: {description}"
+                    f"no answer in {TIMEOUT_S + self.callers.late_tolerance_s} s: {description}"
                 )
 
-    def _is_cut_by_plan(self, call: Call) -> bool:
+    def _is_cut_by_planned_stop(self, call: Call) -> bool:
         if call.whole or call.left or call.status == -1:
             return False
         if not call.sent or not call.ended_at:
@@ -463,18 +463,18 @@
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     report = trio.run(SoakRun(folder, seed=seed, size=size).run)
     if report.violations:
-        report.kept_in = str(_keep(folder, report, size))
+        report.kept_in = str(_save_failure(folder, report, size))
     return report
 
 
-def _keep(folder: Path, report: Report, size: Size) -> Path:
+def _save_failure(folder: Path, report: Report, size: Size) -> Path:
     """Copy what a failed run has left, with the command that plays it again.
 
     The folders of tests are cleared later, and a failure that shows once may not show
     again: without its logs nobody could trace it.
     """
-    kept = KEPT_FOLDER / f"seed-{report.seed}-{time.time_ns()}"
-    shutil.copytree(folder, kept)
+    destination = FAILURES_FOLDER / f"seed-{report.seed}-{time.time_ns()}"
+    shutil.copytree(folder, destination)
     command = (
         f"./dev soak --first {report.seed} --seeds 1 --seconds {size.seconds} "
         f"--entries {size.entries} --groups {size.groups}"
@@ -484,5 +484,5 @@
     if size.notices:
         command += " --notices"
     document = asdict(report) | {"size": asdict(size), "command": command}
-    (kept / "report.json").write_text(json.dumps(document, indent=1))
-    return kept
+    (destination / "report.json").write_text(json.dumps(document, indent=1))
+    return destination
