--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -36,12 +36,12 @@
 }
 # An entry that was frozen for longer than the silence finds its connections closed.
 SILENCE_S = 1.0
-FROZEN_S = 1.6
+SUSPENSION_S = 1.6
 OUTAGE_S = 1.5
 CALLERS = 8
-TRIES = 6
+MAX_ATTEMPTS = 6
 CALL_TIMEOUT_S = 8.0
-HEAL_TIMEOUT_S = 30.0
+RECOVERY_TIMEOUT_S = 30.0
 LAST_DEADLINE_S = 99.0
 _RETRY_PAUSE_S = 0.2
 _TOKENS = 40
@@ -85,9 +85,9 @@
         self._processes: dict[str, Process] = {}
         self._callers: dict[str, str] = {}
         self._targets: dict[str, str] = {}
-        self._marks: dict[tuple[str, object], StorePosition] = {}
+        self._positions: dict[tuple[str, object], StorePosition] = {}
         """Last mark of each start of a process, noted by several threads."""
-        self._noting = Lock()
+        self._positions_lock = Lock()
         self._edits = 0
 
     def start(self) -> None:
@@ -114,7 +114,7 @@
             with trio.move_on_after(seconds):
                 if self._returns:
                     # Each run has one, whatever it draws.
-                    await self._come_back()
+                    await self._restore_copy()
                 while True:
                     await self._do_fault()
             nursery.cancel_scope.cancel()
@@ -124,15 +124,15 @@
     async def _do_fault(self) -> None:
         faults: list[Callable[[], Awaitable[str]]] = [
             partial(self._kill, self._random.choice((*ENTRIES, *AGENTS))),
-            partial(self._freeze, self._random.choice((*ENTRIES, *AGENTS))),
-            self._take_service_out,
+            partial(self._suspend, self._random.choice((*ENTRIES, *AGENTS))),
+            self._stop_service,
             partial(self._set_faults_for, {"lose_next_write_answers": 5}, 0.5),
             partial(self._set_faults_for, {"delay_ms": 300}, 1.0),
             partial(self._set_faults_for, {"stale_reads": True}, 1.0),
             self._edit_table,
         ]
         if self._returns:
-            faults += [self._keep_copy, self._come_back]
+            faults += [self._save_copy, self._restore_copy]
         fault = self._random.choice(faults)
         with trio.CancelScope(shield=True):
             self.report.faults.append(await fault())
@@ -143,13 +143,13 @@
         await trio.to_thread.run_sync(self._start_vm, vm)
         return f"kill {vm}"
 
-    async def _freeze(self, vm: str) -> str:
+    async def _suspend(self, vm: str) -> str:
         self._processes[vm].send_signal(signal.SIGSTOP)
-        await trio.sleep(FROZEN_S)
+        await trio.sleep(SUSPENSION_S)
         self._processes[vm].send_signal(signal.SIGCONT)
         return f"freeze {vm}"
 
-    async def _take_service_out(self) -> str:
+    async def _stop_service(self) -> str:
         return await self._set_faults_for({"down": True}, OUTAGE_S)
 
     async def _set_faults_for(self, faults: dict[str, object], seconds: float) -> str:
@@ -158,11 +158,11 @@
         await self._set_faults({})
         return f"service {json.dumps(faults)}"
 
-    async def _keep_copy(self) -> str:
+    async def _save_copy(self) -> str:
         await self._control("/copy", {})
         return "copy"
 
-    async def _come_back(self) -> str:
+    async def _restore_copy(self) -> str:
         """Let the service be away, and come back without what was written since."""
         with trio.CancelScope(shield=True):
             await trio.sleep(self._random.uniform(0, 2 * OUTAGE_S))
@@ -210,7 +210,7 @@
             call = KeyedCall(make_key(), f"bidder-{random.getrandbits(32):x}")
             self._calls.append(call)
             self.report.bids += 1
-            for _ in range(TRIES):
+            for _ in range(MAX_ATTEMPTS):
                 await self._try_bid(call, random)
                 if call.outcomes[-1] == "ran":
                     self.report.bids_answered += 1
@@ -286,21 +286,23 @@
         ]
         wanted = [make_token_text(prompt, index) for index in range(_TOKENS)]
         if texts != wanted or not content.endswith(b"data: [DONE]\n\n"):
-            self._violate(f"an answer that looks whole is not: {prompt!r} {texts}")
+            self._add_violation(
+                f"an answer that looks whole is not: {prompt!r} {texts}"
+            )
 
     async def _watch_revisions(self) -> None:
         while True:
             for vm in (*ENTRIES, *AGENTS):
                 with trio.move_on_after(0.5):
                     await trio.to_thread.run_sync(
-                        self._note_revision, vm, abandon_on_cancel=True
+                        self._record_revision, vm, abandon_on_cancel=True
                     )
             await trio.sleep(0.1)
 
-    def _note_revision(self, vm: str) -> None:
+    def _record_revision(self, vm: str) -> None:
         # A reading that was given up goes on, and may end after newer ones. What was
         # noted before it began is the least that it may show.
-        noted = dict(self._marks)
+        earlier = dict(self._positions)
         try:
             in_force = read_in_force(self._cluster, vm)
         except (
@@ -311,20 +313,20 @@
             return
         revision, era = in_force["table_revision"], in_force.get("table_era", 0)
         assert isinstance(revision, int) and isinstance(era, int)
-        mark = StorePosition(era, revision)
+        position = StorePosition(era, revision)
         # A process that was replaced starts anew, from what it finds.
         start = (vm, in_force["incarnation"])
-        if mark < noted.get(start, StorePosition(0, 0)):
-            self._violate(f"{vm} went back to revision {revision}")
-        with self._noting:
-            self._marks[start] = max(mark, self._marks.get(start, mark))
+        if position < earlier.get(start, StorePosition(0, 0)):
+            self._add_violation(f"{vm} went back to revision {revision}")
+        with self._positions_lock:
+            self._positions[start] = max(position, self._positions.get(start, position))
 
     async def _check_table(self) -> None:
         """Check that every entry comes to hold the last accepted edit."""
         newest = await commit_cell(
             self._cluster.platform, DRAFT, "deadline_s", str(LAST_DEADLINE_S), number=0
         )
-        with trio.move_on_after(HEAL_TIMEOUT_S):
+        with trio.move_on_after(RECOVERY_TIMEOUT_S):
             while True:
                 found = await trio.to_thread.run_sync(self._read_tables)
                 if all(
@@ -333,7 +335,7 @@
                 ):
                     return
                 await trio.sleep(0.2)
-        self._violate(f"revision {newest} is not in force everywhere: {found}")
+        self._add_violation(f"revision {newest} is not in force everywhere: {found}")
 
     def _read_tables(self) -> dict[str, tuple[int, str]]:
         """Return each entry's revision, and the cell that was edited last."""
@@ -361,17 +363,17 @@
             self._check_bid(call, runs.get(call.key, 0))
 
     def _check_bid(self, call: KeyedCall, runs: int) -> None:
-        told = f"{call.key} {call.outcomes}"
+        description = f"{call.key} {call.outcomes}"
         if runs > 1:
-            self._violate(f"ran {runs} times: {told}")
+            self._add_violation(f"ran {runs} times: {description}")
         if "not-run" in call.outcomes and runs:
-            self._violate(f"told not-run, and ran: {told}")
+            self._add_violation(f"told not-run, and ran: {description}")
         if "ran" in call.outcomes and not runs:
-            self._violate(f"told ran, and did not: {told}")
+            self._add_violation(f"told ran, and did not: {description}")
         if any(json.loads(answer)["bidder"] != call.bidder for answer in call.answers):
-            self._violate(f"got another caller's answer: {told}")
+            self._add_violation(f"got another caller's answer: {description}")
 
-    def _violate(self, what: str) -> None:
+    def _add_violation(self, what: str) -> None:
         self.report.violations.append(what)
 
 
