--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -1,4 +1,4 @@
-"""Run a short part of the fault soak: real programs, random faults from outside."""
+"""Run short fault soaks: real programs under random external faults."""
 
 import signal
 import subprocess
@@ -16,30 +16,30 @@
 SMALL = Size(entries=2, groups=1, plain=2, callers=6, seconds=6.0, patience=6.0)
 
 SEEDS = (1, 2)
-"""Seeds that every run of the tests plays."""
+"""Seeds that each test run executes."""
 
 NOTICE_SEEDS = (1, 2)
-"""Seeds whose replicas also ask for rest and say in answers alone that they leave."""
+"""Seeds whose replicas also request back-offs and report leaving in answers only."""
 
 RETURN_SEEDS = (1, 2)
-"""Seeds whose store also comes back from older copies."""
+"""Seeds whose store is also restored from older copies."""
 
 FAILED_SEEDS = {
-    205: "an agent that was told to reload while it started ended: SIGHUP was not yet "
-    "taken, and its default action is to end the process",
-    412: "an agent that was told to reload in the first hundredths of a second of its "
-    "start ended before a line of the program had run; the fault is no longer played "
-    "before the process takes the signal",
+    205: "an agent that received SIGHUP during its start ended: it did not handle the "
+    "signal yet, and its default action is to end the process",
+    412: "an agent that received SIGHUP in the first hundredths of a second of its "
+    "start ended before a line of the program had run; the fault is injected only once "
+    "the process handles the signal",
 }
-"""Seeds that broke a promise once, each with its cause."""
+"""Seeds that found a violation earlier, each with its cause."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_random_faults(seed, tmp_path):
-    """Processes are stopped, paused, killed and restarted, links fail, replicas crash.
+def test_guarantees_hold_under_random_faults(seed, tmp_path):
+    """Guards against violations under stops, kills, pauses, link faults and crashes.
 
-    A caller would get half an answer or another caller's, a bid would be placed twice,
-    or what was said not to have run has run.
+    A caller could receive a truncated answer or that of another caller, a bid could be
+    placed twice, or a request reported as not run could have run.
     """
     report = run_seed(tmp_path, seed=seed, size=SMALL)
     assert report.violations == [], (report.kept_in, report.faults)
@@ -47,17 +47,17 @@
 
 
 @pytest.mark.parametrize("seed", RETURN_SEEDS)
-def test_promises_hold_while_the_store_comes_back_from_copies(seed, tmp_path):
-    """Guards against beliefs of before the store's return in real processes."""
+def test_guarantees_hold_while_the_store_is_restored_from_copies(seed, tmp_path):
+    """Guards against real processes that keep state from before a store restore."""
     size = replace(SMALL, seconds=10.0, store_returns=True)
     report = run_seed(tmp_path, seed=seed, size=size)
     assert report.violations == [], (report.kept_in, report.faults)
-    assert any("store back" in one for one in report.faults), report.faults
+    assert any("store restored" in one for one in report.faults), report.faults
 
 
 @pytest.mark.parametrize("seed", NOTICE_SEEDS)
-def test_promises_hold_while_replicas_ask_for_rest_and_leave(seed, tmp_path):
-    """Guards against requests to replicas that asked for none, in real processes."""
+def test_guarantees_hold_while_replicas_request_backoff_and_leave(seed, tmp_path):
+    """Guards against real entries that send requests to paused or leaving replicas."""
     size = replace(SMALL, seconds=10.0, notices=True)
     report = run_seed(tmp_path, seed=seed, size=size)
     assert report.violations == [], (report.kept_in, report.faults)
@@ -74,8 +74,9 @@
 @pytest.mark.parametrize(
     ("into", "others", "excused", "broken"),
     [
-        # Two are allowed, those of half a second before it, of the next start and of
-        # another entry don't count, nor what an entry sends that was paused.
+        # Two requests are allowed. Requests in the first half second of the back-off,
+        # after a restart of the entry, of another entry and of an entry that was paused
+        # are not counted.
         (3, {}, False, True),
         (2, {}, False, False),
         (2, {"sent_at": 0.4}, False, False),
@@ -84,7 +85,7 @@
         (3, {}, True, False),
     ],
 )
-def test_check_sees_requests_into_a_rest(into, others, excused, broken):
+def test_check_detects_requests_during_a_backoff(into, others, excused, broken):
     calls = [make_call(f"r-{number}", sent_at=1.0) for number in range(into)]
     calls += [make_call("told"), make_call("other", **({"sent_at": 3.5} | others))]
     notices = Notices([Observation("i-1", call.id, call.sent_at) for call in calls])
@@ -94,7 +95,7 @@
 
 
 @pytest.mark.parametrize(("sent_at", "broken"), [(1.9, False), (2.1, True)])
-def test_check_sees_requests_to_a_replica_that_leaves(sent_at, broken):
+def test_check_detects_requests_to_a_leaving_replica(sent_at, broken):
     calls = [make_call("told"), make_call("late", sent_at=sent_at)]
     notices = Notices([Observation("i-1", call.id, call.sent_at) for call in calls])
     notices.leaving_reports.append(Observation("i-1", "told", 0.0))
@@ -103,15 +104,15 @@
 
 
 @pytest.mark.parametrize("seed", FAILED_SEEDS)
-def test_seeds_that_failed_once_stay_mended(seed, tmp_path):
-    """Play the seeds again that broke a promise, at the size they were found at."""
+def test_seeds_that_failed_before_pass(seed, tmp_path):
+    """Run the seeds that found a violation again, at their original size."""
     report = run_seed(tmp_path, seed=seed, size=Size(patience=6.0))
     assert report.violations == [], (report.kept_in, report.faults)
 
 
 @pytest.fixture(params=[signal.SIG_DFL, signal.SIG_IGN], ids=["default", "ignored"])
 def inherited_action(request):
-    """Set what processes started by the test do on SIGHUP, as their parent has it."""
+    """Set the SIGHUP action that processes started by the test inherit."""
     before = signal.signal(signal.SIGHUP, request.param)
     yield request.param
     signal.signal(signal.SIGHUP, before)
@@ -129,14 +130,15 @@
     return member
 
 
-def test_reload_is_played_only_where_the_program_takes_it(tmp_path, inherited_action):
-    """A supervisor reloads a process that it started a moment ago.
+def test_reload_is_sent_only_when_the_program_handles_it(tmp_path, inherited_action):
+    """Guards against a soak that sends SIGHUP before the program handles it.
 
-    Before the program's first line the signal ends the interpreter; from then on it
-    does not, also while the role is still being loaded. Whoever runs the tests from a
-    shell that ignores SIGHUP, as under nohup, sees the same.
+    A supervisor may reload a process that it has just started. Before the first line of
+    the program, the signal ends the interpreter; from then on it does not, even while
+    the role is being loaded. The result is the same if the tests run from a shell that
+    ignores SIGHUP, as under nohup.
     """
-    # An interpreter that waits, in place of one that is still loading.
+    # A waiting interpreter stands for one that is still loading.
     early = start_member(tmp_path, "-c", "input()")
     assert not early.handles_reload
     early.send_signal(signal.SIGHUP)
@@ -146,5 +148,5 @@
     while not member.handles_reload and member.is_running:
         time.sleep(0.001)
     member.send_signal(signal.SIGHUP)
-    # The settings file does not exist: the program says so and ends in order.
+    # The settings file does not exist: the program reports that and exits normally.
     assert member._popen.wait() > 0
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds by hand: python -m tests.soak --first 1 --seeds 50."""
+"""Run seeds manually: python -m tests.soak --first 1 --seeds 50."""
 
 import argparse
 import os
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Run the seeds; return 1 when a promise was broken."""
+    """Run the seeds; return 1 if any check failed."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--first", type=int, default=int.from_bytes(os.urandom(3)))
     parser.add_argument("--seeds", type=int, default=50)
@@ -46,10 +46,10 @@
                 print(f"  {one}", flush=True)
             if report.violations:
                 broken += 1
-                print(f"  kept in {report.kept_in}", flush=True)
+                print(f"  logs saved in {report.kept_in}", flush=True)
                 for one in report.faults:
                     print(f"    {one}", flush=True)
-    print(f"{found.seeds} seeds, {broken} with a broken promise", flush=True)
+    print(f"{found.seeds} seeds, {broken} with violations", flush=True)
     return 1 if broken else 0
 
 
--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store and its replicas, and remember what ran."""
+"""Simulate the replicas of the platform, and record the requests that they run."""
 
 import json
 from collections import Counter
@@ -19,33 +19,33 @@
 from tests.soak.notices import LeavingStream, Notices, Observation
 
 EVENTS = 6
-"""Events of a stream."""
+"""Number of events in each stream."""
 
 EVENT_PAUSE_S = 0.03
 
 BACKOFFS_S = (0.0, 0.7, 3.0, 6.0)
-"""Times without requests that a refusing replica asks for; one is drawn each time."""
+"""Back-off times that a refusing replica requests; each refusal draws one."""
 
 FULL = "full"
 ANSWER_FAULTS = ("error", "lost", "half", "extra", "slow", FULL)
-"""What a troubled replica does instead of answering."""
+"""Faults with which a faulty replica replaces its answer."""
 
 
 @dataclass
 class Journal:
-    """Remember what replicas ran, and what must not have happened."""
+    """Record the runs of each request, and violations of what must hold."""
 
     runs: Counter[str] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
     notices: Notices = field(default_factory=Notices)
 
     def add_violation(self, what: str) -> None:
-        """Note a broken promise."""
+        """Record a violation."""
         self.violations.append(what)
 
 
 class Backend:
-    """Hold one address at which one replica after the other serves."""
+    """Run replicas one after the other at one address."""
 
     def __init__(
         self,
@@ -66,11 +66,11 @@
         self.lost_order_share = 0.0
         self.late_order_share = 0.0
         self.refusing = False
-        """Whether it turns all requests away and asks for rest."""
+        """Whether the replica refuses all requests and requests a back-off."""
         self.leaving = False
-        """Whether it says in its answers that it leaves."""
+        """Whether the answers of the replica report that it is leaving."""
         self.draining_since = float("inf")
-        """Time at which the store accepted that the replica leaves."""
+        """Time at which the store accepted the registration as draining."""
         self._random = random
         self._journal = journal
         self.group = group
@@ -80,21 +80,21 @@
         self._nursery: trio.Nursery | None = None
         self.running = 0
         self.started = 0
-        """Requests that were begun, over all replicas at this address."""
+        """Number of requests started by all replicas at this address."""
 
     @property
     def id(self) -> str:
-        """Return the id of the present replica."""
+        """Return the id of the current replica."""
         return f"{self.name}-{self._starts}"
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start the first replica, and the link before it."""
+        """Start the first replica, and the link through which it is reached."""
         self._nursery = nursery
         await self.start_replica()
         await nursery.start(self.link.serve)
 
     async def start_replica(self) -> None:
-        """Start a replica with an id of its own."""
+        """Start a replica with a new id."""
         assert self._nursery is not None
         self._starts += 1
         self.leaving = False
@@ -104,14 +104,14 @@
         self.link.target = replica.address
 
     async def stop_replica(self) -> None:
-        """Let the replica crash with all its connections."""
+        """Crash the replica, and reset its connections."""
         if self._serving_scope is not None:
             self._serving_scope.cancel()
         await self.link.reset_open()
         self.link.target = "127.0.0.1:9"
 
     def describe(self) -> dict[str, object]:
-        """Return its registration."""
+        """Return the registration document of the replica."""
         draining = self.draining_since < float("inf")
         return {
             "service": self.service,
@@ -177,11 +177,13 @@
         request_id = headers.get("x-request-id", "")
         self._journal.runs[request_id] += 1
         if "authorization" in headers:
-            add_violation(f"{request_id}: the caller's key reached a replica")
+            add_violation(f"{request_id}: a replica received the caller's key")
         if headers.get("x-tenant") != "registry" and "/gen" not in request.target:
-            add_violation(f"{request_id}: customer {headers.get('x-tenant')!r}")
+            add_violation(
+                f"{request_id}: unexpected customer {headers.get('x-tenant')!r}"
+            )
         if request.body != f"body of {request_id}".encode():
-            add_violation(f"{request_id}: body {request.body!r}")
+            add_violation(f"{request_id}: unexpected body {request.body!r}")
 
     async def _answer(
         self, fault: str, stream: trio.SocketStream, request: Received
@@ -249,7 +251,7 @@
 
 
 def make_body(request_id: str) -> bytes:
-    """Return the whole answer to a plain request."""
+    """Return the complete answer to a plain request."""
     return f"answer to {request_id}".encode()
 
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Send requests over kept connections, and check each answer."""
+"""Send requests over keep-alive connections, and check each answer."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -18,11 +18,11 @@
 """Timeout of the routes."""
 
 LATE_TOLERANCE_S = 1.5
-"""Time beyond the route's timeout in which an answer must be there: the machine that
+"""Time beyond the timeout of the route in which an answer must arrive: the machine that
 runs the soak may be busy."""
 
 NOT_RUN = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run and never will."""
+"""Statuses that guarantee that a request has not run and will not run."""
 
 ENTRY_ERRORS = frozenset({401, 403, 404})
 _MAX_BODY_BYTES = 2**24
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """Describe a kind of request."""
+    """Describe a kind of request by its path and its guarantees."""
 
     path: str
     streamed: bool = False
     at_most_once: bool = False
-    """Whether it may run no more than once."""
+    """Whether a request of this kind may run at most once."""
 
     @property
     def name(self) -> str:
-        """Return a short name."""
+        """Return the first segment of the path."""
         return self.path.split("/")[1]
 
 
@@ -53,21 +53,21 @@
 
 @dataclass
 class Call:
-    """Hold what became of one request."""
+    """Represent one request and its result."""
 
     id: str
     kind: Kind
     entry: str
     starts: int
-    """Starts of the entry when the request was sent."""
+    """Number of starts of the entry when the request was sent."""
     sent_at: float
     ended_at: float = 0.0
     status: int = 0
     whole: bool = False
     sent: bool = True
-    """Whether any byte may have left."""
+    """Whether any byte of the request may have been sent."""
     left: bool = False
-    """Whether the caller went away before the answer was whole."""
+    """Whether the caller disconnected before the answer was complete."""
 
 
 @dataclass
@@ -80,7 +80,7 @@
     late_tolerance_s: float = LATE_TOLERANCE_S
     calls: list[Call] = field(default_factory=list)
     left: int = 0
-    """Requests whose caller went away."""
+    """Number of requests whose caller disconnected."""
 
     async def run(self) -> None:
         """Send one request after the other."""
@@ -110,7 +110,7 @@
         *,
         timeout_s: float = TIMEOUT_S + LATE_TOLERANCE_S,
     ) -> Call:
-        """Send one request and note what became of it."""
+        """Send one request and record its result."""
         call = Call(request_id, kind, member.name, member.starts, trio.current_time())
         self.calls.append(call)
         impatient = timeout_s < TIMEOUT_S
@@ -155,20 +155,22 @@
     def _check(self, call: Call, fields: dict[bytes, bytes], content: bytes) -> None:
         add_violation = self.journal.add_violation
         if fields.get(b"x-request-id", call.id.encode()) != call.id.encode():
-            add_violation(f"{call.id}: an answer to {fields[b'x-request-id']!r}")
+            add_violation(
+                f"{call.id}: received an answer to {fields[b'x-request-id']!r}"
+            )
         signed = b"x-response-signature" in fields
         if call.status in ENTRY_ERRORS:
             add_violation(
-                f"{call.id}: {call.status} for what every configuration allows"
+                f"{call.id}: {call.status}, but every configuration allows the request"
             )
         if call.status >= 300 and signed and call.status != 500:
-            add_violation(f"{call.id}: a signed {call.status}")
+            add_violation(f"{call.id}: status {call.status} has a signature")
         if call.status != 200:
             return
         if not signed:
-            add_violation(f"{call.id}: a success without a signature")
+            add_violation(f"{call.id}: status 200 has no signature")
         if content != _make_answer(call):
-            add_violation(f"{call.id}: {content!r} is not the whole answer")
+            add_violation(f"{call.id}: {content!r} is not the complete answer")
 
 
 def _make_answer(call: Call) -> bytes:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Draw faults in series that overlap, and remember when each one was there."""
+"""Inject random faults that overlap, and record when each was active."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -16,29 +16,29 @@
     from tests.soak.run import SoakRun
 
 MAX_CONCURRENT_FAULTS = 3
-"""Faults that may be there at the same time."""
+"""Number of faults that may be active at the same time."""
 
 PLANNED = frozenset({"stop", "configure", "reload"})
-"""What must harm nobody."""
+"""Planned operations, which must not affect any request."""
 
 _INTERRUPTIONS = frozenset({"stop", "kill", "pause"})
 
 PLANNED_SHARE = 0.35
-"""Part of a run in which only planned work is done."""
+"""Share of a run in which only planned operations take place."""
 
 FAULT_SHARE = 0.04
-"""Requests that every replica fails, spoils or cuts after the planned part."""
+"""Share of requests that replicas fail, corrupt or cut after the planned part."""
 
 _GRACE_S = 6.0
 _LINK_SETTLE_S = 1.0
-"""Time after a link's fault in which what it held up may still arrive."""
+"""Time after the fault of a link in which delayed data may still arrive."""
 _ADDRESS_REUSE_DELAY_S = 1.0
-"""Time until another replica serves at the address of one that has gone."""
+"""Time until another replica serves at the address of a replica that ended."""
 
 
 @dataclass(frozen=True)
 class Span:
-    """Say when a fault was there."""
+    """Represent the time span in which a fault was active."""
 
     name: str
     where: str
@@ -47,7 +47,7 @@
 
 
 class Faults:
-    """Harm the parts of a run."""
+    """Inject faults into the parts of a run."""
 
     def __init__(self, run: "SoakRun") -> None:
         self._run = run
@@ -57,15 +57,15 @@
         self.descriptions: list[str] = []
         self._queued = ["refuse", "leave"] if run.size.notices else []
         self._queued += ["return"] if run.size.store_returns else []
-        """Faults that come first after the planned part: a short run draws few."""
+        """Faults to inject first after the planned part: a short run draws few."""
 
     async def run(self, seconds: float) -> None:
-        """Draw faults for a while, and wait until all are healed."""
-        # Planned work alone comes first: what is cut then was cut by it.
+        """Inject faults for the given time, and wait until all have ended."""
+        # Only planned operations run first: they cause every cut in that time.
         await self._run_series(PLANNED, seconds * PLANNED_SHARE)
         for backend in self._run.backends:
             backend.fault_share = FAULT_SHARE
-        # A replica that breaks off cuts the caller's stream, whatever an entry does.
+        # A replica that fails during a stream cuts it, regardless of the entry.
         began_at = trio.current_time()
         self.spans.append(Span("spoilt", "replicas", began_at, float("inf")))
         await self._run_series(None, seconds * (1 - PLANNED_SHARE))
@@ -79,27 +79,27 @@
                 nursery.start_soon(self._draw, end, names)
 
     def overlaps_fault(self, entry: str, from_s: float, to_s: float) -> bool:
-        """Tell whether a fault of an entry or of all fell into a span of time."""
+        """Tell whether an unplanned fault of the entry or of all overlaps a span."""
         return any(
             span.name not in PLANNED and span.where in (entry, "all")
             for span in self._list_overlapping(from_s, to_s)
         )
 
     def overlaps_any_fault(self, from_s: float, to_s: float) -> bool:
-        """Tell whether any unplanned fault fell into a span of time."""
+        """Tell whether any unplanned fault overlaps a span."""
         return any(
             span.name not in PLANNED for span in self._list_overlapping(from_s, to_s)
         )
 
     def overlaps_interruption(self, entry: str, from_s: float, to_s: float) -> bool:
-        """Tell whether an entry was stopped, killed or paused in a span of time."""
+        """Tell whether a stop, kill or pause of the entry overlaps a span."""
         return any(
             span.name in _INTERRUPTIONS and span.where in (entry, "all")
             for span in self._list_overlapping(from_s, to_s)
         )
 
     def overlaps_stop(self, entry: str, from_s: float, to_s: float) -> bool:
-        """Tell whether an entry was told to end in a span of time."""
+        """Tell whether a planned stop of the entry overlaps a span."""
         return any(
             span.name == "stop" and span.where == entry
             for span in self._list_overlapping(from_s, to_s)
@@ -137,7 +137,7 @@
                 name = self._queued.pop(0)
                 fault = dict(choices)[name]
             at = trio.current_time()
-            # A fault that is still there has no end yet.
+            # The end of an active fault is not known yet.
             ongoing = Span(name, "all", at, float("inf"))
             self.spans.append(ongoing)
             where = await fault()
@@ -165,7 +165,7 @@
             member.send_signal(signal.SIGHUP)
         if not await member.wait_ended((_GRACE_S + 2.0) * self._run.size.patience):
             self._run.journal.add_violation(
-                f"{member.name} does not end in its grace period"
+                f"{member.name} did not end within its grace period"
             )
             member.kill()
         await member.start()
@@ -230,7 +230,7 @@
         how = self._random.choice(["down", "lost", "forget"])
         if how == "forget":
             store.compact_history()
-            return "store forgets"
+            return "store compacts its history"
         if how == "down":
             store.answer_status = 503
         else:
@@ -249,7 +249,7 @@
         store.answer_status = 0
         await trio.sleep(self._random.uniform(0.0, 1.5))
         self._run.rewrite_lost()
-        return f"store back at {copy.revision}"
+        return f"store restored to {copy.revision}"
 
     async def _raise_fault_share(self) -> str:
         backend = self._random.choice(self._run.backends)
@@ -290,7 +290,7 @@
         return f"drain {backend.name}"
 
     async def _replace(self, backend: Backend, old_id: str) -> None:
-        """End a replica that leaves, and start the next one at its address."""
+        """Stop a replica that is leaving, and start the next one at its address."""
         await backend.stop_replica()
         self._run.unregister(old_id)
         await trio.sleep(_ADDRESS_REUSE_DELAY_S)
@@ -306,7 +306,7 @@
         return f"refuse {backend.name}"
 
     async def _leave(self) -> str:
-        """Let a replica leave that says so in its answers only."""
+        """Make a replica leave that reports so in its answers only."""
         plain = [one for one in self._run.backends if one.group is None]
         backend = self._random.choice(plain)
         if backend.name in self._busy:
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Start, signal and restart the system's own processes."""
+"""Start, signal and restart the processes of the system under test."""
 
 import json
 import os
@@ -12,23 +12,23 @@
 import trio
 
 START_TIMEOUT_S = 60.0
-"""Time after which a start counts as hanging, also on a busy machine."""
+"""Time after which a start counts as hanging, even on a busy machine."""
 
 _POLL_S = 0.02
 
 
 def reset_reload_action() -> None:
-    """Give a new process the default action of SIGHUP, as a supervisor does.
+    """Reset SIGHUP to its default action in a new process, as a supervisor does.
 
-    A process inherits that a signal is ignored. Under nohup one that is still starting
-    would pass for one that takes the signal.
+    A process inherits ignored signals. Under nohup, a process that is still starting
+    would appear to handle the signal.
     """
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
 @dataclass
 class Member:
-    """Hold one process of the system, over all its starts."""
+    """Manage one process of the system across all its starts."""
 
     name: str
     settings: dict[str, object]
@@ -36,21 +36,21 @@
     starts: int = 0
     callers: str = ""
     stopping: bool = False
-    """Whether it was told to end."""
+    """Whether the process was signaled to end."""
     _popen: subprocess.Popen[bytes] | None = None
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process lives."""
+        """Tell whether the process is running."""
         return self._popen is not None and self._popen.poll() is None
 
     @property
     def handles_reload(self) -> bool:
-        """Tell whether SIGHUP reaches the program, and not the interpreter alone.
+        """Tell whether the process handles or ignores SIGHUP.
 
         Until the first line of the program has run, some hundredths of a second after
-        the start, the kernel's default action ends the process. No program can do
-        anything about that.
+        the start, the default action of the kernel ends the process. The program cannot
+        prevent that.
         """
         if self._popen is None or not self.is_running:
             return False
@@ -64,11 +64,11 @@
 
     @property
     def log_file(self) -> Path:
-        """Return the file with all it has written."""
+        """Return the path of the log of all starts."""
         return self.folder / f"{self.name}.log"
 
     async def start(self) -> None:
-        """Start the process, and wait until it serves."""
+        """Start the process, and wait until it logs that it has started."""
         self.starts += 1
         self.stopping = False
         path = self.folder / f"{self.name}.json"
@@ -93,25 +93,25 @@
             while not (found := self._find_started_address(offset)):
                 if not self.is_running:
                     raise AssertionError(
-                        f"{self.name} ended: {self.read_log()[-2000:]}"
+                        f"{self.name} ended during its start: {self.read_log()[-2000:]}"
                     )
                 await trio.sleep(_POLL_S)
         self.callers = found
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to the process, when it still lives."""
+        """Send a signal to the process if it is running."""
         if self._popen is not None and self.is_running:
             self._popen.send_signal(number)
 
     async def wait_ended(self, timeout_s: float) -> bool:
-        """Wait for the end of the process; tell whether it came."""
+        """Wait for the end of the process; return whether it ended in time."""
         with trio.move_on_after(timeout_s):
             while self.is_running:
                 await trio.sleep(_POLL_S)
         return not self.is_running
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process, and wait for its end."""
         self.stopping = True
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGKILL)
@@ -119,7 +119,7 @@
             self._popen.wait()
 
     def read_log(self) -> str:
-        """Return all it has written."""
+        """Return the log of all starts."""
         return self.log_file.read_text(errors="replace")
 
     def _find_started_address(self, offset: int) -> str:
@@ -131,7 +131,7 @@
 
 
 class Fleet:
-    """Hold the entries and agents of one run."""
+    """Manage the entries and agents of one run."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -144,7 +144,7 @@
         return [*self.entries, *self.agents]
 
     def add(self, name: str, settings: dict[str, object]) -> Member:
-        """Describe a process; it is started later."""
+        """Add a process without starting it."""
         member = Member(name, settings, self._folder)
         if settings["role"] == "direct-entry":
             self.entries.append(member)
@@ -159,6 +159,6 @@
                 nursery.start_soon(member.start)
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for member in self.members:
             member.kill()
--- a/tests/soak/link.py
+++ b/tests/soak/link.py
@@ -1,4 +1,4 @@
-"""Stand between two processes on loopback, and harm what they send."""
+"""Proxy connections between two processes on loopback, and inject faults."""
 
 import struct
 from enum import StrEnum
@@ -10,20 +10,20 @@
 
 
 class LinkState(StrEnum):
-    """Say what becomes of the bytes of a link."""
+    """List the ways in which a link treats data and connections."""
 
     SOUND = "sound"
     DELAYED = "delayed"
     SILENT = "silent"
-    """Nothing passes, and no connection is closed."""
+    """All data is dropped, and no connection is closed."""
     ONE_WAY = "one-way"
-    """Requests pass and answers don't."""
+    """Requests are forwarded, and answers are dropped."""
     REFUSED = "refused"
     """New connections are reset."""
 
 
 class Link:
-    """Pass connections on to one address."""
+    """Forward connections to one address."""
 
     def __init__(self, target: str, *, listen: str = "127.0.0.1:0") -> None:
         self.target = target
@@ -32,7 +32,7 @@
         self.state = LinkState.SOUND
         self.delay_s = 0.0
         self.settled_at = 0.0
-        """Time from which nothing that a fault held up can still arrive."""
+        """Time from which no data delayed by a fault can still arrive."""
         self._open: set[trio.SocketStream] = set()
         self._blackholed: set[trio.SocketStream] = set()
 
@@ -48,11 +48,11 @@
         await trio.serve_listeners(self._serve, listeners)
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether what arrives now was not held up by a fault."""
+        """Tell whether no fault delayed the data that arrives now."""
         return now >= self.settled_at
 
     def blackhole_open(self) -> None:
-        """Let the open connections go silent for good, while new ones work."""
+        """Drop all further data of the open connections; new connections still work."""
         self._blackholed |= self._open
 
     async def reset_open(self) -> None:
@@ -95,7 +95,7 @@
             if not self._drops(client, is_answer):
                 await sink.send_all(data)
         if self._drops(client, is_answer):
-            # Whoever forgot the connection passes no end on either.
+            # A link that drops data does not forward the end of the connection either.
             await trio.sleep_forever()
         if not is_answer:
             await sink.send_eof()
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -1,4 +1,4 @@
-"""Remember what replicas said of themselves, and check who went on sending to them."""
+"""Record notices of replicas, and check that entries follow them."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -9,19 +9,19 @@
     from tests.soak.callers import Call
 
 BACKOFF_GRACE_S = 0.5
-"""Time after an answer from which a rest that it asks for is to be kept."""
+"""Time after an answer from which the back-off that it requests must be kept."""
 
 MAX_REQUESTS_IN_BACKOFF = 2
-"""Requests that an entry may send to a replica within one rest."""
+"""Number of requests that an entry may send to a replica within one back-off."""
 
 DRAIN_S = 2.0
-"""Time after which a replica that said that it leaves gets nothing new."""
+"""Time after which a replica that reported leaving gets no new requests."""
 
 LEAVING_HEADER = b"Server-Leaving: 1\r\n"
 
 
 class LeavingStream:
-    """Add to each answer that its replica leaves."""
+    """Add the header that reports leaving to each answer."""
 
     def __init__(self, stream: object) -> None:
         self._stream = stream
@@ -30,7 +30,7 @@
         return getattr(self._stream, name)
 
     async def send_all(self, data: bytes) -> None:
-        """Send a part of an answer, with the header behind its first line."""
+        """Send a part of an answer; insert the header after the status line."""
         if data.startswith(b"HTTP/1.1"):
             line, end, rest = data.partition(b"\r\n")
             data = line + end + LEAVING_HEADER + rest
@@ -39,18 +39,18 @@
 
 @dataclass(frozen=True)
 class Observation:
-    """Hold a request that reached a replica, or an answer that said something."""
+    """Record a request that reached a replica, or an answer that carried a notice."""
 
     replica: str
     request_id: str
     at: float
     backoff_s: float = 0.0
-    """Time for which the answer asks for rest."""
+    """Length of the back-off that the answer requests."""
 
 
 @dataclass
 class Notices:
-    """Hold what replicas have seen and said over a run."""
+    """Record the requests and the notices of all replicas over a run."""
 
     arrivals: list[Observation] = field(default_factory=list)
     backoffs: list[Observation] = field(default_factory=list)
@@ -63,9 +63,9 @@
         is_excused: Callable[[str, float, float], bool],
         late_tolerance_s: float,
     ) -> list[str]:
-        """Return what went to replicas against their word.
+        """Return a description of each violation of a notice.
 
-        `is_excused` tells whether an entry was stopped in a span of time.
+        `is_excused` tells whether an entry was stopped, killed or paused in a span.
         """
         sent = {call.id: call for call in calls}
         reached: dict[str, list[tuple[Observation, Call]]] = defaultdict(list)
@@ -85,7 +85,9 @@
                 and notice.at + BACKOFF_GRACE_S + late_tolerance_s < arrival.at < until
             ]
             if len(violating) > MAX_REQUESTS_IN_BACKOFF:
-                violations.append(f"{notified.entry} sent {violating} into {notice}")
+                violations.append(
+                    f"{notified.entry} sent {violating} during the back-off of {notice}"
+                )
         for notice in self.leaving_reports:
             notified = sent.get(notice.request_id)
             if notified is None or not notified.whole:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Run one seed: start everything, harm it for a while, heal it, and check the end."""
+"""Run one seed: start all processes, inject faults, and check the recovery."""
 
 import json
 import shutil
@@ -43,18 +43,18 @@
 FAILURES_FOLDER = Path(__file__).parents[2] / ".bench" / "soak-failures"
 
 RECOVERY_S = 20.0
-"""Time after the last fault in which everything is served again."""
+"""Time after the last fault in which all requests must be served again."""
 
 DRAIN_S = 2.0
-"""Time after which a replica that leaves gets nothing new."""
+"""Time after which a draining replica gets no new requests."""
 
 FAULT_FREE_S = 3.0
-"""Time without faults before a request from which a planned stop must not cut it."""
+"""Time without faults before a request after which it must be answered in time."""
 
 
 @dataclass(frozen=True)
 class Size:
-    """Say how large a run is."""
+    """Configure the size of a run and its kinds of faults."""
 
     entries: int = 3
     groups: int = 2
@@ -62,18 +62,18 @@
     callers: int = 12
     seconds: float = 12.0
     patience: float = 1.0
-    """Factor on the times after which something counts as late. A machine that runs a
-    whole test suite besides is slow, which is no fault of the system."""
+    """Factor on the times after which a result counts as late. A machine that also runs
+    a whole test suite is slow, which is not a fault of the system."""
     store_returns: bool = False
-    """Whether the store also comes back from older copies. Seeds play other faults with
-    it than without."""
+    """Whether the store is also restored from older copies. A seed draws other faults
+    with this option than without it."""
     notices: bool = False
-    """Whether replicas also ask for rest, and say in answers alone that they leave."""
+    """Whether replicas also request back-offs, and report leaving in answers only."""
 
 
 @dataclass
 class Report:
-    """Hold what one run has seen."""
+    """Hold the counts, faults and violations of one run."""
 
     seed: int
     calls: int = 0
@@ -81,9 +81,9 @@
     refused: int = 0
     left: int = 0
     changes: int = 0
-    """Expert maps that came into force."""
+    """Number of times that an expert map came into force at an agent."""
     kept_in: str = ""
-    """Folder with the logs and the report, where a promise was broken."""
+    """Folder with the logs and the report, if there are violations."""
     faults: list[str] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
@@ -97,7 +97,7 @@
 
 
 class SoakRun:
-    """Hold the parts of one run."""
+    """Run callers and faults against real programs, and check the results."""
 
     def __init__(self, folder: Path, *, seed: int, size: Size) -> None:
         self.size = size
@@ -110,7 +110,7 @@
         self.backends = self._make_backends()
         self.store_links: dict[str, Link] = {}
         self.written: dict[str, object] = {}
-        """What operators and replicas have written last, by key."""
+        """Last document that operators and replicas wrote, by key."""
         self.generation = 1
         self.callers = Callers(
             self.fleet.entries,
@@ -121,7 +121,7 @@
         self.faults = Faults(self)
 
     async def run(self) -> Report:
-        """Start everything, harm it, heal it and check."""
+        """Start all processes, inject faults, wait for the recovery and check it."""
         try:
             async with trio.open_nursery() as nursery:
                 await self._start(nursery)
@@ -148,17 +148,17 @@
         return self.report
 
     def register(self, backend: Backend) -> None:
-        """Write a replica's registration."""
+        """Write the registration of a replica to the store."""
         self._write(f"servers/{backend.id}", backend.describe())
 
     def unregister(self, replica_id: str) -> None:
-        """Remove a replica's registration."""
+        """Remove the registration of a replica from the store."""
         key = f"servers/{replica_id}"
         del self.written[key]
         self.store.remove(key)
 
     def rewrite_lost(self) -> None:
-        """Write what the store lost, and remove again what it brought back."""
+        """Write documents that a restore lost, and remove those that it restored."""
         for key in self.store.items.keys() - self.written.keys():
             self.store.remove(key)
         for key, document in self.written.items():
@@ -171,7 +171,7 @@
         self.store.put(key, document)
 
     def configure(self) -> None:
-        """Write the next configuration: the newest route replaces the one before."""
+        """Write the next configuration, whose new route replaces the previous one."""
         self.generation += 1
         self._write_configuration()
 
@@ -293,11 +293,11 @@
             await trio.sleep(0.1)
             for member in self.fleet.members:
                 if member.starts and not member.stopping and not member.is_running:
-                    self.journal.add_violation(f"{member.name} ended by itself")
+                    self.journal.add_violation(f"{member.name} ended unexpectedly")
                     member.stopping = True
 
     async def _probe_generations(self) -> None:
-        """Check that no process goes back to an older configuration."""
+        """Check that no entry reverts to an older configuration."""
         client = ReplicaClient()
         newest: dict[tuple[str, int], int] = {}
         number = 0
@@ -312,7 +312,7 @@
                 knows = status not in (0, 404, 503)
                 if knows and generation < seen and member.starts == start[1]:
                     self.journal.add_violation(
-                        f"{start} went back to {generation} of {seen}"
+                        f"{start} reverted from {seen} to {generation}"
                     )
                 if knows:
                     newest[start] = max(seen, generation)
@@ -355,7 +355,7 @@
                     await trio.sleep(0.2)
             if scope.cancelled_caught:
                 self.journal.add_violation(
-                    f"{member.name} has not generation {self.generation} in force"
+                    f"generation {self.generation} is not in force at {member.name}"
                 )
         await client.close()
 
@@ -371,10 +371,12 @@
                 if call.status == 200 and call.whole:
                     return
                 await trio.sleep(0.2)
-        self.journal.add_violation(f"{member.name} does not serve {kind} again")
+        self.journal.add_violation(
+            f"{member.name} does not serve {kind} after the faults"
+        )
 
     async def _check_drain(self) -> None:
-        """Check that a replica that leaves gets nothing new."""
+        """Check that a draining replica gets no new requests."""
         backend = self.backends[0]
         backend.draining_since = trio.current_time()
         self.register(backend)
@@ -389,10 +391,12 @@
         await client.close()
         if backend.started != runs:
             self.journal.add_violation(
-                f"{backend.id} got new work while it was leaving"
+                f"{backend.id} got new requests while it was draining"
             )
         if sum(self.journal.runs.values()) == before:
-            self.journal.add_violation("nothing was served while a replica was leaving")
+            self.journal.add_violation(
+                "no request was served while a replica was draining"
+            )
 
     def _check_notices(self) -> None:
         self.journal.violations += self.journal.notices.check(
@@ -410,16 +414,21 @@
             if call.kind.at_most_once and runs > 1:
                 self.journal.add_violation(f"ran {runs} times: {description}")
             if call.kind.at_most_once and call.status in NOT_RUN and runs:
-                self.journal.add_violation(f"told not-run, and ran: {description}")
+                self.journal.add_violation(
+                    f"reported as not run, but ran: {description}"
+                )
             if call.status == 200 and not runs:
-                self.journal.add_violation(f"served, and never ran: {description}")
+                self.journal.add_violation(
+                    f"answered with 200, but did not run: {description}"
+                )
             if self._is_cut_by_planned_stop(call) and runs:
                 self.journal.add_violation(f"cut by a planned stop: {description}")
             if call.status == -1 and not self.faults.overlaps_fault(
                 call.entry, call.sent_at - FAULT_FREE_S, call.ended_at
             ):
                 self.journal.add_violation(
-                    f"no answer in {TIMEOUT_S + self.callers.late_tolerance_s} s: {description}"
+                    f"no answer in {TIMEOUT_S + self.callers.late_tolerance_s} s: "
+                    f"{description}"
                 )
 
     def _is_cut_by_planned_stop(self, call: Call) -> bool:
@@ -447,7 +456,7 @@
 
 
 def _find_ports() -> tuple[int, int, int]:
-    """Return ports that are free on loopback now."""
+    """Return three ports that are currently free on loopback."""
     probes = [socket.socket(socket.AF_INET, socket.SOCK_STREAM) for _ in range(3)]
     for probe in probes:
         probe.bind(("127.0.0.1", 0))
@@ -458,7 +467,7 @@
 
 
 def run_seed(folder: Path, *, seed: int, size: Size) -> Report:
-    """Run one seed and return what was seen."""
+    """Run one seed and return its report."""
     folder.mkdir(parents=True, exist_ok=True)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     report = trio.run(SoakRun(folder, seed=seed, size=size).run)
@@ -468,10 +477,10 @@
 
 
 def _save_failure(folder: Path, report: Report, size: Size) -> Path:
-    """Copy what a failed run has left, with the command that plays it again.
+    """Copy the files of a failed run, and add the command that repeats it.
 
-    The folders of tests are cleared later, and a failure that shows once may not show
-    again: without its logs nobody could trace it.
+    The folders of tests are cleared later, and a failure may not occur again. Without
+    its logs, its cause could not be found.
     """
     destination = FAILURES_FOLDER / f"seed-{report.seed}-{time.time_ns()}"
     shutil.copytree(folder, destination)
