--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the tests."""
+"""Test hyssopvane: unit tests, tests of real processes, and a fault soak."""
--- a/tests/functional/__init__.py
+++ b/tests/functional/__init__.py
@@ -1,1 +1,1 @@
-"""Test real commands as separate processes."""
+"""Test the real commands as separate processes."""
--- a/tests/functional/test_service_return.py
+++ b/tests/functional/test_service_return.py
@@ -1,4 +1,4 @@
-"""Test the client of a key-value service that comes back from copies."""
+"""Test the client of a key-value service that is restored from copies."""
 
 import json
 
@@ -26,7 +26,7 @@
 
 
 async def control(address, path, **document):
-    """Disturb the stand-in."""
+    """Send a control request to the stand-in."""
     async with httpcore.AsyncConnectionPool() as pool:
         answer = await pool.request(
             "POST", f"http://{address}/{path}", content=json.dumps(document).encode()
@@ -55,8 +55,8 @@
 
 
 @pytest.mark.parametrize("new_cluster", [True, False])
-def test_return_begins_an_era(address, new_cluster):
-    """Guards against revisions of a service that came back taken for older ones."""
+def test_restore_begins_an_era(address, new_cluster):
+    """Guards against revisions of a restored service being treated as older ones."""
 
     async def run(store, other):
         await write(store, "a", b"kept")
@@ -82,8 +82,8 @@
     run_with_stores(address, run)
 
 
-def test_write_prepared_before_a_return_is_not_confirmed(address):
-    """Guards against a write on lost ground that counts as carried out."""
+def test_write_prepared_before_a_restore_is_not_confirmed(address):
+    """Guards against a write based on a lost revision being reported as applied."""
 
     async def run(store, other):
         await write(store, "b", b"kept")
@@ -113,7 +113,7 @@
         (b"\xff\xff1", b"\xff\xff", True),
     ],
 )
-def test_swap_expects_the_first_bytes_of_a_value(address, value, prefix, swapped):
+def test_swap_compares_the_prefix_of_a_value(address, value, prefix, swapped):
     async def run(store, _):
         await write(store, "c", value)
         swap = Swap("c", b"next", 99_999, expected_prefix=prefix)
@@ -124,7 +124,7 @@
 
 
 def test_stale_read_begins_no_era(address):
-    """Guards against a read from a member that is behind taken for a return."""
+    """Guards against a stale read from a lagging member being treated as a restore."""
 
     async def run(store, _):
         await write(store, "d", b"1")
@@ -143,7 +143,7 @@
 
 
 def test_watch_ends_with_its_era(address):
-    """Guards against a watch that waits at a revision which was lost."""
+    """Guards against a watch that waits at a lost revision."""
 
     async def run(store, other):
         await write(store, "e", b"1")
@@ -182,5 +182,5 @@
         (B2, 12, C9, EraRecord(9_001, 12)),
     ],
 )
-def test_record_goes_past_all_eras_that_are_known(found, cluster, known, due):
+def test_era_record_exceeds_all_known_eras(found, cluster, known, due):
     assert plan_record(found, cluster, known, now=NOW) == due
--- a/tests/lib/__init__.py
+++ b/tests/lib/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what several tests share."""
+"""Provide helpers that several test modules share."""
--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -1,4 +1,4 @@
-"""Put random faults on a whole installation under load, and check what must hold."""
+"""Inject random faults into an installation under load, and check its guarantees."""
 
 import json
 import signal
@@ -34,7 +34,8 @@
     "check-1": "check",
     "check-2": "check",
 }
-# An entry that was frozen for longer than the silence finds its connections closed.
+# The suspension is longer than the silence timeout: an entry that resumes finds its
+# connections closed.
 SILENCE_S = 1.0
 SUSPENSION_S = 1.6
 OUTAGE_S = 1.5
@@ -45,13 +46,13 @@
 LAST_DEADLINE_S = 99.0
 _RETRY_PAUSE_S = 0.2
 _TOKENS = 40
-# Some bids take long enough that a kill falls into their run.
+# Some bids take long enough for a kill to occur during their run.
 _DELAYS_MS = (10, 400)
 
 
 @dataclass(slots=True)
 class KeyedCall:
-    """Collect what a caller was told about one key."""
+    """Collect the outcomes and answers that a caller received for one key."""
 
     key: str
     bidder: str
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class FaultReport:
-    """Hold what a run did and which checks failed."""
+    """Hold the faults, counts and violations of one run."""
 
     seed: int
     faults: list[str] = field(default_factory=list)
@@ -74,7 +75,7 @@
 
 
 class FaultRun:
-    """Run callers and faults side by side."""
+    """Run callers and faults concurrently, and check the results."""
 
     def __init__(self, cluster: Cluster, *, seed: int, returns: bool = False) -> None:
         self._cluster = cluster
@@ -86,12 +87,12 @@
         self._callers: dict[str, str] = {}
         self._targets: dict[str, str] = {}
         self._positions: dict[tuple[str, object], StorePosition] = {}
-        """Last mark of each start of a process, noted by several threads."""
+        """Latest position of each start of a process; several threads update it."""
         self._positions_lock = Lock()
         self._edits = 0
 
     def start(self) -> None:
-        """Start targets, agents and entries."""
+        """Write the table, and start targets, agents and entries."""
         commit_table(self._cluster.platform, ((CHECK, "key_required", "yes"),))
         for vm, service in AGENTS.items():
             module = "engine_server" if service == "draft" else "plain_service"
@@ -101,7 +102,7 @@
             self._start_vm(vm)
 
     async def run(self, seconds: float) -> None:
-        """Run load and faults for a time, heal everything, then check."""
+        """Run load and faults for the given time, then check the table and the bids."""
         if self._returns:
             await self._control("/copy", {})
         async with trio.open_nursery() as nursery:
@@ -113,7 +114,7 @@
             nursery.start_soon(self._watch_revisions)
             with trio.move_on_after(seconds):
                 if self._returns:
-                    # Each run has one, whatever it draws.
+                    # Each run includes a restore, regardless of the faults drawn.
                     await self._restore_copy()
                 while True:
                     await self._do_fault()
@@ -147,7 +148,7 @@
         self._processes[vm].send_signal(signal.SIGSTOP)
         await trio.sleep(SUSPENSION_S)
         self._processes[vm].send_signal(signal.SIGCONT)
-        return f"freeze {vm}"
+        return f"suspend {vm}"
 
     async def _stop_service(self) -> str:
         return await self._set_faults_for({"down": True}, OUTAGE_S)
@@ -163,7 +164,10 @@
         return "copy"
 
     async def _restore_copy(self) -> str:
-        """Let the service be away, and come back without what was written since."""
+        """Stop the service for a time, and restore it from the last copy.
+
+        The restore loses all writes since the copy.
+        """
         with trio.CancelScope(shield=True):
             await trio.sleep(self._random.uniform(0, 2 * OUTAGE_S))
             await self._set_faults({"down": True})
@@ -257,7 +261,7 @@
             await trio.sleep(0.05)
 
     async def _read_stream(self, prompt: str, random: Random) -> bytes | None:
-        """Return the body when the protocol says that it is whole."""
+        """Return the body if the protocol reports it as complete."""
         address = self._callers[random.choice(ENTRIES)]
         body = {"prompt": prompt, "max_tokens": _TOKENS, "stream": True}
         try:
@@ -287,7 +291,7 @@
         wanted = [make_token_text(prompt, index) for index in range(_TOKENS)]
         if texts != wanted or not content.endswith(b"data: [DONE]\n\n"):
             self._add_violation(
-                f"an answer that looks whole is not: {prompt!r} {texts}"
+                f"an answer received as complete is not complete: {prompt!r} {texts}"
             )
 
     async def _watch_revisions(self) -> None:
@@ -300,8 +304,8 @@
             await trio.sleep(0.1)
 
     def _record_revision(self, vm: str) -> None:
-        # A reading that was given up goes on, and may end after newer ones. What was
-        # noted before it began is the least that it may show.
+        # A read that timed out continues in its thread, and may end after newer reads.
+        # It must not be older than the positions recorded before it began.
         earlier = dict(self._positions)
         try:
             in_force = read_in_force(self._cluster, vm)
@@ -314,15 +318,15 @@
         revision, era = in_force["table_revision"], in_force.get("table_era", 0)
         assert isinstance(revision, int) and isinstance(era, int)
         position = StorePosition(era, revision)
-        # A process that was replaced starts anew, from what it finds.
+        # A restarted process begins at the position that it finds.
         start = (vm, in_force["incarnation"])
         if position < earlier.get(start, StorePosition(0, 0)):
-            self._add_violation(f"{vm} went back to revision {revision}")
+            self._add_violation(f"{vm} reverted to revision {revision}")
         with self._positions_lock:
             self._positions[start] = max(position, self._positions.get(start, position))
 
     async def _check_table(self) -> None:
-        """Check that every entry comes to hold the last accepted edit."""
+        """Check that the last accepted edit comes into force at all entries."""
         newest = await commit_cell(
             self._cluster.platform, DRAFT, "deadline_s", str(LAST_DEADLINE_S), number=0
         )
@@ -335,17 +339,19 @@
                 ):
                     return
                 await trio.sleep(0.2)
-        self._add_violation(f"revision {newest} is not in force everywhere: {found}")
+        self._add_violation(
+            f"revision {newest} is not in force at all entries: {found}"
+        )
 
     def _read_tables(self) -> dict[str, tuple[int, str]]:
-        """Return each entry's revision, and the cell that was edited last."""
+        """Return the table revision and the last edited cell of each entry."""
         return {vm: self._read_table(vm) for vm in ENTRIES}
 
     def _read_table(self, vm: str) -> tuple[int, str]:
         operators = self._cluster.operators[vm]
         answer = request("GET", operators, "/table", headers=OPERATOR)
         table = json.loads(answer.body)
-        # An entry that was started a moment ago has no table yet.
+        # An entry that has just started has no table yet.
         row = table["services"].get(DRAFT.name, {"deadline_s": "0"})
         return table["revision"], row["deadline_s"]
 
@@ -367,11 +373,11 @@
         if runs > 1:
             self._add_violation(f"ran {runs} times: {description}")
         if "not-run" in call.outcomes and runs:
-            self._add_violation(f"told not-run, and ran: {description}")
+            self._add_violation(f"reported as not run, but ran: {description}")
         if "ran" in call.outcomes and not runs:
-            self._add_violation(f"told ran, and did not: {description}")
+            self._add_violation(f"reported as run, but did not run: {description}")
         if any(json.loads(answer)["bidder"] != call.bidder for answer in call.answers):
-            self._add_violation(f"got another caller's answer: {description}")
+            self._add_violation(f"received the answer of another caller: {description}")
 
     def _add_violation(self, what: str) -> None:
         self.report.violations.append(what)
@@ -380,9 +386,9 @@
 def run_faults(
     folder: Path, *, seed: int, seconds: float, returns: bool = False
 ) -> FaultReport:
-    """Run one seed and return what was seen.
+    """Run one seed and return its report.
 
-    `returns` lets the key-value service come back from copies as well.
+    With `returns`, the key-value service is also restored from copies.
     """
     with open_cluster(folder) as cluster:
         run = FaultRun(cluster, seed=seed, returns=returns)
--- a/tests/lib/installation.py
+++ b/tests/lib/installation.py
@@ -1,4 +1,4 @@
-"""Give an installation of separate processes its table, and wait for it."""
+"""Edit the table of an installation, and read the state of its processes."""
 
 import hashlib
 import json
@@ -25,7 +25,7 @@
 
 
 def make_table_edit(cells: Iterable[tuple[RowId, str, str]] = ()) -> TableEdit:
-    """Return an edit with one customer, two services and the given cells."""
+    """Return an edit that adds one customer and two services, and sets cells."""
     digest = hashlib.sha256(KEY.encode()).hexdigest()
     writes = [CellWrite(CellId(CLERKS, "key_sha256"), digest)]
     writes += [CellWrite(CellId(row, column), text) for row, column, text in cells]
@@ -33,7 +33,7 @@
 
 
 def commit_table(platform: str, cells: Iterable[tuple[RowId, str, str]] = ()) -> None:
-    """Put one customer and two services into the table."""
+    """Add one customer and two services to the table, and set cells."""
 
     async def commit() -> None:
         async with trio.open_nursery() as nursery:
@@ -49,7 +49,7 @@
 async def commit_cell(
     platform: str, row: RowId, column: str, text: str, *, number: int
 ) -> int:
-    """Set a cell, however long the service is out, and return its revision."""
+    """Set a cell, retry until the service is available, and return the revision."""
     edit = TableEdit(f"cell-{number}", writes=(CellWrite(CellId(row, column), text),))
     store = EtcdKeyValueStore(platform)
     editor = TableEditor(store, random=Random(number))
@@ -66,14 +66,14 @@
 
 
 def read_in_force(cluster: Cluster, vm: str) -> dict[str, object]:
-    """Return what a process says is in force."""
+    """Return the state that a process reports as in force."""
     answer = request("GET", cluster.operators[vm], "/in-force", headers=OPERATOR)
     document: dict[str, object] = json.loads(answer.body)
     return document
 
 
 def wait_for_targets(cluster: Cluster, vm: str, count: int) -> None:
-    """Wait until an entry has a table and reaches that many targets."""
+    """Wait until an entry has a table and is connected to `count` targets."""
 
     def is_ready() -> bool:
         in_force = read_in_force(cluster, vm)
--- a/tests/lib/keys.py
+++ b/tests/lib/keys.py
@@ -1,4 +1,4 @@
-"""Make idempotency keys as callers do."""
+"""Generate idempotency keys like those of callers."""
 
 from uuid import UUID
 
@@ -6,7 +6,7 @@
 
 
 def make_key(*, age_s: float = 0.0) -> str:
-    """Return a fresh UUIDv7 whose timestamp lies in the past, or in the future."""
+    """Return a new UUIDv7 that is `age_s` old; a negative age is in the future."""
     fresh = uuid6.uuid7().int
     shifted = (fresh >> 80) - int(age_s * 1_000)
     return str(UUID(int=(shifted << 80) | (fresh & ((1 << 80) - 1))))
--- a/tests/lib/processes.py
+++ b/tests/lib/processes.py
@@ -15,16 +15,17 @@
 import trio
 
 TOKEN = "test-token-of-one-installation"
-# Only ends a test that hangs: a busy machine takes many seconds for some starts.
+# Only limits a test that hangs: on a busy machine some starts take many seconds.
 START_TIMEOUT_S = 120.0
 POLL_S = 0.02
 _STANDINS = "hyssopvane._internal.standins"
 
 
 class Process:
-    """Hold one started process and the lines it has written.
+    """Run one process and collect the lines of its output.
 
-    The lines go to a file: a pipe that nobody reads would fill up and stop the process.
+    The output goes to a file: a pipe that is not read would fill up and block the
+    process.
     """
 
     def __init__(self, arguments: list[str]) -> None:
@@ -49,7 +50,7 @@
         return self._popen.poll() is not None
 
     def wait_for(self, pattern: str) -> re.Match[str]:
-        """Read lines until one matches; fail when the process ends before that."""
+        """Read lines until one matches; fail if the process ends first."""
         while True:
             ended = self._popen.poll() is not None
             for line in self._read_lines():
@@ -61,17 +62,17 @@
             time.sleep(POLL_S)
 
     def send_signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self._popen.send_signal(number)
 
     def read_to_end(self) -> int:
-        """Wait for the end and return the exit code."""
+        """Wait for the end of the process, read all output and return the exit code."""
         code = self._popen.wait()
         self.lines.extend(self._read_lines())
         return code
 
     def kill(self) -> None:
-        """End the process at once, when it still runs."""
+        """Kill the process if it is running, and discard its output file."""
         if self._popen.poll() is None:
             self._popen.send_signal(signal.SIGCONT)
             self._popen.kill()
@@ -88,7 +89,7 @@
 
 
 class Cluster:
-    """Start processes of one installation and end them all."""
+    """Manage the processes of one installation."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -99,12 +100,12 @@
         self.operators: dict[str, str] = {}
 
     def start_platform(self) -> None:
-        """Start the key-value service and the list of VMs."""
+        """Start the stand-ins of the key-value service and of the VM list."""
         self.platform, _ = self.start_standin("key_value")
         self.vm_list, _ = self.start_standin("vm_list")
 
     def start_standin(self, name: str, *options: str) -> tuple[str, Process]:
-        """Start a stand-in and return its address."""
+        """Start a stand-in and return its address and its process."""
         process = self._start(
             [sys.executable, "-m", f"{_STANDINS}.{name}", "--bind", "127.0.0.1:0"]
             + list(options)
@@ -114,7 +115,7 @@
     def start_agent(
         self, vm: str, *, service: str, target: str, **changes: object
     ) -> Process:
-        """Start an agent and put it into the list of VMs."""
+        """Start an agent and add it to the VM list."""
         process, address = self._start_role(
             "agent",
             vm,
@@ -125,7 +126,7 @@
         return process
 
     def start_entry(self, vm: str, **changes: object) -> tuple[Process, str]:
-        """Start an entry and return its callers' address."""
+        """Start an entry, add it to the VM list, and return its callers' address."""
         process, peers = self._start_role(
             "entry",
             vm,
@@ -138,7 +139,7 @@
     def list_vm(
         self, vm: str, *, role: str, service: str, address: str, state: str = "live"
     ) -> None:
-        """Put a VM into the platform's list."""
+        """Add a VM to the VM list, or replace its item."""
         self._vms[vm] = {
             "name": vm,
             "address": address,
@@ -150,12 +151,12 @@
         self._put_vms()
 
     def unlist_vm(self, vm: str) -> None:
-        """Take a VM out of the platform's list."""
+        """Remove a VM from the VM list."""
         del self._vms[vm]
         self._put_vms()
 
     def close(self) -> None:
-        """End every process."""
+        """Kill all processes."""
         for process in reversed(self._processes):
             process.kill()
 
@@ -201,7 +202,7 @@
 
 @contextmanager
 def open_cluster(folder: Path) -> Iterator[Cluster]:
-    """Give a cluster with its platform and end all its processes afterwards."""
+    """Yield a cluster with a started platform, and kill its processes afterwards."""
     cluster = Cluster(folder)
     try:
         cluster.start_platform()
@@ -213,7 +214,7 @@
 def wait_until(
     check: Callable[[], bool], *, timeout_s: float = START_TIMEOUT_S
 ) -> None:
-    """Poll a check until it holds; the timeout only ends a test that hangs."""
+    """Poll a check until it holds; the timeout only limits a test that hangs."""
 
     async def poll() -> None:
         with trio.fail_after(timeout_s):
@@ -225,7 +226,7 @@
 
 @contextmanager
 def run_standin_process(module: str) -> Iterator[str]:
-    """Run one stand-in and give its address."""
+    """Run one stand-in and yield its address."""
     process = Process([sys.executable, "-m", f"{_STANDINS}.{module}"])
     try:
         yield process.wait_for(r"address=(\S+)")[1]
--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -1,1 +1,1 @@
-"""Test modules one by one."""
+"""Test single modules in the process of the tests."""
--- a/tests/unit/test_fault_run.py
+++ b/tests/unit/test_fault_run.py
@@ -1,4 +1,4 @@
-"""Test the check of the random runs that no process goes back."""
+"""Test the check of fault runs that no process reverts to an older revision."""
 
 import pytest
 
@@ -13,8 +13,8 @@
 @pytest.mark.parametrize(
     ("late", "newer"), [(0, 5), (5, 5), (7, 5)], ids=["before", "same", "after"]
 )
-def test_reading_that_ends_after_a_newer_one_is_no_regress(monkeypatch, late, newer):
-    """Guards against a late reading that is taken for a process that went back."""
+def test_late_read_after_a_newer_one_is_no_regression(monkeypatch, late, newer):
+    """Guards against a late read being reported as a process that reverted."""
     run = FaultRun(None, seed=1)
 
     def read_late(cluster, vm):
@@ -28,10 +28,10 @@
 
 
 @pytest.mark.parametrize("revision", [0, 4])
-def test_reading_below_what_was_noted_before_it_is_a_regress(monkeypatch, revision):
-    """Guards against a check that no longer sees a process go back."""
+def test_read_below_an_earlier_revision_is_a_regression(monkeypatch, revision):
+    """Guards against a check that misses a process that reverted."""
     run = FaultRun(None, seed=1)
     for one in (5, revision):
         monkeypatch.setattr(fault_run, "read_in_force", lambda *_, one=one: read(one))
         run._record_revision("check-2")
-    assert run.report.violations == [f"check-2 went back to revision {revision}"]
+    assert run.report.violations == [f"check-2 reverted to revision {revision}"]
