--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -1,4 +1,4 @@
-"""Encode the datagrams of the direct path."""
+"""Encode and decode the datagrams and store snapshots of the direct path."""
 
 import struct
 import zlib
@@ -43,20 +43,20 @@
 )
 
 _SCHEMA_FILE = Path(__file__).with_name("group.capnp")
-_MAX_BELIEF_WORDS = 8 * 1024 * 1024
-_MICROSECONDS = 1_000_000
+_MAX_SNAPSHOT_WORDS = 8 * 1024 * 1024
+_US_PER_S = 1_000_000
 _MAX_PASS_US = 2**32 - 1
 _MEMBER = struct.Struct("<HHBB")
-_MAX_WORD = 2**16 - 1
-_MAX_BYTE = 2**8 - 1
-_MILLISECONDS = 1_000
+_MAX_UINT16 = 2**16 - 1
+_MAX_UINT8 = 2**8 - 1
+_MS_PER_S = 1_000
 _MAX_AGE_MS = 2**32 - 1
-_PACE_UNITS = 16
-_AGE_UNITS = 100
+_PACE_STEPS_PER_UNIT = 16
+_AGE_UNITS_PER_S = 100
 _MAX_COUNTS = 2**16
-"""Counts in one message: 16 sets of 4,096 experts."""
-_QUICK = 1
-"""Level of compression: the better ones take three times as long for a tenth less."""
+"""Maximum number of counts in one message: 16 sets of 4,096 experts."""
+_COMPRESSION_LEVEL = 1
+"""Fastest zlib level; better ones take three times as long to save another tenth."""
 _CHECKSUM_BYTES = 4
 
 
@@ -80,48 +80,50 @@
             _write_order(datagram.init("order"), message)
         case ReplicaLimits():
             _write_limits(datagram.init("limits"), message)
-    return _seal(datagram.to_bytes_packed())
+    return _add_checksum(datagram.to_bytes_packed())
 
 
 def decode_message(data: bytes) -> GroupMessage:
-    """Decode a datagram; raise `ProtocolError` when it is none of ours."""
+    """Decode a datagram; raise `ProtocolError` when it is invalid."""
     try:
-        body = _open(data)
+        body = _remove_checksum(data)
         datagram = load_schema(_SCHEMA_FILE).Datagram.from_bytes_packed(body)
         message = _READERS[str(datagram.which())](datagram)
     except (capnp.KjException, KeyError, ValueError, zlib.error) as error:
-        raise ProtocolError("a datagram can't be read", context=str(error)) from error
-    _check(message)
+        raise ProtocolError(
+            "a datagram can't be decoded", context=str(error)
+        ) from error
+    _validate(message)
     return message
 
 
-def _check(message: GroupMessage) -> None:
-    """Raise `ProtocolError` where a readable message holds what nobody sends.
+def _validate(message: GroupMessage) -> None:
+    """Raise `ProtocolError` when a decoded message holds invalid values.
 
-    Addresses are sent to and numbers are counted with; a wrong one would end the
-    process far from here, where nobody could tell who sent it.
+    The process sends to these addresses and computes with these numbers. An invalid one
+    would end the process later, where its sender is no longer known.
     """
-    sound = True
+    is_valid = True
     match message:
         case EntryState():
-            # An entry that gives nothing on names no address for its beliefs.
-            addresses = (message.address, *_present(message.beliefs, message.via))
+            # An entry that shares no snapshots leaves the address for them empty.
+            addresses = (message.address, *_drop_empty(message.beliefs, message.via))
         case GroupLoad():
-            addresses = _present(message.forward)
-            sound = 0 < len(message.members) <= message.ranks
+            addresses = _drop_empty(message.forward)
+            is_valid = 0 < len(message.members) <= message.ranks
         case Roster():
             addresses = (
                 *(one.address for one in message.members),
                 *(one.address for one in message.entries),
-                *_present(message.forward),
+                *_drop_empty(message.forward),
             )
-            sound = bool(message.members)
+            is_valid = bool(message.members)
         case Presence():
             addresses = (message.messages,)
         case RankState():
-            # A short word leaves out what the one before it has told.
-            addresses = _present(message.messages, message.replica)
-            sound = message.rank < message.ranks and (
+            # A short state omits the addresses that an earlier full state contained.
+            addresses = _drop_empty(message.messages, message.replica)
+            is_valid = message.rank < message.ranks and (
                 isfinite(message.pace) and message.pace >= 0
             )
         case OrderRequest():
@@ -130,41 +132,41 @@
             addresses = message.forward
         case ReplicaLimits():
             addresses = tuple(one.replica for one in message.reports)
-            sound = all(_is_limit(one.per_s) for one in message.reports)
-    if not sound or not all(is_address(one) for one in addresses):
+            is_valid = all(_is_valid_limit(one.per_s) for one in message.reports)
+    if not is_valid or not all(is_address(one) for one in addresses):
         raise ProtocolError(
-            "a datagram holds what no process of ours sends", context=str(message)[:200]
+            "a datagram holds invalid values", context=str(message)[:200]
         )
 
 
-def _is_limit(per_s: float | None) -> bool:
+def _is_valid_limit(per_s: float | None) -> bool:
     return per_s is None or (isfinite(per_s) and per_s >= 0)
 
 
-def _present(*addresses: str) -> tuple[str, ...]:
+def _drop_empty(*addresses: str) -> tuple[str, ...]:
     return tuple(one for one in addresses if one)
 
 
-def encode_beliefs(beliefs: StoreSnapshot) -> bytes:
-    """Encode what an entry has learnt from the store."""
+def encode_store_snapshot(snapshot: StoreSnapshot) -> bytes:
+    """Encode what an entry has read from the store."""
     message = load_schema(_SCHEMA_FILE).Beliefs.new_message()
-    message.configurationRevision = beliefs.configuration_revision
-    message.configuration = beliefs.configuration
-    message.replicasRevision = beliefs.replicas_revision
-    message.replicasEra = beliefs.replicas_era
-    builders = message.init("replicas", len(beliefs.replicas))
-    for builder, item in zip(builders, beliefs.replicas, strict=True):
+    message.configurationRevision = snapshot.configuration_revision
+    message.configuration = snapshot.configuration
+    message.replicasRevision = snapshot.replicas_revision
+    message.replicasEra = snapshot.replicas_era
+    builders = message.init("replicas", len(snapshot.replicas))
+    for builder, item in zip(builders, snapshot.replicas, strict=True):
         builder.key = item.key
         builder.value = item.value
         builder.revision = item.revision
-    return _seal(message.to_bytes_packed())
+    return _add_checksum(message.to_bytes_packed())
 
 
-def decode_beliefs(data: bytes) -> StoreSnapshot:
-    """Decode another entry's beliefs; raise `ProtocolError` when they are none."""
+def decode_store_snapshot(data: bytes) -> StoreSnapshot:
+    """Decode another entry's snapshot; raise `ProtocolError` when it is invalid."""
     try:
         message = load_schema(_SCHEMA_FILE).Beliefs.from_bytes_packed(
-            _open(data), traversal_limit_in_words=_MAX_BELIEF_WORDS
+            _remove_checksum(data), traversal_limit_in_words=_MAX_SNAPSHOT_WORDS
         )
         return StoreSnapshot(
             configuration_revision=message.configurationRevision,
@@ -177,24 +179,29 @@
             ),
         )
     except (capnp.KjException, ValueError) as error:
-        raise ProtocolError("beliefs can't be read", context=str(error)) from error
+        raise ProtocolError(
+            "a store snapshot can't be decoded", context=str(error)
+        ) from error
 
 
-def _seal(body: bytes) -> bytes:
-    """Put a checksum before a message."""
+def _add_checksum(body: bytes) -> bytes:
+    """Prepend a checksum to a message."""
     return zlib.crc32(body).to_bytes(_CHECKSUM_BYTES, "big") + body
 
 
-def _open(data: bytes) -> bytes:
-    """Return the message behind a checksum; raise `ProtocolError` when it is damaged.
+def _remove_checksum(data: bytes) -> bytes:
+    """Verify and remove the checksum; raise `ProtocolError` for a damaged message.
 
-    The decoder of packed messages ends the whole process at some damaged ones, where
-    its own clean-up fails: there is no error that Python could catch, only a line on
-    standard error, and all callers of the process are cut. So none gets there.
+    The decoder of packed messages ends the whole process on some damaged input because
+    its own clean-up fails. Python can't catch that: there is only a line on standard
+    error, and all callers lose their connections. The checksum keeps such input from
+    the decoder.
     """
     checksum, body = data[:_CHECKSUM_BYTES], data[_CHECKSUM_BYTES:]
     if zlib.crc32(body).to_bytes(_CHECKSUM_BYTES, "big") != checksum:
-        raise ProtocolError("a message is damaged", context=f"{len(data)} bytes")
+        raise ProtocolError(
+            "the checksum of a message does not match", context=f"{len(data)} bytes"
+        )
     return body
 
 
@@ -208,27 +215,27 @@
     builder.availabilityZone = message.availability_zone
     builder.via = message.via
     if message.store_returned_s is not None:
-        returned_ms = int(message.store_returned_s * _MILLISECONDS)
-        builder.storeReturnedMs = min(_MAX_WORD, 1 + returned_ms)
+        returned_ms = int(message.store_returned_s * _MS_PER_S)
+        builder.storeReturnedMs = min(_MAX_UINT16, 1 + returned_ms)
 
 
 def _read_entry(datagram: Any) -> EntryState:
-    one = datagram.entry
+    reader = datagram.entry
     return EntryState(
-        address=one.address,
-        beliefs=one.beliefs,
-        configuration_version=one.configurationVersion,
-        replicas_revision=one.replicasRevision,
-        replicas_era=one.replicasEra,
-        lacks_load=one.unheard,
-        availability_zone=one.availabilityZone,
-        via=one.via,
-        store_returned_s=_read_returned(one.storeReturnedMs),
+        address=reader.address,
+        beliefs=reader.beliefs,
+        configuration_version=reader.configurationVersion,
+        replicas_revision=reader.replicasRevision,
+        replicas_era=reader.replicasEra,
+        lacks_load=reader.unheard,
+        availability_zone=reader.availabilityZone,
+        via=reader.via,
+        store_returned_s=_read_store_returned(reader.storeReturnedMs),
     )
 
 
-def _read_returned(milliseconds: int) -> float | None:
-    return (milliseconds - 1) / _MILLISECONDS if milliseconds else None
+def _read_store_returned(milliseconds: int) -> float | None:
+    return (milliseconds - 1) / _MS_PER_S if milliseconds else None
 
 
 def _write_presence(builder: Any, message: Presence) -> None:
@@ -240,8 +247,10 @@
 
 
 def _read_presence(datagram: Any) -> Presence:
-    one = datagram.presence
-    return Presence(one.messages, one.group, one.epoch, one.rank, one.leads)
+    reader = datagram.presence
+    return Presence(
+        reader.messages, reader.group, reader.epoch, reader.rank, reader.leads
+    )
 
 
 def _write_order(builder: Any, message: OrderRequest) -> None:
@@ -252,8 +261,8 @@
 
 
 def _read_order(datagram: Any) -> OrderRequest:
-    one = datagram.order
-    return OrderRequest(one.group, one.epoch, one.step, one.release)
+    reader = datagram.order
+    return OrderRequest(reader.group, reader.epoch, reader.step, reader.release)
 
 
 def _write_limits(builder: Any, message: ReplicaLimits) -> None:
@@ -263,7 +272,7 @@
         item.startedMs = one.started_ms
         item.named = one.per_s is not None
         item.perS = one.per_s or 0.0
-        item.ageMs = min(_MAX_AGE_MS, max(0, int(one.age_s * _MILLISECONDS)))
+        item.ageMs = min(_MAX_AGE_MS, max(0, int(one.age_s * _MS_PER_S)))
 
 
 def _read_limits(datagram: Any) -> ReplicaLimits:
@@ -273,7 +282,7 @@
                 replica=one.replica,
                 started_ms=one.startedMs,
                 per_s=one.perS if one.named else None,
-                age_s=one.ageMs / _MILLISECONDS,
+                age_s=one.ageMs / _MS_PER_S,
             )
             for one in datagram.limits.news
         )
@@ -288,8 +297,8 @@
     builder.ranks = message.ranks
     builder.open = message.open
     builder.step = message.step
-    builder.passUs = min(_MAX_PASS_US, int(message.pass_s * _MICROSECONDS))
-    builder.entries = min(_MAX_WORD, message.entries)
+    builder.passUs = min(_MAX_PASS_US, int(message.pass_s * _US_PER_S))
+    builder.entries = min(_MAX_UINT16, message.entries)
     builder.members = b"".join(_pack_member(member) for member in message.members)
     builder.relay = message.relay
     builder.forward = message.forward
@@ -297,35 +306,37 @@
 
 def _pack_member(member: MemberLoad) -> bytes:
     return _MEMBER.pack(
-        min(_MAX_WORD, member.active),
-        min(_MAX_WORD, member.queued),
-        min(_MAX_BYTE, round(member.pace * _PACE_UNITS)),
-        min(_MAX_BYTE, max(0, int(member.age_s * _AGE_UNITS))),
+        min(_MAX_UINT16, member.active),
+        min(_MAX_UINT16, member.queued),
+        min(_MAX_UINT8, round(member.pace * _PACE_STEPS_PER_UNIT)),
+        min(_MAX_UINT8, max(0, int(member.age_s * _AGE_UNITS_PER_S))),
     )
 
 
 def _read_load(datagram: Any) -> GroupLoad:
-    one = datagram.load
+    reader = datagram.load
     try:
         members = tuple(
-            MemberLoad(active, queued, pace / _PACE_UNITS, age / _AGE_UNITS)
-            for active, queued, pace, age in _MEMBER.iter_unpack(one.members)
+            MemberLoad(
+                active, queued, pace / _PACE_STEPS_PER_UNIT, age / _AGE_UNITS_PER_S
+            )
+            for active, queued, pace, age in _MEMBER.iter_unpack(reader.members)
         )
     except struct.error as error:
         raise ValueError(f"members of a load: {error}") from error
     return GroupLoad(
-        roster=one.roster,
-        source=one.source,
-        sequence=one.sequence,
-        epoch=one.epoch,
-        ranks=one.ranks,
-        open=one.open,
-        step=one.step,
-        pass_s=one.passUs / _MICROSECONDS,
-        entries=one.entries,
+        roster=reader.roster,
+        source=reader.source,
+        sequence=reader.sequence,
+        epoch=reader.epoch,
+        ranks=reader.ranks,
+        open=reader.open,
+        step=reader.step,
+        pass_s=reader.passUs / _US_PER_S,
+        entries=reader.entries,
         members=members,
-        relay=one.relay,
-        forward=one.forward,
+        relay=reader.relay,
+        forward=reader.forward,
     )
 
 
@@ -345,16 +356,17 @@
 
 
 def _read_roster(datagram: Any) -> Roster:
-    one = datagram.roster
+    reader = datagram.roster
     return Roster(
-        number=one.number,
-        group=one.group,
-        members=tuple(Member(m.address, m.startedMs) for m in one.members),
+        number=reader.number,
+        group=reader.group,
+        members=tuple(Member(m.address, m.startedMs) for m in reader.members),
         entries=tuple(
-            EntryContact(entry.address, entry.availabilityZone) for entry in one.entries
+            EntryContact(entry.address, entry.availabilityZone)
+            for entry in reader.entries
         ),
-        relay=one.relay,
-        forward=one.forward,
+        relay=reader.relay,
+        forward=reader.forward,
     )
 
 
@@ -381,27 +393,27 @@
 
 
 def _read_rank(datagram: Any) -> RankState:
-    one = datagram.rank
+    reader = datagram.rank
     return RankState(
-        messages=one.messages,
-        replica=one.replica,
-        group=one.group,
-        epoch=one.epoch,
-        rank=one.rank,
-        ranks=one.ranks,
-        open=one.open,
-        active=one.active,
-        step=one.step,
-        map_version=one.mapVersion,
-        prepared=one.prepared,
-        armed_version=one.armedVersion,
-        armed_step=one.armedStep,
-        held_step=one.heldStep,
-        experts=_read_lists(one.experts),
-        queued=one.queued,
-        pace=one.pace,
-        counts=_read_counts(one.counts),
-        started_ms=one.startedMs,
+        messages=reader.messages,
+        replica=reader.replica,
+        group=reader.group,
+        epoch=reader.epoch,
+        rank=reader.rank,
+        ranks=reader.ranks,
+        open=reader.open,
+        active=reader.active,
+        step=reader.step,
+        map_version=reader.mapVersion,
+        prepared=reader.prepared,
+        armed_version=reader.armedVersion,
+        armed_step=reader.armedStep,
+        held_step=reader.heldStep,
+        experts=_read_lists(reader.experts),
+        queued=reader.queued,
+        pace=reader.pace,
+        counts=_read_counts(reader.counts),
+        started_ms=reader.startedMs,
     )
 
 
@@ -417,34 +429,35 @@
 
 
 def _read_change(datagram: Any) -> MapChange:
-    one = datagram.change
-    by_rank = _read_lists(one.experts)
-    ranks = len(by_rank) // max(1, one.sets)
+    reader = datagram.change
+    by_rank = _read_lists(reader.experts)
+    ranks = len(by_rank) // max(1, reader.sets)
     return MapChange(
-        group=one.group,
-        epoch=one.epoch,
-        version=one.version,
+        group=reader.group,
+        epoch=reader.epoch,
+        version=reader.version,
         experts=tuple(
-            by_rank[at : at + ranks] for at in range(0, ranks * one.sets, ranks or 1)
+            by_rank[start : start + ranks]
+            for start in range(0, ranks * reader.sets, ranks or 1)
         ),
-        step=one.step,
-        forward=tuple(one.forward),
+        step=reader.step,
+        forward=tuple(reader.forward),
     )
 
 
 def _write_lists(builder: Any, lists: Sequence[Sequence[int]]) -> None:
     items = [item for one in lists for item in one]
-    builder.wide = max(items, default=0) > _MAX_BYTE
+    builder.wide = max(items, default=0) > _MAX_UINT8
     builder.items = _pack_numbers(items, wide=builder.wide)
     builder.lengths = _pack_numbers([len(one) for one in lists], wide=True)
 
 
 def _read_lists(builder: Any) -> tuple[tuple[int, ...], ...]:
     items = _unpack_numbers(builder.items, wide=builder.wide)
-    found, at = [], 0
+    found, offset = [], 0
     for length in _unpack_numbers(builder.lengths, wide=True):
-        found.append(items[at : at + length])
-        at += length
+        found.append(items[offset : offset + length])
+        offset += length
     return tuple(found)
 
 
@@ -453,7 +466,7 @@
 
 
 def _unpack_numbers(data: bytes, *, wide: bool) -> tuple[int, ...]:
-    # The system's VMs are of one kind, so both ends have the same order of bytes.
+    # All VMs of the system are of the same kind, so both ends have the same byte order.
     numbers = array("H" if wide else "B")
     numbers.frombytes(data)
     return tuple(numbers)
@@ -462,9 +475,9 @@
 def _write_counts(builder: Any, counts: Counts) -> None:
     if not counts:
         return
-    unit = max(1, -(-max(counts) // _MAX_BYTE))
+    unit = max(1, -(-max(counts) // _MAX_UINT8))
     rounded = bytes((count + unit // 2) // unit for count in counts)
-    builder.items = zlib.compress(rounded, _QUICK)
+    builder.items = zlib.compress(rounded, _COMPRESSION_LEVEL)
     builder.unit = unit
     builder.size = len(counts)
 
@@ -475,7 +488,7 @@
         return ()
     if size > _MAX_COUNTS:
         raise ValueError(f"{size} counts in one message")
-    # A few bytes may unfold to gigabytes: no more is unfolded than is announced.
+    # A few bytes may decompress to gigabytes, so stop at the announced size.
     rounded = zlib.decompressobj().decompress(builder.items, size)
     if len(rounded) != size:
         raise ValueError(f"{len(rounded)} counts instead of {size}")
--- a/src/hyssopvane/_internal/roles/target_refusal.py
+++ b/src/hyssopvane/_internal/roles/target_refusal.py
@@ -8,7 +8,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.models.refusals import AgentRefusal
 from hyssopvane._internal.policy.target_backoff import TargetBackoff
-from hyssopvane._internal.protocol.headers import join_headers, read_rest
+from hyssopvane._internal.protocol.headers import index_headers, read_backoff_s
 from hyssopvane._internal.protocol.messages import Refused
 from hyssopvane._internal.utils.logs import log_event
 
@@ -18,7 +18,7 @@
 def observe_backoff(backoff: TargetBackoff, response: httpcore.Response) -> None:
     """Record the pause that an answer of the target asks for with Retry-After."""
     try:
-        backoff_s = read_rest(response.status, join_headers(response.headers))
+        backoff_s = read_backoff_s(response.status, index_headers(response.headers))
     except ProtocolError as error:
         log_event("warning", "rest-unreadable", why=error)
         return
--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -1,4 +1,4 @@
-"""Feed damaged documents to all decoders, and tell which error each of them raises."""
+"""Feed damaged inputs to all decoders, and find those that raise unexpected errors."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -15,10 +15,10 @@
     decode_report,
 )
 from hyssopvane._internal.protocol.group_messages import (
-    decode_beliefs,
     decode_message,
-    encode_beliefs,
+    decode_store_snapshot,
     encode_message,
+    encode_store_snapshot,
 )
 from hyssopvane._internal.state.group import (
     EntryState,
@@ -39,8 +39,8 @@
 from tests.lib.direct_installation import ENGINE, EXPERTS, make_configuration
 from tests.lib.platform_documents import REGISTRATION, REPORT, STARTED_MS
 
-EXPECTED = (ConfigurationError, ProtocolError)
-"""What a decoder may raise: its callers know these."""
+EXPECTED_ERRORS = (ConfigurationError, ProtocolError)
+"""Errors that a decoder may raise, as its callers handle them."""
 
 _CONFIGURATION = make_configuration(7)
 _CONFIGURATION["services"][1]["engine"] = ENGINE | EXPERTS  # type: ignore[index]
@@ -75,12 +75,12 @@
     MapChange("g", 1, 2, (((0,), (1,)),), 3, (_A,)),
     ReplicaLimits((LimitReport(_A, 5, 2.5, 0.1), LimitReport(_A, 0, None, 1.0))),
 )
-_BELIEFS = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
+_SNAPSHOT = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
 
 MESSAGE_BYTES = [encode_message(message) for message in _MESSAGES]
-BELIEFS_BYTES = encode_beliefs(_BELIEFS)
+SNAPSHOT_BYTES = encode_store_snapshot(_SNAPSHOT)
 
-_STRANGE: tuple[object, ...] = (
+_UNUSUAL_VALUES: tuple[object, ...] = (
     None,
     True,
     -1,
@@ -103,18 +103,19 @@
 
 
 @dataclass(frozen=True)
-class Escaped:
-    """Hold an input at which a decoder raised what nobody expects."""
+class UnexpectedError:
+    """Hold an input on which a decoder raised an unexpected error."""
 
     decoder: str
     data: bytes
     error: Exception
 
 
-def fuzz(seed: int, count: int) -> Iterator[Escaped]:
-    """Try damaged inputs on each decoder; yield those whose error would end a process.
+def fuzz(seed: int, count: int) -> Iterator[UnexpectedError]:
+    """Yield the damaged inputs on which a decoder raises an unexpected error.
 
-    Each decoder gets `count` inputs, and the same ones for the same seed.
+    Such an error would end a process. Each decoder gets `count` inputs, which are the
+    same for the same seed.
     """
     for name, decode, make in _list_decoders():
         random = Random(f"{name}/{seed}")
@@ -122,10 +123,10 @@
             data = make(random)
             try:
                 decode(data)
-            except EXPECTED:
+            except EXPECTED_ERRORS:
                 continue
             except Exception as error:
-                yield Escaped(name, data, error)
+                yield UnexpectedError(name, data, error)
 
 
 def _list_decoders() -> Iterator[
@@ -136,9 +137,13 @@
     yield (
         "datagram",
         decode_message,
-        lambda random: _flip(random.choice(MESSAGE_BYTES), random),
+        lambda random: _damage_bytes(random.choice(MESSAGE_BYTES), random),
+    )
+    yield (
+        "beliefs",
+        decode_store_snapshot,
+        lambda random: _damage_bytes(SNAPSHOT_BYTES, random),
     )
-    yield "beliefs", decode_beliefs, lambda random: _flip(BELIEFS_BYTES, random)
 
 
 def _make_document_damager(document: Any) -> Callable[[Random], bytes]:
@@ -149,7 +154,7 @@
         data = json.dumps(value).encode()
         draw = random.random()
         if draw < 0.2:
-            return _flip(data, random)
+            return _damage_bytes(data, random)
         if draw < 0.3:
             at = random.randrange(len(data))
             return data[:at] + random.choice(_TOKENS) + data[at + 1 :]
@@ -167,10 +172,10 @@
     if isinstance(value, list) and value and random.random() < 0.7:
         at = random.randrange(len(value))
         return value[:at] + [_replace_part(value[at], random)] + value[at + 1 :]
-    return random.choice(_STRANGE)
+    return random.choice(_UNUSUAL_VALUES)
 
 
-def _flip(data: bytes, random: Random) -> bytes:
+def _damage_bytes(data: bytes, random: Random) -> bytes:
     damaged = bytearray(data)
     for _ in range(random.randint(1, 8)):
         damaged[random.randrange(len(damaged))] = random.randrange(256)
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -13,12 +13,12 @@
 from hyssopvane._internal.platform.store import PlatformStore
 from hyssopvane._internal.platform.wire import PlatformFormat
 from hyssopvane._internal.protocol.group_messages import (
-    decode_beliefs,
     decode_message,
-    encode_beliefs,
+    decode_store_snapshot,
     encode_message,
+    encode_store_snapshot,
 )
-from hyssopvane._internal.protocol.headers import join_headers
+from hyssopvane._internal.protocol.headers import index_headers
 from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.transport.replica_client import (
@@ -90,7 +90,7 @@
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
         if self.is_cut:
             raise ReplicaFailed("the connection to the store is cut")
-        fields = join_headers(sent[0]["headers"])
+        fields = index_headers(sent[0]["headers"])
         answer = b"".join(one.get("body", b"") for one in sent[1:])
         yield _Response(sent[0]["status"], fields, answer)
 
@@ -297,13 +297,13 @@
         received = decode_message(encode_message(state))
         assert isinstance(received, EntryState)
         if process.exchange._is_newer(received):
-            beliefs = encode_beliefs(peer.feed.export())
+            beliefs = encode_store_snapshot(peer.feed.export())
             assert self._nursery is not None
             self._nursery.start_soon(self._merge_late, process, beliefs)
 
     async def _merge_late(self, process: Process, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
-        process.feed.merge(decode_beliefs(body))
+        process.feed.merge(decode_store_snapshot(body))
 
     async def _check_always(self) -> None:
         while True:
--- a/tests/unit/test_decoder_fuzz.py
+++ b/tests/unit/test_decoder_fuzz.py
@@ -1,4 +1,4 @@
-"""Test that no input ends a process: decoders raise what their callers know."""
+"""Test that decoders raise only errors that their callers handle."""
 
 import json
 import subprocess
@@ -10,7 +10,7 @@
 
 from hyssopvane._internal.platform.registrations import MAX_SLOTS, decode_replica
 from hyssopvane._internal.platform.reports import MAX_RANKS, decode_report
-from tests.lib.decoder_fuzz import EXPECTED, fuzz
+from tests.lib.decoder_fuzz import EXPECTED_ERRORS, fuzz
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
@@ -20,11 +20,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_damaged_input_raises_only_errors_that_callers_know(seed):
-    """Bits flip on the way, or another program writes to the same place.
+def test_damaged_input_raises_only_expected_errors(seed):
+    """Guard against an unexpected error from a corrupted or foreign document.
 
-    An unexpected error ends the task that follows the store, and with it the process:
-    all callers of an entry would lose their connections over one bad document.
+    It would end the task that follows the store, and with it the process: all callers
+    of an entry would lose their connections because of one invalid document.
     """
     assert list(fuzz(seed, 300)) == []
 
@@ -43,10 +43,10 @@
         },
     )
 )
-def test_what_is_read_as_a_replica_is_one(document):
+def test_decoded_replica_is_valid(document):
     try:
         replica = decode_replica("servers/i-1", json.dumps(document).encode())
-    except EXPECTED:
+    except EXPECTED_ERRORS:
         return
     assert replica.service and isinstance(replica.service, str)
     assert 1 <= replica.slots <= MAX_SLOTS
@@ -55,10 +55,10 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.dictionaries(st.sampled_from(["group", "size", "pace", "step"]), VALUES))
-def test_what_is_read_as_a_report_can_be_counted_with(document):
+def test_numbers_of_a_decoded_report_are_in_range(document):
     try:
         report = decode_report(json.dumps(document).encode())
-    except EXPECTED:
+    except EXPECTED_ERRORS:
         return
     assert 0 <= report.rank < MAX_RANKS and 1 <= report.ranks <= MAX_RANKS
     assert 0 <= report.pace < 2**54
@@ -70,15 +70,18 @@
     "010c500101000050e102010301040000110572110972ff31302e302e302e31001f3a37330b30ff31302e"
     "302eb42e31001f3a37333430",
 )
-"""Damaged messages at which the decoder ended its process."""
+"""Damaged messages on which the decoder ended its process."""
 
 _DECODE_CUT_MESSAGES = """
 import sys
 from hyssopvane._internal.exceptions import ProtocolError
-from hyssopvane._internal.protocol.group_messages import decode_beliefs, decode_message
-from tests.lib.decoder_fuzz import BELIEFS_BYTES, MESSAGE_BYTES
+from hyssopvane._internal.protocol.group_messages import (
+    decode_message,
+    decode_store_snapshot,
+)
+from tests.lib.decoder_fuzz import MESSAGE_BYTES, SNAPSHOT_BYTES
 cases = [(decode_message, data) for data in MESSAGE_BYTES]
-cases.append((decode_beliefs, BELIEFS_BYTES))
+cases.append((decode_store_snapshot, SNAPSHOT_BYTES))
 for body in sys.argv[1:]:
     cases.append((decode_message, bytes.fromhex(body) + b"-"))
 for decode, data in cases:
@@ -90,11 +93,11 @@
 """
 
 
-def test_message_that_is_cut_off_or_damaged_ends_no_process():
-    """A datagram arrives without its end, or with bytes that nobody sent.
+def test_truncated_or_damaged_message_ends_no_process():
+    """Guard against a decoder that aborts in C++ on a truncated or damaged datagram.
 
-    The decoder gives up in C++, where no error can be caught: the process ends, and
-    with it all streams of its callers.
+    No error can be caught there: the process ends, and with it all streams of its
+    callers.
     """
     command = [sys.executable, "-c", _DECODE_CUT_MESSAGES, *_FATAL_BODIES]
     ended = subprocess.run(command, capture_output=True, text=True, check=False)
--- a/tests/unit/test_peer_connection.py
+++ b/tests/unit/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""Test the connection between two processes."""
+"""Test connections between two processes."""
 
 import pytest
 import trio
@@ -32,12 +32,12 @@
 
 
 def run(test):
-    """Run an async test on a clock that jumps over waits."""
+    """Run an async test with a clock that skips waits."""
     trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 async def read_body(stream):
-    """Return the joined chunks until the end."""
+    """Return the joined chunks up to the end of the body."""
     parts = []
     while True:
         message = await stream.receive()
@@ -48,7 +48,7 @@
 
 
 async def echo(stream, opening):
-    """Answer with the body that was sent."""
+    """Answer with the received body."""
     stream.send(Head(200, ()))
     await stream.send_data(await read_body(stream))
     stream.send(End())
@@ -74,11 +74,11 @@
     run(main)
 
 
-def test_slow_reader_bounds_memory_and_holds_back_nobody():
-    """A caller on a bad line reads one answer slowly while others want theirs.
+def test_slow_reader_uses_bounded_memory_and_blocks_no_other_stream():
+    """Guard against a slow reader that exhausts memory or blocks other streams.
 
-    Without a window the whole answer would pile up in the entry's memory; with one
-    window for all streams the others would wait for the slow one.
+    Without a window, the whole answer would be buffered in the entry's memory. With one
+    window for all streams, the other streams would wait for the slow one.
     """
 
     async def main():
@@ -102,8 +102,8 @@
     run(main)
 
 
-def test_cancel_ends_the_work():
-    """A caller hangs up. Work that goes on would take a place from one who waits."""
+def test_cancel_ends_the_attempt():
+    """Guard against an attempt that occupies a slot after its caller disconnected."""
 
     async def main():
         ended = trio.Event()
@@ -124,8 +124,8 @@
     run(main)
 
 
-async def greet_silent_peer(nursery):
-    """Run a connection whose peer greets, and says nothing more."""
+async def connect_to_silent_peer(nursery):
+    """Run a connection whose peer sends a hello and nothing else."""
     near, far = trio.testing.memory_stream_pair()
     connection = PeerConnection(
         near,
@@ -142,14 +142,15 @@
 
 
 def test_silent_connection_is_closed():
-    """A firewall between two VMs forgets an open connection: nothing arrives any more.
+    """Guard against an open connection whose state a firewall between two VMs lost.
 
-    A caller would wait until its deadline for a target that works well.
+    Nothing arrives on it any more, and a caller would wait until its deadline for a
+    target that works.
     """
 
     async def main():
         async with trio.open_nursery() as nursery:
-            connection = await greet_silent_peer(nursery)
+            connection = await connect_to_silent_peer(nursery)
             stream = connection.open_stream(make_opening())
             with pytest.raises(PeerLost, match="silent"):
                 await stream.receive()
@@ -158,16 +159,17 @@
     run(main)
 
 
-def test_standstill_of_the_process_itself_closes_no_connection():
-    """A busy machine gives a process no time for seconds, and its peer goes on well.
+def test_stalled_process_closes_none_of_its_connections():
+    """Guard against a process that takes its own stall for silence of its peers.
 
-    The process has not read what came meanwhile. Taking that for silence it would
-    close all of its connections, and each caller beside would get an error.
+    A busy machine may not run a process for seconds, and the process has not read what
+    its peers sent meanwhile. It would close all of its connections, and each caller on
+    them would get an error.
     """
 
     async def main():
         async with trio.open_nursery() as nursery:
-            connection = await greet_silent_peer(nursery)
+            connection = await connect_to_silent_peer(nursery)
             clock.jump(10 * TIMES.silence_s)
             await trio.testing.wait_all_tasks_blocked(0.01)
             assert not connection.lost
@@ -177,7 +179,7 @@
     trio.run(main, clock=clock)
 
 
-def test_stream_keeps_what_arrived_before_the_loss():
+def test_stream_keeps_messages_received_before_the_loss():
     async def main():
         async def answer_and_close(stream, opening):
             stream.send(Head(200, ()))
@@ -203,7 +205,7 @@
         (make_hello("b", token="another-token-xx"), "token"),
     ],
 )
-def test_greeting_is_checked(hello, why):
+def test_hello_is_checked(hello, why):
     async def main():
         near, far = trio.testing.memory_stream_pair()
         connection = PeerConnection(
@@ -226,10 +228,11 @@
     [b"\xff\xff\xff\xff", b"\x00\x00\x00\x05hello", b"\x00\x00\x10\x00cut"],
     ids=["too-long", "garbage", "cut"],
 )
-def test_bad_frames_end_the_connection(data):
-    """A peer sends garbage, a frame over the limit, or dies within a frame.
+def test_malformed_frames_end_the_connection(data):
+    """Guard against a process that ends on garbage, a too long or a partial frame.
 
-    Only this connection may end; a process that fell over would take all callers down.
+    Only this connection may end: the end of the process would fail the requests of all
+    callers.
     """
 
     async def main():
@@ -249,8 +252,8 @@
     run(main)
 
 
-def test_doubled_opening_starts_once():
-    """The same frame arrives twice; a second start would be a second bid."""
+def test_duplicate_open_message_starts_one_attempt():
+    """Guard against a duplicate frame that runs a request, such as a bid, twice."""
 
     async def main():
         started = []
@@ -283,16 +286,17 @@
 
 
 @pytest.mark.parametrize(("message_every_s", "alone"), [(None, 10), (0.3, 0)])
-def test_heartbeat_rides_on_a_batch_that_goes_out_anyway(message_every_s, alone):
-    """An entry at the target keeps 42 connections, and each heartbeat takes a segment.
+def test_heartbeat_is_added_to_a_pending_batch(message_every_s, alone):
+    """Guard against heartbeats in separate segments on a busy connection.
 
-    Alone they would use up what a daemon may send for control; the entry's owner sees
-    that in the VM's traffic.
+    At the target size an entry has 42 connections. Separate heartbeats would use up the
+    traffic that a daemon may spend on control, which the entry's owner sees in the
+    traffic of the VM.
     """
 
     async def main():
         async with connect_pair() as pair:
-            # The first heartbeat follows the greeting at once.
+            # The first heartbeat follows the hello immediately.
             await trio.sleep(0.05)
             batches = []
             send_frame = pair.opener._framed.send_frame
@@ -315,15 +319,15 @@
 
 
 def is_heartbeat(message):
-    """Tell whether a message is a heartbeat."""
+    """Return whether a message is a heartbeat."""
     return isinstance(message, Heartbeat)
 
 
-def test_work_that_crosses_the_news_of_a_shutdown_is_refused():
-    """An agent is told to stop just as an entry sends it work.
+def test_attempt_received_during_a_shutdown_is_refused():
+    """Guard against an unknown outcome of an attempt sent as its agent shuts down.
 
-    The connection ended under that work, and the caller was told that nobody knows
-    whether it ran, though its VM was replaced as the operators' page says.
+    The connection ended during the attempt, so its caller was told that the outcome is
+    unknown, although the VM was replaced as the operators' page says.
     """
 
     async def main():
@@ -332,18 +336,19 @@
 
         async with connect_pair(refuse) as pair:
             stream = pair.opener.open_stream(make_opening())
-            pair.accepter.announce_health()
-            await pair.accepter.settle()
+            pair.accepter.queue_heartbeat()
+            await pair.accepter.sync()
             await pair.accepter.finish()
             assert await stream.receive() == Refused("leaving")
 
     run(main)
 
 
-def test_work_chosen_before_the_news_of_a_shutdown_is_not_sent():
-    """An entry chose a target, then read that the target's agent is shutting down.
+def test_assigned_attempt_is_not_sent_after_a_leaving_heartbeat():
+    """Guard against an attempt sent after its agent reported that it is shutting down.
 
-    Sent all the same, the work would meet the end of the connection.
+    The entry chose the target before it read the report, and the connection would end
+    during the attempt.
     """
 
     async def main():
@@ -354,7 +359,7 @@
 
         async with connect_pair(serve) as pair:
             pair.accepter_handler.health = Heartbeat(sequence=0, leaving=True)
-            pair.accepter.announce_health()
+            pair.accepter.queue_heartbeat()
             await trio.sleep(0.1)
             end = await exchange(
                 pair.opener,
@@ -371,9 +376,9 @@
 
 @pytest.mark.parametrize("topic", ["question", "stream"])
 def test_fault_in_a_handler_ends_only_its_connection(topic):
-    """A peer sends something that this process fails on by a fault of its own.
+    """Guard against a handler's fault on one message that ends the whole process.
 
-    It took the whole entry down, with the answers of all its callers.
+    It ended an entry with the answers of all its callers.
     """
 
     async def main():
