--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -148,5 +148,5 @@
     while not member.handles_reload and member.is_running:
         time.sleep(0.001)
     member.send_signal(signal.SIGHUP)
-    # The settings file does not exist: the program reports that and exits normally.
+    # The settings file does not exist: the program reports that and exits by itself.
     assert member._popen.wait() > 0
--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -102,7 +102,7 @@
             self._start_vm(vm)
 
     async def run(self, seconds: float) -> None:
-        """Run load and faults for the given time, then check the table and the bids."""
+        """Run load and faults for the given time, then check recovery and bids."""
         if self._returns:
             await self._control("/copy", {})
         async with trio.open_nursery() as nursery:
