--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store and its replicas, and remember what ran."""
+"""Simulate the replicas of the platform, and record the requests that they run."""
 
 import json
 from collections import Counter
@@ -16,36 +16,36 @@
 )
 from tests.lib.rank_standin import GroupStandIn
 from tests.soak.link import Link
-from tests.soak.notices import LeavingStream, Notices, Seen
+from tests.soak.notices import LeavingStream, Notices, Observation
 
 EVENTS = 6
-"""Events of a stream."""
+"""Number of events in each stream."""
 
 EVENT_PAUSE_S = 0.03
 
-RESTS_S = (0.0, 0.7, 3.0, 6.0)
-"""Times without requests that a refusing replica asks for; one is drawn each time."""
+BACKOFFS_S = (0.0, 0.7, 3.0, 6.0)
+"""Back-off times that a refusing replica requests; each refusal draws one."""
 
 FULL = "full"
-TROUBLES = ("error", "lost", "half", "extra", "slow", FULL)
-"""What a troubled replica does instead of answering."""
+ANSWER_FAULTS = ("error", "lost", "half", "extra", "slow", FULL)
+"""Faults with which a faulty replica replaces its answer."""
 
 
 @dataclass
 class Journal:
-    """Remember what replicas ran, and what must not have happened."""
+    """Record the runs of each request, and violations of what must hold."""
 
     runs: Counter[str] = field(default_factory=Counter)
     violations: list[str] = field(default_factory=list)
     notices: Notices = field(default_factory=Notices)
 
-    def violate(self, what: str) -> None:
-        """Note a broken promise."""
+    def add_violation(self, what: str) -> None:
+        """Record a violation."""
         self.violations.append(what)
 
 
 class Backend:
-    """Hold one address at which one replica after the other serves."""
+    """Run replicas one after the other at one address."""
 
     def __init__(
         self,
@@ -62,56 +62,56 @@
         self.service = service
         self.host = host
         self.link = Link("", listen=f"{host}:0")
-        self.trouble_share = 0.0
-        self.orders_lost = 0.0
-        self.orders_late = 0.0
+        self.fault_share = 0.0
+        self.lost_order_share = 0.0
+        self.late_order_share = 0.0
         self.refusing = False
-        """Whether it turns all requests away and asks for rest."""
+        """Whether the replica refuses all requests and requests a back-off."""
         self.leaving = False
-        """Whether it says in its answers that it leaves."""
+        """Whether the answers of the replica report that it is leaving."""
         self.draining_since = float("inf")
-        """Time at which the store accepted that the replica leaves."""
+        """Time at which the store accepted the registration as draining."""
         self._random = random
         self._journal = journal
         self.group = group
         self._rank = rank
         self._starts = 0
-        self._life: trio.CancelScope | None = None
+        self._serving_scope: trio.CancelScope | None = None
         self._nursery: trio.Nursery | None = None
         self.running = 0
         self.started = 0
-        """Requests that were begun, over all replicas at this address."""
+        """Number of requests started by all replicas at this address."""
 
     @property
     def id(self) -> str:
-        """Return the id of the present replica."""
+        """Return the id of the current replica."""
         return f"{self.name}-{self._starts}"
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Start the first replica, and the link before it."""
+        """Start the first replica, and the link through which it is reached."""
         self._nursery = nursery
-        await self.begin()
+        await self.start_replica()
         await nursery.start(self.link.serve)
 
-    async def begin(self) -> None:
-        """Start a replica with an id of its own."""
+    async def start_replica(self) -> None:
+        """Start a replica with a new id."""
         assert self._nursery is not None
         self._starts += 1
         self.leaving = False
         self.draining_since = float("inf")
-        replica = DirectReplica(self.id, self._behave)
+        replica = DirectReplica(self.id, self._handle_request)
         await self._nursery.start(self._serve, replica)
         self.link.target = replica.address
 
-    async def end(self) -> None:
-        """Let the replica crash with all its connections."""
-        if self._life is not None:
-            self._life.cancel()
+    async def stop_replica(self) -> None:
+        """Crash the replica, and reset its connections."""
+        if self._serving_scope is not None:
+            self._serving_scope.cancel()
         await self.link.reset_open()
         self.link.target = "127.0.0.1:9"
 
     def describe(self) -> dict[str, object]:
-        """Return its registration."""
+        """Return the registration document of the replica."""
         draining = self.draining_since < float("inf")
         return {
             "service": self.service,
@@ -124,10 +124,10 @@
     async def _serve(
         self, replica: DirectReplica, *, task_status: trio.TaskStatus[None]
     ) -> None:
-        with trio.CancelScope() as self._life:
+        with trio.CancelScope() as self._serving_scope:
             await replica.serve(task_status=task_status)
 
-    async def _behave(
+    async def _handle_request(
         self, replica: DirectReplica, stream: trio.SocketStream, request: Received
     ) -> bool:
         if request.target.startswith("/api/"):
@@ -136,60 +136,62 @@
             await stream.send_all(make_answer(request, status=421, signed=False))
             return True
         notices, now = self._journal.notices, trio.current_time()
-        seen = Seen(replica.id, request.headers.get("x-request-id", ""), now)
-        if self.link.is_calm(now):
+        seen = Observation(replica.id, request.headers.get("x-request-id", ""), now)
+        if self.link.is_settled(now):
             notices.arrivals.append(seen)
         if self.leaving:
             stream = LeavingStream(stream)  # type: ignore[assignment]
-            if self.link.is_calm(now):
-                notices.leavings.append(seen)
+            if self.link.is_settled(now):
+                notices.leaving_reports.append(seen)
         if self.refusing:
-            await self._ask_for_rest(stream, request, seen)
+            await self._request_backoff(stream, request, seen)
             return True
-        trouble = "whole"
-        if self._random.random() < self.trouble_share:
-            trouble = self._random.choice(TROUBLES)
-        if trouble == FULL or (self.group is not None and self.group.broken):
+        fault = "whole"
+        if self._random.random() < self.fault_share:
+            fault = self._random.choice(ANSWER_FAULTS)
+        if fault == FULL or (self.group is not None and self.group.broken):
             headers = (("X-Not-Executed", "1"),)
             answer = make_answer(request, status=503, signed=False, headers=headers)
             await stream.send_all(answer)
             return True
-        self._note_run(request)
+        self._record_run(request)
         self.running += 1
         try:
-            return await self._answer(trouble, stream, request)
+            return await self._answer(fault, stream, request)
         finally:
             self.running -= 1
 
-    async def _ask_for_rest(
-        self, stream: trio.SocketStream, request: Received, seen: Seen
+    async def _request_backoff(
+        self, stream: trio.SocketStream, request: Received, seen: Observation
     ) -> None:
-        rest_s = self._random.choice(RESTS_S)
-        headers = (("X-Not-Executed", "1"), ("Retry-After", f"{rest_s:g}"))
+        backoff_s = self._random.choice(BACKOFFS_S)
+        headers = (("X-Not-Executed", "1"), ("Retry-After", f"{backoff_s:g}"))
         answer = make_answer(request, status=503, signed=False, headers=headers)
         await stream.send_all(answer)
-        if self.link.is_calm(seen.at):
-            self._journal.notices.rests.append(replace(seen, rest_s=rest_s))
+        if self.link.is_settled(seen.at):
+            self._journal.notices.backoffs.append(replace(seen, backoff_s=backoff_s))
 
-    def _note_run(self, request: Received) -> None:
-        headers, told = request.headers, self._journal.violate
+    def _record_run(self, request: Received) -> None:
+        headers, add_violation = request.headers, self._journal.add_violation
         self.started += 1
         request_id = headers.get("x-request-id", "")
         self._journal.runs[request_id] += 1
         if "authorization" in headers:
-            told(f"{request_id}: the caller's key reached a replica")
+            add_violation(f"{request_id}: a replica received the caller's key")
         if headers.get("x-tenant") != "registry" and "/gen" not in request.target:
-            told(f"{request_id}: customer {headers.get('x-tenant')!r}")
+            add_violation(
+                f"{request_id}: unexpected customer {headers.get('x-tenant')!r}"
+            )
         if request.body != f"body of {request_id}".encode():
-            told(f"{request_id}: body {request.body!r}")
+            add_violation(f"{request_id}: unexpected body {request.body!r}")
 
     async def _answer(
-        self, trouble: str, stream: trio.SocketStream, request: Received
+        self, fault: str, stream: trio.SocketStream, request: Received
     ) -> bool:
         if self.group is not None:
-            return await self._stream(trouble, stream, request)
+            return await self._stream(fault, stream, request)
         whole = make_answer(request, body=make_body(request.headers["x-request-id"]))
-        match trouble:
+        match fault:
             case "error":
                 await stream.send_all(make_answer(request, status=500, body=b"sorry"))
             case "lost":
@@ -208,15 +210,15 @@
         return True
 
     async def _stream(
-        self, trouble: str, stream: trio.SocketStream, request: Received
+        self, fault: str, stream: trio.SocketStream, request: Received
     ) -> bool:
         first = int(request.headers.get("last-event-id", "0")) + 1
-        ends_at = self._random.randint(first, EVENTS) if trouble != "whole" else 0
+        ends_at = self._random.randint(first, EVENTS) if fault != "whole" else 0
         await stream.send_all(make_answer(request, body=b"", headers=STREAM_HEAD))
         for number in range(first, EVENTS + 1):
-            await trio.sleep(EVENT_PAUSE_S if trouble != "slow" else 0.3)
+            await trio.sleep(EVENT_PAUSE_S if fault != "slow" else 0.3)
             event = chunk(make_event(request.headers["x-request-id"], number))
-            if number == ends_at and trouble != "slow":
+            if number == ends_at and fault != "slow":
                 await stream.send_all(event[: len(event) // 2])
                 return False
             await stream.send_all(event)
@@ -227,11 +229,11 @@
         assert self.group is not None
         path, _, query = request.target.partition("?")
         if path == "/api/order":
-            if self._random.random() < self.orders_lost:
+            if self._random.random() < self.lost_order_share:
                 return False
-            if self._random.random() < self.orders_late:
+            if self._random.random() < self.late_order_share:
                 assert self._nursery is not None
-                self._nursery.start_soon(self._take_late, request.body)
+                self._nursery.start_soon(self._apply_late_order, request.body)
                 return False
         scope = {"path": path, "query_string": query}
         status, answer = self.group.answer(self._rank, scope, request.body)
@@ -242,14 +244,14 @@
         await stream.send_all(data)
         return True
 
-    async def _take_late(self, body: bytes) -> None:
+    async def _apply_late_order(self, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0.3, 5.0))
         assert self.group is not None
         self.group.answer(self._rank, {"path": "/api/order"}, body)
 
 
 def make_body(request_id: str) -> bytes:
-    """Return the whole answer to a plain request."""
+    """Return the complete answer to a plain request."""
     return f"answer to {request_id}".encode()
 
 
