--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -241,9 +241,11 @@
             # A rank refuses requests when its group does.
             self._groups[one.group].note_refusal(now)
 
-    def note_rest(self, replica: Replica, rest_s: float, *, now: float) -> bool:
-        """Record a replica's request for a pause; return whether a pause begins."""
-        return self.notices.note_rest(self._get_present(replica), rest_s, now=now)
+    def record_backoff(self, replica: Replica, backoff_s: float, *, now: float) -> bool:
+        """Record a back-off that a replica asks for; return whether one begins."""
+        return self.notices.record_backoff(
+            self._get_present(replica), backoff_s, now=now
+        )
 
     def note_leaving(self, replica: Replica, *, now: float) -> bool:
         """Record that a replica said it is leaving; return whether this is new."""
@@ -256,7 +258,7 @@
             return False
         return self.notices.takes_requests(replica, now)
 
-    def measure_rest_s(self, now: float) -> float:
+    def measure_backoff_s(self, now: float) -> float:
         """Return the seconds until a replica takes requests, 0 unless all are away."""
         if not len(self.notices):
             return 0.0
@@ -264,8 +266,8 @@
         for one in self._replicas.values():
             if self._is_leaving(one.replica) or not one.is_open(now):
                 continue
-            rest_s = self.notices.measure_rest_s(one.replica, now)
-            away_s = max(rest_s, one.ejected_until - now)
+            backoff_s = self.notices.measure_backoff_s(one.replica, now)
+            away_s = max(backoff_s, one.ejected_until - now)
             if away_s <= 0:
                 return 0.0
             soonest_s = min(soonest_s, away_s)
@@ -410,7 +412,7 @@
         if closed or True in serve:
             self.outages.observe(is_open=not closed, now=now)
         excess = self._find_unreachable_turns(now)
-        rest_s = self.measure_rest_s(now)
+        backoff_s = self.measure_backoff_s(now)
         for waiting in list(self._waiting.values()):
             request_id = waiting.item.request_id
             if closed:
@@ -423,8 +425,8 @@
                     "replicas-limited",
                     self._add_jitter(excess[request_id]),
                 )
-            elif rest_s and now + rest_s > waiting.refuse_at:
-                reason, after_s = "replicas-resting", self._add_delay(rest_s)
+            elif backoff_s and now + backoff_s > waiting.refuse_at:
+                reason, after_s = "replicas-resting", self._add_delay(backoff_s)
             elif now >= waiting.refuse_at:
                 reason, after_s = (
                     "overloaded",
@@ -476,11 +478,11 @@
         # would send all their prompts at once.
         return after_s * self._random.uniform(1 - _RETRY_JITTER, 1 + _RETRY_JITTER)
 
-    def _add_delay(self, rest_s: float) -> float:
-        # A caller that returns before the end of the pause is refused again, so jitter
-        # only adds.
-        spread_s = max(OVERLOADED_RETRY_AFTER_S, _RETRY_JITTER * rest_s)
-        return rest_s + self._random.uniform(0, spread_s)
+    def _add_delay(self, backoff_s: float) -> float:
+        # A caller that returns before the end of the back-off is refused again, so
+        # jitter only adds.
+        spread_s = max(OVERLOADED_RETRY_AFTER_S, _RETRY_JITTER * backoff_s)
+        return backoff_s + self._random.uniform(0, spread_s)
 
     def _may_eject(self, failing: ReplicaLoad, now: float) -> bool:
         others = [one for one in self._replicas.values() if one is not failing]
--- a/src/hyssopvane/_internal/policy/target_backoff.py
+++ b/src/hyssopvane/_internal/policy/target_backoff.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from hyssopvane._internal.policy.replica_notices import MAX_PAUSE_S
+from hyssopvane._internal.policy.replica_notices import MAX_BACKOFF_S
 
 
 class TargetBackoff:
@@ -15,13 +15,13 @@
     def __init__(self) -> None:
         self._until = -inf
 
-    def note(self, rest_s: float, *, now: float) -> bool:
+    def record(self, backoff_s: float, *, now: float) -> bool:
         """Record the back-off that an answer asks for; return whether one begins.
 
         A shorter back-off doesn't shorten a longer one.
         """
         is_new = not self.measure_remaining_s(now)
-        self._until = max(self._until, now + min(rest_s, MAX_PAUSE_S))
+        self._until = max(self._until, now + min(backoff_s, MAX_BACKOFF_S))
         return is_new and self.measure_remaining_s(now) > 0
 
     def measure_remaining_s(self, now: float) -> float:
--- a/src/hyssopvane/_internal/protocol/headers.py
+++ b/src/hyssopvane/_internal/protocol/headers.py
@@ -53,7 +53,7 @@
     return found
 
 
-def read_rest(status: int, fields: Mapping[bytes, bytes]) -> float | None:
+def read_backoff(status: int, fields: Mapping[bytes, bytes]) -> float | None:
     """Return the seconds for which whoever answers wants no requests, None for none.
 
     Raise `ProtocolError` where the answer names them in a way that can't be read.
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -18,7 +18,7 @@
 )
 from hyssopvane._internal.policy.stream_pauses import StreamPauses
 from hyssopvane._internal.protocol.event_stream import EventCutter, StreamEvent
-from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_rest
+from hyssopvane._internal.protocol.headers import RETRY_AFTER, read_backoff
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.protocol.replica_headers import (
     ReplicaHeaders,
@@ -346,7 +346,7 @@
             self._record_replica_state(replica, head)
 
     def _record_replica_state(self, replica: Replica, response: AnswerHead) -> None:
-        """Record limit, pause and leaving that an answer reports of its replica."""
+        """Record limit, back-off and leaving that an answer reports of its replica."""
         if response.status == _MISDIRECTED:
             # The address now belongs to another replica.
             return
@@ -371,7 +371,7 @@
 
     def _record_backoff(self, replica: Replica, response: AnswerHead) -> None:
         try:
-            backoff_s = read_rest(response.status, response.fields)
+            backoff_s = read_backoff(response.status, response.fields)
         except ProtocolError as error:
             self._dependencies.metrics.count_event("rest-unreadable")
             log_event("warning", "rest-unreadable", replica=replica.id, why=error)
@@ -493,7 +493,7 @@
         if self._request.may_have_run:
             return DirectAnswer(DirectRefusal.REPLICA_FAILED)
         gate = self._dependencies.gates.get_gate(self._request.service)
-        backoff_s = gate.measure_rest_s(trio.current_time())
+        backoff_s = gate.measure_backoff_s(trio.current_time())
         return DirectAnswer(
             DirectRefusal.REPLICA_REFUSED, max(NOT_RUN_RETRY_AFTER_S, backoff_s)
         )
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -135,15 +135,15 @@
             _log_limit(replica.address, per_s, gate, source="answer")
 
     def observe_backoff(self, service: str, replica: Replica, backoff_s: float) -> None:
-        """Apply the pause that an answer of a replica asks for."""
+        """Apply the back-off that an answer of a replica asks for."""
         gate = self.get_gate(service)
-        if gate.note_rest(replica, backoff_s, now=trio.current_time()):
+        if gate.record_backoff(replica, backoff_s, now=trio.current_time()):
             log_event(
                 "info",
                 "replica-resting",
                 replica=replica.id,
                 rest_s=backoff_s,
-                resting=self._notices.count_paused(trio.current_time()),
+                resting=self._notices.count_backing_off(trio.current_time()),
             )
 
     def observe_leaving(self, service: str, replica: Replica) -> None:
--- a/src/hyssopvane/_internal/roles/target_refusal.py
+++ b/src/hyssopvane/_internal/roles/target_refusal.py
@@ -1,4 +1,4 @@
-"""Refuse work at an agent that leaves or whose target has asked for a pause."""
+"""Refuse work at an agent that leaves or whose target has asked for back-off."""
 
 import math
 
@@ -8,7 +8,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.models.refusals import AgentRefusal
 from hyssopvane._internal.policy.target_backoff import TargetBackoff
-from hyssopvane._internal.protocol.headers import join_headers, read_rest
+from hyssopvane._internal.protocol.headers import join_headers, read_backoff
 from hyssopvane._internal.protocol.messages import Refused
 from hyssopvane._internal.utils.logs import log_event
 
@@ -16,13 +16,13 @@
 
 
 def observe_backoff(backoff: TargetBackoff, response: httpcore.Response) -> None:
-    """Record the pause that an answer of the target asks for with Retry-After."""
+    """Record the back-off that an answer of the target asks for with Retry-After."""
     try:
-        backoff_s = read_rest(response.status, join_headers(response.headers))
+        backoff_s = read_backoff(response.status, join_headers(response.headers))
     except ProtocolError as error:
         log_event("warning", "rest-unreadable", why=error)
         return
-    if backoff_s is not None and backoff.note(backoff_s, now=trio.current_time()):
+    if backoff_s is not None and backoff.record(backoff_s, now=trio.current_time()):
         log_event("info", "target-resting", rest_s=backoff_s)
 
 
@@ -36,7 +36,7 @@
 
 
 def make_refused(refusal: AgentRefusal, backoff: TargetBackoff) -> Refused:
-    """Return the message of a refusal; a paused target adds its remaining pause."""
+    """Return the message of a refusal; a target in back-off adds its remaining time."""
     if refusal is not AgentRefusal.TARGET_FULL:
         return Refused(refusal.value)
     remaining_s = backoff.measure_remaining_s(trio.current_time())
--- a/tests/functional/test_replica_notices.py
+++ b/tests/functional/test_replica_notices.py
@@ -63,7 +63,7 @@
         for number in range(CALLS):
             assert (await site.call(f"/status/{number}")).status == 200
         assert refusing.received
-        assert site.entry.gates.get_gate("checks").measure_rest_s(0.0) == 0.0
+        assert site.entry.gates.get_gate("checks").measure_backoff_s(0.0) == 0.0
 
     run(test)
 
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -5,7 +5,7 @@
 from hyssopvane._internal.exceptions import ProtocolError
 from hyssopvane._internal.policy.replica_notices import (
     LEAVING_TTL_S,
-    MAX_PAUSE_S,
+    MAX_BACKOFF_S,
     START_PROPAGATION_S,
     ReplicaNotices,
 )
@@ -51,21 +51,21 @@
     ("told", "ends_at"),
     [
         ([(0.0, 3.0)], 3.0),
-        # A shorter pause after a longer one.
+        # A shorter back-off after a longer one.
         ([(0.0, 3.0), (0.5, 1.0)], 3.0),
         ([(0.0, 3.0), (0.5, 0.0)], 3.0),
-        # A longer pause after a shorter one, and a new pause at the end of the first.
+        # A longer back-off after a shorter one, and a new one at the end of the first.
         ([(0.0, 1.0), (0.5, 3.0)], 3.5),
         ([(0.0, 1.0), (1.0, 1.0)], 2.0),
         # Longer than the maximum.
-        ([(0.0, 1e19)], MAX_PAUSE_S),
+        ([(0.0, 1e19)], MAX_BACKOFF_S),
     ],
 )
-def test_longest_requested_pause_is_kept(told, ends_at):
-    """Guards against a shorter pause that replaces a longer one."""
+def test_longest_requested_backoff_is_kept(told, ends_at):
+    """Guards against a shorter back-off that replaces a longer one."""
     notices = ReplicaNotices()
-    for at, rest_s in told:
-        notices.note_rest(make_replica(1), rest_s, now=at)
+    for at, backoff_s in told:
+        notices.record_backoff(make_replica(1), backoff_s, now=at)
     assert not notices.takes_requests(make_replica(1), ends_at - 0.01)
     assert notices.takes_requests(make_replica(1), ends_at)
     assert notices.expire(ends_at) == ["i-1"]
@@ -104,10 +104,10 @@
 @pytest.mark.parametrize(
     "happen", [expire_registration, move, fail, receive_load, fill]
 )
-def test_pause_is_kept_when_other_records_change(happen):
-    """Guards against a pause that is lost when other records of the replica change."""
+def test_backoff_is_kept_when_other_records_change(happen):
+    """Guards against a back-off that is lost when other records change."""
     gate = make_gate(2, engine=None)
-    gate.note_rest(make_replica(1), 10.0, now=0.0)
+    gate.record_backoff(make_replica(1), 10.0, now=0.0)
     happen(gate, 1.0)
     assert send(gate, now=5.0) == {"i-0"}
     assert "i-1" in send(gate, now=10.0)
@@ -118,14 +118,14 @@
     ("after_s", "rests"),
     [(START_PROPAGATION_S, True), (START_PROPAGATION_S + 0.1, False)],
 )
-def test_pause_ends_with_the_start_that_requested_it(told_by, after_s, rests):
-    """Guards against a replica that stays idle for a pause of its earlier start.
+def test_backoff_ends_with_the_start_that_requested_it(told_by, after_s, rests):
+    """Guards against a replica that stays idle for a back-off of its earlier start.
 
     An answer of the new start may arrive before the update about that start.
     """
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
-    gate.note_rest(make_replica(0, started_ms=1), 10.0, now=0.0)
+    gate.record_backoff(make_replica(0, started_ms=1), 10.0, now=0.0)
     if told_by == "load":
         gate.observe_load(make_load(0, started_ms=2), now=after_s)
     else:
@@ -133,20 +133,20 @@
     assert (send(gate, now=5.0) == set()) is rests
 
 
-def test_pause_received_after_the_update_of_a_start_applies_to_it():
+def test_backoff_received_after_the_update_of_a_start_applies_to_it():
     """Guards against an answer that is attributed to an earlier start."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
-    gate.note_rest(make_replica(0, started_ms=1), 10.0, now=0.5)
+    gate.record_backoff(make_replica(0, started_ms=1), 10.0, now=0.5)
     gate.update([make_replica(0, started_ms=2)], None, now=5.0)
     assert send(gate, now=5.0) == set()
 
 
-def test_callers_are_refused_at_once_when_all_replicas_are_paused():
+def test_callers_are_refused_at_once_when_all_replicas_back_off():
     """Guards against callers that wait in vain, or retry too early."""
     gate = make_gate(2, engine=None)
-    gate.note_rest(make_replica(0), 4.0, now=0.0)
-    gate.note_rest(make_replica(1), 3.0, now=0.0)
+    gate.record_backoff(make_replica(0), 4.0, now=0.0)
+    gate.record_backoff(make_replica(1), 3.0, now=0.0)
     add(gate, 20)
     turned = list_rejections(gate.dispatch(0.0))
     assert {one.reason for one in turned} == {"replicas-resting"}
@@ -157,9 +157,9 @@
     assert max(times) - min(times) > 0.2
 
 
-def test_callers_wait_for_a_pause_that_ends_in_time():
+def test_callers_wait_for_a_backoff_that_ends_in_time():
     gate = make_gate(1, engine=None)
-    gate.note_rest(make_replica(0), 0.1, now=0.0)
+    gate.record_backoff(make_replica(0), 0.1, now=0.0)
     gate.add(make_waiting(1), weight=1.0)
     assert gate.dispatch(0.0) == []
     assert list_assignments(gate.dispatch(0.1))
@@ -167,39 +167,39 @@
 
 @pytest.mark.parametrize(
     ("resting", "ejected"),
-    # One failing replica of four is ejected, though two others are paused; the last
+    # One failing replica of four is ejected, though two others back off; the last
     # replica available to callers isn't.
     [((0, 1), True), ((0, 1, 2), False)],
 )
-def test_paused_replicas_do_not_keep_a_failing_one_in_use(resting, ejected):
-    """Guards against pauses that count as ejections."""
+def test_replicas_in_backoff_do_not_keep_a_failing_one_in_use(resting, ejected):
+    """Guards against back-offs that count as ejections."""
     gate = make_gate(4, engine=None)
     for number in resting:
-        gate.note_rest(make_replica(number), 10.0, now=0.0)
+        gate.record_backoff(make_replica(number), 10.0, now=0.0)
     for _ in range(9):
         gate.finish(make_replica(3), failed=True, now=0.0)
     assert ("i-3" not in send(gate, now=0.1)) is ejected
 
 
-def test_pause_of_one_rank_does_not_close_its_group():
-    """Guards against one rank's pause that is applied to its whole group."""
+def test_backoff_of_one_rank_does_not_close_its_group():
+    """Guards against one rank's back-off that is applied to its whole group."""
     gate = make_gate(12)
-    gate.note_rest(make_replica(1), 10.0, now=0.0)
+    gate.record_backoff(make_replica(1), 10.0, now=0.0)
     assert len(send(gate, now=0.0)) > 1
 
 
-def test_pause_does_not_apply_to_another_replica_at_the_address():
-    """Guards against a pause that is applied to the next replica at an address."""
+def test_backoff_does_not_apply_to_another_replica_at_the_address():
+    """Guards against a back-off that is applied to the next replica at an address."""
     gate = make_gate(1, engine=None)
-    gate.note_rest(make_replica(0), 10.0, now=0.0)
+    gate.record_backoff(make_replica(0), 10.0, now=0.0)
     gate.update([make_replica(0, id="i-next")], None, now=1.0)
     assert send(gate, now=1.0) == {"i-next"}
 
 
-def test_queue_is_not_sent_in_one_burst_after_a_pause():
-    """Guards against a burst of requests to a replica when its pause ends."""
+def test_queue_is_not_sent_in_one_burst_after_a_backoff():
+    """Guards against a burst of requests to a replica when its back-off ends."""
     gate = make_gate(1, engine=None)
-    gate.note_rest(make_replica(0), 0.1, now=0.0)
+    gate.record_backoff(make_replica(0), 0.1, now=0.0)
     add(gate, 50)
     gate.dispatch(0.05)
     assert 1 <= len(list_assignments(gate.dispatch(0.1))) <= 6
@@ -238,10 +238,10 @@
     assert notices.is_leaving(make_replica(0))
 
 
-def test_paused_replicas_are_distinguished_from_leaving_ones():
+def test_replicas_in_backoff_are_distinguished_from_leaving_ones():
     """Guards against callers that are asked to wait for a replica that leaves."""
     gate = make_gate(2, engine=None)
-    gate.note_rest(make_replica(0), 4.0, now=0.0)
-    gate.note_rest(make_replica(1), 1.0, now=0.0)
+    gate.record_backoff(make_replica(0), 4.0, now=0.0)
+    gate.record_backoff(make_replica(1), 1.0, now=0.0)
     gate.note_leaving(make_replica(1), now=0.0)
-    assert gate.measure_rest_s(0.0) == 4.0
+    assert gate.measure_backoff_s(0.0) == 4.0
