--- a/src/hyssopvane/_internal/coordination/demand.py
+++ b/src/hyssopvane/_internal/coordination/demand.py
@@ -11,10 +11,10 @@
 from hyssopvane._internal.policy.shares import ShareHolder
 from hyssopvane._internal.protocol.demand import (
     DEMAND_TOPIC,
-    decode_answers,
-    decode_asks,
-    encode_answers,
-    encode_asks,
+    decode_grants,
+    decode_requests,
+    encode_grants,
+    encode_requests,
 )
 from hyssopvane._internal.state.shares import EntryId, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
@@ -60,9 +60,9 @@
         now = trio.current_time()
         grants = [
             self._granter.answer(entry, request, now=now)
-            for request in decode_asks(body)
+            for request in decode_requests(body)
         ]
-        return encode_answers([one for one in grants if one is not None])
+        return encode_grants([one for one in grants if one is not None])
 
     async def _run(self, nursery: trio.Nursery) -> None:
         while True:
@@ -76,19 +76,19 @@
         self._holder.update_view(now=now)
         self._granter.update_customers(customers, now=now)
         self._holder.measure_demand(customers, now=now)
-        for vm, requests in self._holder.choose_asks(now=now).items():
+        for vm, requests in self._holder.choose_requests(now=now).items():
             nursery.start_soon(self._exchange, vm, requests, now)
 
     async def _exchange(
         self, vm: str, requests: list[ShareRequest], sent_at: float
     ) -> None:
-        body = encode_asks(requests)
+        body = encode_requests(requests)
         if vm == self._own.vm:
             grants = self.answer(self._own, body)
         else:
             grants = await self._request_from_peer(vm, body)
         if grants:
-            self._holder.apply(decode_answers(grants), sent_at=sent_at)
+            self._holder.apply(decode_grants(grants), sent_at=sent_at)
 
     async def _request_from_peer(self, vm: str, body: bytes) -> bytes:
         with trio.move_on_after(_ANSWER_TIMEOUT_S):
--- a/src/hyssopvane/_internal/policy/share_grants.py
+++ b/src/hyssopvane/_internal/policy/share_grants.py
@@ -27,7 +27,7 @@
 
     need: float = 0.0
     last_sequence: int = 0
-    asked_until: float = 0.0
+    granted_until: float = 0.0
     grants: list[_Grant] = field(default_factory=list)
 
     def drop_expired(self, now: float) -> None:
@@ -51,9 +51,9 @@
 
     An entry that dies or is cut off stops asking, and its grant ends with its lease.
     The granter counts a grant until it has certainly ended at its holder: the holder
-    counts the lease from when it sent the ask, the granter from when it received the
-    ask. When a grant is renewed with a smaller amount, the larger one counts until its
-    end or the holder's next ask, since the answer may be lost.
+    counts the lease from when it sent the request, the granter from when it received
+    the request. When a grant is renewed with a smaller amount, the larger one counts
+    until its end or the holder's next request, since the answer may be lost.
     """
 
     def __init__(self, view: EntryView, *, own_vm: str) -> None:
@@ -76,34 +76,36 @@
                 self._pools[customer] = _Pool(granting_since=now)
 
     def answer(
-        self, entry: EntryId, ask: ShareRequest, *, now: float
+        self, entry: EntryId, request: ShareRequest, *, now: float
     ) -> ShareGrant | None:
-        """Grant a share; return None for a stale ask or another granter's customer."""
-        pool = self._pools.get(ask.customer)
-        if pool is None or not self._aggregates(ask.customer):
+        """Answer a request; return None if it is stale or for another granter."""
+        pool = self._pools.get(request.customer)
+        if pool is None or not self._aggregates(request.customer):
             return None
         self._drop_gone(pool, now=now)
         holder = pool.holders.setdefault(entry, _Holder())
-        if ask.sequence <= holder.last_sequence:
+        if request.sequence <= holder.last_sequence:
             # A delayed copy shows what the entry held earlier; it may hold more by now.
             return None
-        self._record_ask(holder, ask, now=now)
+        self._record_request(holder, request, now=now)
         lease_s = self._choose_lease(now=now)
-        holder.asked_until = now + lease_s
+        holder.granted_until = now + lease_s
         amount = self._choose_amount(pool, entry, holder, now=now)
         holder.grants.append(_Grant(amount, now + lease_s))
         return ShareGrant(
-            ask.customer, ask.sequence, amount, lease_s, RENEW_SHARE * lease_s
+            request.customer, request.sequence, amount, lease_s, RENEW_SHARE * lease_s
         )
 
-    def _record_ask(self, holder: _Holder, ask: ShareRequest, *, now: float) -> None:
-        # An ask contains all that the entry has in force, and the entry will only
-        # accept the answer to this ask. So grants that it never received end here.
+    def _record_request(
+        self, holder: _Holder, request: ShareRequest, *, now: float
+    ) -> None:
+        # A request contains all that the entry has in force, and the entry will only
+        # accept the answer to this request. So grants that it never received end here.
         # Grants of a predecessor are counted in the same way.
-        held = _Grant(ask.held, now + ask.held_s)
-        holder.grants = [held] if ask.held else []
-        holder.need = ask.need
-        holder.last_sequence = ask.sequence
+        held = _Grant(request.held, now + request.held_s)
+        holder.grants = [held] if request.held else []
+        holder.need = request.need
+        holder.last_sequence = request.sequence
 
     def _choose_amount(
         self, pool: _Pool, entry: EntryId, holder: _Holder, *, now: float
@@ -132,7 +134,7 @@
     def _drop_gone(self, pool: _Pool, *, now: float) -> None:
         for key, holder in list(pool.holders.items()):
             holder.drop_expired(now)
-            if not holder.grants and holder.asked_until <= now:
+            if not holder.grants and holder.granted_until <= now:
                 del pool.holders[key]
 
     def _aggregates(self, customer: str) -> bool:
--- a/src/hyssopvane/_internal/policy/share_limits.py
+++ b/src/hyssopvane/_internal/policy/share_limits.py
@@ -20,14 +20,14 @@
 In addition one request per entry, for concurrency and tokens, and one request of burst:
 a limit can't be split into less than whole requests.
 
-Costs at 960 entries and 360 customers, in bytes both ways: an ask costs two greetings
-of 196, the question of 140 and the answer of 116 for one customer, and about six
-heartbeats of 92 until its connection closes: 1.2 KB. The lease grows by
+Costs at 960 entries and 360 customers, in bytes both ways: a request costs two
+greetings of 196, the question of 140 and the answer of 116 for one customer, and about
+six heartbeats of 92 until its connection closes: 1.2 KB. The lease grows by
 LEASE_PER_HOLDER_S with each holder of the granter, and is renewed after three quarters,
-so a granter receives at most 1.3 asks a second, 1.6 KB/s. With every customer at its
-limit at every entry, an entry sends 360 asks in 720 s, 0.6 KB/s. On average that is 1.2
-KB/s of the 6 KB/s for control, as 360 granters are spread over 960 entries. In that
-extreme the granter of one customer uses 2.2 KB/s, and the few granters of three
+so a granter receives at most 1.3 requests a second, 1.6 KB/s. With every customer at
+its limit at every entry, an entry sends 360 requests in 720 s, 0.6 KB/s. On average
+that is 1.2 KB/s of the 6 KB/s for control, as 360 granters are spread over 960 entries.
+In that extreme the granter of one customer uses 2.2 KB/s, and the few granters of three
 customers up to 5.4 KB/s. Below the safe share nothing is sent. A long lease does little
 harm where it applies: many holders have small grants, and a crashed entry withholds
 from the others at most one second of the whole limit, or ten seconds of its share.
@@ -39,7 +39,7 @@
 MIN_LEASE_S = 10.0
 MAX_LEASE_S = 960.0
 LEASE_PER_HOLDER_S = 1.0
-# Early enough for two more asks when the first is lost, at the shortest lease.
+# Early enough for two more requests when the first is lost, at the shortest lease.
 RENEW_SHARE = 0.75
 # The platform's list is fetched every second and lags. A new granter waits this long
 # beyond the longest lease, because its predecessor may still grant.
@@ -52,7 +52,7 @@
 HEADROOM = 1.25
 GROWTH = 1.1
 SHRINKAGE = 0.5
-MIN_ASK_INTERVAL_S = 2.0
+MIN_REQUEST_INTERVAL_S = 2.0
 
 
 def get_longest_lease(known: int) -> float:
--- a/src/hyssopvane/_internal/policy/shares.py
+++ b/src/hyssopvane/_internal/policy/shares.py
@@ -1,4 +1,4 @@
-"""Hold this entry's shares of customers' limits, and ask for the needed grants."""
+"""Hold this entry's shares of customers' limits, and request the needed grants."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
     GROWTH,
     HEADROOM,
     LIST_LAG_S,
-    MIN_ASK_INTERVAL_S,
+    MIN_REQUEST_INTERVAL_S,
     RENEW_SHARE,
     RESERVE,
     SHRINKAGE,
@@ -30,13 +30,13 @@
     granted: float = 0.0
     expires_at: float = 0.0
     renew_at: float = 0.0
-    asked_sequence: int = 0
-    asked_at: float = float("-inf")
-    ask_more_at: float = 0.0
+    requested_sequence: int = 0
+    requested_at: float = float("-inf")
+    request_more_at: float = 0.0
 
 
 class ShareHolder:
-    """Measure demand, ask for grants, and put shares in force."""
+    """Measure demand, request grants, and put shares in force."""
 
     def __init__(self, view: EntryView, admission: Admission) -> None:
         self._view = view
@@ -91,33 +91,36 @@
             if idle and now >= holding.expires_at:
                 del self._holdings[customer]
 
-    def choose_asks(self, *, now: float) -> dict[str, list[ShareRequest]]:
-        """Return the asks that are due, by the entry that grants."""
-        asks: dict[str, list[ShareRequest]] = {}
+    def choose_requests(self, *, now: float) -> dict[str, list[ShareRequest]]:
+        """Return the requests that are due, by the entry that grants."""
+        requests: dict[str, list[ShareRequest]] = {}
         if self._view.count_known(now=now) == 1:
-            return asks
+            return requests
         for customer, holding in self._holdings.items():
             if not self._is_due(holding, now=now):
                 continue
             granter = self._view.find_aggregator(customer)
-            asks.setdefault(granter, []).append(self._make_ask(customer, holding, now))
-        return asks
-
-    def apply(self, answers: Iterable[ShareGrant], *, sent_at: float) -> None:
-        """Put answers in force; each lease counts from when its ask was sent."""
-        for answer in answers:
-            holding = self._holdings.get(answer.customer)
-            if holding is None or answer.sequence != holding.asked_sequence:
-                # An answer to an earlier ask: the granter no longer counts it in full.
+            requests.setdefault(granter, []).append(
+                self._make_request(customer, holding, now)
+            )
+        return requests
+
+    def apply(self, grants: Iterable[ShareGrant], *, sent_at: float) -> None:
+        """Put grants in force; each lease counts from when its request was sent."""
+        for grant in grants:
+            holding = self._holdings.get(grant.customer)
+            if holding is None or grant.sequence != holding.requested_sequence:
+                # A grant for an earlier request: the granter no longer counts it in
+                # full.
                 continue
             need = self._get_need(holding)
-            holding.granted = answer.amount
-            holding.expires_at = sent_at + answer.lease_s
-            holding.renew_at = sent_at + RENEW_SHARE * answer.lease_s
-            if answer.amount < need:
-                holding.ask_more_at = sent_at + answer.retry_after_s
-            share = Share(answer.amount, holding.expires_at)
-            self._admission.set_share(answer.customer, share)
+            holding.granted = grant.amount
+            holding.expires_at = sent_at + grant.lease_s
+            holding.renew_at = sent_at + RENEW_SHARE * grant.lease_s
+            if grant.amount < need:
+                holding.request_more_at = sent_at + grant.retry_after_s
+            share = Share(grant.amount, holding.expires_at)
+            self._admission.set_share(grant.customer, share)
 
     def _note_demand(
         self, row: CustomerRow, use: CustomerUsage, elapsed_s: float
@@ -138,20 +141,22 @@
         return max(0.0, min(1.0, holding.demand) - self._safe)
 
     def _is_due(self, holding: _Holding, *, now: float) -> bool:
-        if now < holding.asked_at + MIN_ASK_INTERVAL_S:
+        if now < holding.requested_at + MIN_REQUEST_INTERVAL_S:
             return False
         need = self._get_need(holding)
         granted = holding.granted if now < holding.expires_at else 0.0
-        if need > granted * GROWTH and now >= holding.ask_more_at:
+        if need > granted * GROWTH and now >= holding.request_more_at:
             return True
         if granted and need < granted * SHRINKAGE:
             return True
         return need > 0 and granted > 0 and now >= holding.renew_at
 
-    def _make_ask(self, customer: str, holding: _Holding, now: float) -> ShareRequest:
+    def _make_request(
+        self, customer: str, holding: _Holding, now: float
+    ) -> ShareRequest:
         self._sequence += 1
-        holding.asked_sequence = self._sequence
-        holding.asked_at = now
+        holding.requested_sequence = self._sequence
+        holding.requested_at = now
         valid = now < holding.expires_at
         return ShareRequest(
             customer=customer,
--- a/src/hyssopvane/_internal/protocol/demand.py
+++ b/src/hyssopvane/_internal/protocol/demand.py
@@ -14,7 +14,7 @@
 _MILLISECONDS = 1_000
 
 
-def encode_asks(asks: Sequence[ShareRequest]) -> bytes:
+def encode_requests(asks: Sequence[ShareRequest]) -> bytes:
     """Encode asks to one entry."""
     message = load_schema(_SCHEMA_FILE).Asks.new_message()
     builders = message.init("asks", len(asks))
@@ -29,7 +29,7 @@
     return encoded
 
 
-def decode_asks(data: bytes) -> list[ShareRequest]:
+def decode_requests(data: bytes) -> list[ShareRequest]:
     """Decode asks; raise `ProtocolError` when they are none."""
     return [
         ShareRequest(
@@ -43,7 +43,7 @@
     ]
 
 
-def encode_answers(answers: Sequence[ShareGrant]) -> bytes:
+def encode_grants(answers: Sequence[ShareGrant]) -> bytes:
     """Encode the answers to asks."""
     message = load_schema(_SCHEMA_FILE).Answers.new_message()
     builders = message.init("answers", len(answers))
@@ -57,7 +57,7 @@
     return encoded
 
 
-def decode_answers(data: bytes) -> list[ShareGrant]:
+def decode_grants(data: bytes) -> list[ShareGrant]:
     """Decode answers; raise `ProtocolError` when they are none."""
     return [
         ShareGrant(
--- a/tests/lib/share_network.py
+++ b/tests/lib/share_network.py
@@ -45,7 +45,7 @@
     def __init__(self, random: Random, *, loss: float = 0.0, delay_s: float = 0.0):
         self.now = 1_000.0
         self.nodes: dict[str, ShareNode] = {}
-        self.asks = 0
+        self.request_count = 0
         self._random = random
         self._loss = loss
         self._delay_s = delay_s
@@ -121,36 +121,39 @@
         node.granter.update_customers(ROWS, now=self.now)
         node.ask_for_requests(now=self.now)
         node.holder.measure_demand(ROWS, now=self.now)
-        for vm, asks in node.holder.choose_asks(now=self.now).items():
-            self._send(node, vm, asks, self.now)
+        for vm, requests in node.holder.choose_requests(now=self.now).items():
+            self._send(node, vm, requests, self.now)
 
     def _send(
-        self, node: ShareNode, vm: str, asks: list[ShareRequest], at: float
+        self, node: ShareNode, vm: str, requests: list[ShareRequest], at: float
     ) -> None:
-        self.asks += 1
+        self.request_count += 1
         if vm == node.id.vm:
-            self._answer(node, vm, asks, at)
+            self._answer(node, vm, requests, at)
             return
         copies = 2 if self._random.random() < self._loss / 4 else 1
         for _ in range(copies):
-            self._deliver(node, lambda: self._answer(node, vm, asks, at))
+            self._deliver(node, lambda: self._answer(node, vm, requests, at))
 
     def _answer(
-        self, node: ShareNode, vm: str, asks: list[ShareRequest], at: float
+        self, node: ShareNode, vm: str, requests: list[ShareRequest], at: float
     ) -> None:
         granter = self.nodes.get(vm)
         if granter is None or granter.cut_off != node.cut_off:
             return
-        found = [granter.granter.answer(node.id, ask, now=self.now) for ask in asks]
-        answers = [one for one in found if one is not None]
+        found = [
+            granter.granter.answer(node.id, request, now=self.now)
+            for request in requests
+        ]
+        grants = [one for one in found if one is not None]
         if granter is node:
-            node.holder.apply(answers, sent_at=at)
+            node.holder.apply(grants, sent_at=at)
         else:
-            self._deliver(node, lambda: self._apply(node, answers, at))
+            self._deliver(node, lambda: self._apply(node, grants, at))
 
-    def _apply(self, node: ShareNode, answers: list, at: float) -> None:
+    def _apply(self, node: ShareNode, grants: list, at: float) -> None:
         if self._is_up(node):
-            node.holder.apply(answers, sent_at=at)
+            node.holder.apply(grants, sent_at=at)
 
     def _deliver(self, node: ShareNode, action: Callable[[], None]) -> None:
         if not node.cut_off and self._random.random() >= self._loss:
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -12,10 +12,10 @@
 from hyssopvane._internal.exceptions import PeerLost, ProtocolError
 from hyssopvane._internal.policy.admission import Admission
 from hyssopvane._internal.protocol.demand import (
-    decode_answers,
-    decode_asks,
-    encode_answers,
-    encode_asks,
+    decode_grants,
+    decode_requests,
+    encode_grants,
+    encode_requests,
 )
 from hyssopvane._internal.state.shares import EntryId, ShareGrant, ShareRequest
 from hyssopvane._internal.state.table import CustomerRow
@@ -29,12 +29,12 @@
 @given(st.text(max_size=20), st.integers(0, 2**63), st.floats(0, 1), st.floats(0, 480))
 def test_messages_survive_the_codec(customer, sequence, fraction, seconds):
     request = ShareRequest(customer, sequence, fraction, fraction, seconds)
-    (found,) = decode_asks(encode_asks([request]))
+    (found,) = decode_requests(encode_requests([request]))
     assert (found.customer, found.sequence) == (customer, sequence)
     assert found.need == found.held == fraction
     assert seconds <= found.held_s <= seconds + 0.002
     grant = ShareGrant(customer, sequence, fraction, seconds, seconds)
-    (decoded,) = decode_answers(encode_answers([grant]))
+    (decoded,) = decode_grants(encode_grants([grant]))
     assert decoded.amount == fraction
     assert seconds - 0.002 <= decoded.lease_s <= seconds
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("data", [b"", b"\xff" * 24])
 def test_codec_refuses_malformed_data(data):
     with pytest.raises(ProtocolError):
-        decode_asks(data)
+        decode_requests(data)
 
 
 class Site:
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -204,76 +204,76 @@
 LATER_S = 100.0
 
 
-def ask(sequence, need, held=0.0, held_s=0.0):
+def make_request(sequence, need, held=0.0, held_s=0.0):
     return ShareRequest(CUSTOMER, sequence, need, held, held_s)
 
 
-def test_late_copy_of_an_ask_changes_nothing():
-    """Guards against a delayed copy of an ask.
+def test_late_copy_of_a_request_changes_nothing():
+    """Guards against a delayed copy of a request.
 
-    The network delivers an ask a second time, after the entry got more. If the granter
-    assumed that the entry holds nothing, it would grant its share to another while the
-    entry still uses it.
+    The network delivers a request a second time, after the entry got more. If the
+    granter assumed that the entry holds nothing, it would grant its share to another
+    while the entry still uses it.
     """
     granter = make_granter()
-    first = granter.answer(ONE, ask(1, 0.8), now=LATER_S)
+    first = granter.answer(ONE, make_request(1, 0.8), now=LATER_S)
     assert first.amount == pytest.approx(0.8)
-    assert granter.answer(ONE, ask(1, 0.0), now=LATER_S + 1) is None
-    assert granter.answer(OTHER, ask(1, 0.8), now=LATER_S + 2).amount == pytest.approx(
-        0
-    )
+    assert granter.answer(ONE, make_request(1, 0.0), now=LATER_S + 1) is None
+    assert granter.answer(
+        OTHER, make_request(1, 0.8), now=LATER_S + 2
+    ).amount == pytest.approx(0)
 
 
 def test_larger_grant_counts_until_its_end():
     """Guards against a share that is granted again before it has ended.
 
-    An entry asks for less, and the answer that reduces its share is lost. The entry
+    An entry requests less, and the answer that reduces its share is lost. The entry
     still uses its earlier share; if another entry got that share meanwhile, it would be
     used twice.
     """
     granter = make_granter()
-    granter.answer(ONE, ask(1, 0.8), now=LATER_S)
-    less = ask(2, 0.1, held=0.8, held_s=9.0)
+    granter.answer(ONE, make_request(1, 0.8), now=LATER_S)
+    less = make_request(2, 0.1, held=0.8, held_s=9.0)
     assert granter.answer(ONE, less, now=LATER_S + 1).amount == pytest.approx(0.1)
-    early = granter.answer(OTHER, ask(1, 0.8), now=LATER_S + 2)
+    early = granter.answer(OTHER, make_request(1, 0.8), now=LATER_S + 2)
     assert early.amount == pytest.approx(0.0)
-    late = granter.answer(OTHER, ask(2, 0.8), now=LATER_S + 10.5)
+    late = granter.answer(OTHER, make_request(2, 0.8), now=LATER_S + 10.5)
     assert late.amount == pytest.approx(0.7)
 
 
-def make_asking_node():
+def make_requesting_node():
     node = make_node()
     node.rate = 50
     node.ask_for_requests(now=1.0)
     node.holder.measure_demand(ROWS, now=1.0)
-    ((asked,),) = node.holder.choose_asks(now=1.0).values()
-    return node, asked
+    ((request,),) = node.holder.choose_requests(now=1.0).values()
+    return node, request
 
 
-def test_lease_counts_from_the_ask():
+def test_lease_counts_from_the_request():
     """Guards against a lease that starts when its answer arrives.
 
     An answer is in flight for half of its lease. If the lease began on arrival, the
     entry would use the share for longer than the granter counts it.
     """
-    node, asked = make_asking_node()
-    answer = ShareGrant(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
+    node, request = make_requesting_node()
+    answer = ShareGrant(CUSTOMER, request.sequence, 0.5, 10.0, 7.5)
     node.holder.apply([answer], sent_at=1.0)
     assert node.holder.get_fraction(CUSTOMER, now=10.9) == pytest.approx(0.6)
     assert node.holder.get_fraction(CUSTOMER, now=11.0) == pytest.approx(0.1)
 
 
-def test_answer_to_an_earlier_ask_is_ignored():
-    """Guards against an answer that arrives after the entry has asked again.
+def test_answer_to_an_earlier_request_is_ignored():
+    """Guards against an answer that arrives after another request of the entry.
 
-    The second ask has shown the granter that the first answer was never received, so it
-    may have granted the share to another entry.
+    The second request has shown the granter that the first answer was never received,
+    so it may have granted the share to another entry.
     """
-    node, asked = make_asking_node()
+    node, request = make_requesting_node()
     node.ask_for_requests(now=4.0)
     node.holder.measure_demand(ROWS, now=4.0)
-    assert node.holder.choose_asks(now=4.0)
-    answer = ShareGrant(CUSTOMER, asked.sequence, 0.5, 10.0, 7.5)
+    assert node.holder.choose_requests(now=4.0)
+    answer = ShareGrant(CUSTOMER, request.sequence, 0.5, 10.0, 7.5)
     node.holder.apply([answer], sent_at=1.0)
     assert node.holder.get_fraction(CUSTOMER, now=5.0) == pytest.approx(0.1)
 
