--- a/src/hyssopvane/_internal/protocol/group_messages.py
+++ b/src/hyssopvane/_internal/protocol/group_messages.py
@@ -145,7 +145,7 @@
     return tuple(one for one in addresses if one)
 
 
-def encode_beliefs(beliefs: StoreSnapshot) -> bytes:
+def encode_snapshot(beliefs: StoreSnapshot) -> bytes:
     """Encode what an entry has learnt from the store."""
     message = load_schema(_SCHEMA_FILE).Beliefs.new_message()
     message.configurationRevision = beliefs.configuration_revision
@@ -160,7 +160,7 @@
     return _seal(message.to_bytes_packed())
 
 
-def decode_beliefs(data: bytes) -> StoreSnapshot:
+def decode_snapshot(data: bytes) -> StoreSnapshot:
     """Decode another entry's beliefs; raise `ProtocolError` when they are none."""
     try:
         message = load_schema(_SCHEMA_FILE).Beliefs.from_bytes_packed(
--- a/src/hyssopvane/_internal/protocol/messages.py
+++ b/src/hyssopvane/_internal/protocol/messages.py
@@ -36,7 +36,7 @@
     """Era of the key-value service that the table's revision belongs to."""
 
     @property
-    def table_mark(self) -> StorePosition:
+    def table_position(self) -> StorePosition:
         """Return the point of the service's history that the table is of."""
         return StorePosition(self.table_era, self.table_revision)
 
--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -191,7 +191,7 @@
         """Record the position of the table that an entry has."""
         # On a new connection a heartbeat may arrive before the rows.
         if peer in self._row_senders:
-            self.rows.update_position(heartbeat.table_mark)
+            self.rows.update_position(heartbeat.table_position)
 
     def _receive_rows(self, peer: PeerConnection, body: bytes) -> None:
         try:
--- a/src/hyssopvane/_internal/roles/snapshot_exchange.py
+++ b/src/hyssopvane/_internal/roles/snapshot_exchange.py
@@ -11,7 +11,10 @@
 
 from hyssopvane._internal.coordination.routing_feed import RoutingFeed
 from hyssopvane._internal.exceptions import ProtocolError
-from hyssopvane._internal.protocol.group_messages import decode_beliefs, encode_beliefs
+from hyssopvane._internal.protocol.group_messages import (
+    decode_snapshot,
+    encode_snapshot,
+)
 from hyssopvane._internal.state.group import EntryState
 from hyssopvane._internal.state.store_position import StorePosition
 from hyssopvane._internal.transport.asgi_messages import (
@@ -74,7 +77,7 @@
             await serve_lifespan(receive, send)
             return
         known = scope["path"] == SNAPSHOT_PATH
-        body = encode_beliefs(self._feed.export()) if known else b""
+        body = encode_snapshot(self._feed.export()) if known else b""
         await send_response(send, status=_OK if known else 404, headers=(), body=body)
 
     def _is_newer(self, peer: EntryState) -> bool:
@@ -112,7 +115,7 @@
                 ) as response:
                     limit = PartLimit(scope, part_s=FETCH_TIMEOUT_S)
                     body = await response.read(max_bytes=MAX_BYTES, limit=limit)
-            snapshot = decode_beliefs(body)
+            snapshot = decode_snapshot(body)
         except (
             ReplicaUnreachable,
             ReplicaFailed,
--- a/src/hyssopvane/_internal/roles/table_sharing.py
+++ b/src/hyssopvane/_internal/roles/table_sharing.py
@@ -106,7 +106,7 @@
     def receive_heartbeat(self, peer: PeerConnection, heartbeat: Heartbeat) -> None:
         """Compare the table position of another entry with the own one."""
         if peer.peer is not None:
-            self.spread.compare(peer.peer.vm, heartbeat.table_mark)
+            self.spread.compare(peer.peer.vm, heartbeat.table_position)
 
     async def _show_table(self, query: Mapping[str, str]) -> object:
         table = self.spread.table
--- a/tests/lib/decoder_fuzz.py
+++ b/tests/lib/decoder_fuzz.py
@@ -15,10 +15,10 @@
     decode_report,
 )
 from hyssopvane._internal.protocol.group_messages import (
-    decode_beliefs,
     decode_message,
-    encode_beliefs,
+    decode_snapshot,
     encode_message,
+    encode_snapshot,
 )
 from hyssopvane._internal.state.group import (
     EntryState,
@@ -75,10 +75,10 @@
     MapChange("g", 1, 2, (((0,), (1,)),), 3, (_A,)),
     ReplicaLimits((LimitReport(_A, 5, 2.5, 0.1), LimitReport(_A, 0, None, 1.0))),
 )
-_BELIEFS = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
+_SNAPSHOT = StoreSnapshot(3, b"{}", 4, (StoreItem("servers/i-1", b"{}", 2),))
 
 MESSAGE_BYTES = [encode_message(message) for message in _MESSAGES]
-BELIEFS_BYTES = encode_beliefs(_BELIEFS)
+SNAPSHOT_BYTES = encode_snapshot(_SNAPSHOT)
 
 _STRANGE: tuple[object, ...] = (
     None,
@@ -138,7 +138,7 @@
         decode_message,
         lambda random: _flip(random.choice(MESSAGE_BYTES), random),
     )
-    yield "beliefs", decode_beliefs, lambda random: _flip(BELIEFS_BYTES, random)
+    yield "beliefs", decode_snapshot, lambda random: _flip(SNAPSHOT_BYTES, random)
 
 
 def _make_document_damager(document: Any) -> Callable[[Random], bytes]:
--- a/tests/lib/fake_fleet.py
+++ b/tests/lib/fake_fleet.py
@@ -36,7 +36,7 @@
     stale: bool = False
     notices_lost: bool = False
     in_force: dict[str, int] = field(default_factory=dict)
-    marks: dict[str, StorePosition] = field(default_factory=dict)
+    positions: dict[str, StorePosition] = field(default_factory=dict)
     first_in_force: dict[str, int] | None = None
 
 
@@ -149,10 +149,12 @@
     def _observe(self, member: Member, table: Table) -> None:
         assert member.spread is not None
         reader = member.spread.reader
-        revisions, marks = reader.get_revisions(), reader.get_held_positions()
-        for key, mark in member.marks.items():
-            assert marks[key][0] >= mark, f"{member.name} reverted to an older {key}"
-        member.marks = {key: held[0] for key, held in marks.items()}
+        revisions, positions = reader.get_revisions(), reader.get_held_positions()
+        for key, position in member.positions.items():
+            assert positions[key][0] >= position, (
+                f"{member.name} reverted to an older {key}"
+            )
+        member.positions = {key: held[0] for key, held in positions.items()}
         member.in_force = revisions
         if member.first_in_force is None:
             member.first_in_force = revisions
--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -85,9 +85,9 @@
         self._processes: dict[str, Process] = {}
         self._callers: dict[str, str] = {}
         self._targets: dict[str, str] = {}
-        self._marks: dict[tuple[str, object], StorePosition] = {}
-        """Last mark of each start of a process, noted by several threads."""
-        self._noting = Lock()
+        self._positions: dict[tuple[str, object], StorePosition] = {}
+        """Last position of each start of a process, recorded by several threads."""
+        self._lock = Lock()
         self._edits = 0
 
     def start(self) -> None:
@@ -300,7 +300,7 @@
     def _note_revision(self, vm: str) -> None:
         # A reading that was given up goes on, and may end after newer ones. What was
         # noted before it began is the least that it may show.
-        noted = dict(self._marks)
+        noted = dict(self._positions)
         try:
             in_force = read_in_force(self._cluster, vm)
         except (
@@ -311,13 +311,13 @@
             return
         revision, era = in_force["table_revision"], in_force.get("table_era", 0)
         assert isinstance(revision, int) and isinstance(era, int)
-        mark = StorePosition(era, revision)
+        position = StorePosition(era, revision)
         # A process that was replaced starts anew, from what it finds.
         start = (vm, in_force["incarnation"])
-        if mark < noted.get(start, StorePosition(0, 0)):
+        if position < noted.get(start, StorePosition(0, 0)):
             self._violate(f"{vm} went back to revision {revision}")
-        with self._noting:
-            self._marks[start] = max(mark, self._marks.get(start, mark))
+        with self._lock:
+            self._positions[start] = max(position, self._positions.get(start, position))
 
     async def _check_table(self) -> None:
         """Check that every entry comes to hold the last accepted edit."""
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -13,10 +13,10 @@
 from hyssopvane._internal.platform.store import PlatformStore
 from hyssopvane._internal.platform.wire import PlatformFormat
 from hyssopvane._internal.protocol.group_messages import (
-    decode_beliefs,
     decode_message,
-    encode_beliefs,
+    decode_snapshot,
     encode_message,
+    encode_snapshot,
 )
 from hyssopvane._internal.protocol.headers import join_headers
 from hyssopvane._internal.roles.snapshot_exchange import SnapshotExchange
@@ -297,13 +297,13 @@
         received = decode_message(encode_message(state))
         assert isinstance(received, EntryState)
         if process.exchange._is_newer(received):
-            beliefs = encode_beliefs(peer.feed.export())
+            snapshot = encode_snapshot(peer.feed.export())
             assert self._nursery is not None
-            self._nursery.start_soon(self._merge_late, process, beliefs)
+            self._nursery.start_soon(self._merge_late, process, snapshot)
 
     async def _merge_late(self, process: Process, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
-        process.feed.merge(decode_beliefs(body))
+        process.feed.merge(decode_snapshot(body))
 
     async def _check_always(self) -> None:
         while True:
--- a/tests/unit/test_decoder_fuzz.py
+++ b/tests/unit/test_decoder_fuzz.py
@@ -75,10 +75,10 @@
 _DECODE_CUT_MESSAGES = """
 import sys
 from hyssopvane._internal.exceptions import ProtocolError
-from hyssopvane._internal.protocol.group_messages import decode_beliefs, decode_message
-from tests.lib.decoder_fuzz import BELIEFS_BYTES, MESSAGE_BYTES
+from hyssopvane._internal.protocol.group_messages import decode_snapshot, decode_message
+from tests.lib.decoder_fuzz import SNAPSHOT_BYTES, MESSAGE_BYTES
 cases = [(decode_message, data) for data in MESSAGE_BYTES]
-cases.append((decode_beliefs, BELIEFS_BYTES))
+cases.append((decode_snapshot, SNAPSHOT_BYTES))
 for body in sys.argv[1:]:
     cases.append((decode_message, bytes.fromhex(body) + b"-"))
 for decode, data in cases:
