--- a/src/hyssopvane/_internal/coordination/map_records.py
+++ b/src/hyssopvane/_internal/coordination/map_records.py
@@ -31,7 +31,7 @@
     return f"{PREFIX}{service}/{group}/map/{name}"
 
 
-def get_duty_key(service: str, group: str) -> str:
+def get_coordinator_key(service: str, group: str) -> str:
     """Return the key that the coordinator of a group attaches to its lease."""
     return f"{PREFIX}{service}/{group}/duty"
 
--- a/src/hyssopvane/_internal/coordination/map_switch.py
+++ b/src/hyssopvane/_internal/coordination/map_switch.py
@@ -18,7 +18,7 @@
 from hyssopvane._internal.coordination.map_records import (
     format_map,
     format_record,
-    get_duty_key,
+    get_coordinator_key,
     get_map_key,
     get_record_key,
     parse_map,
@@ -152,14 +152,14 @@
             if written is not None:
                 return written
 
-    async def acquire_duty(self, holder: str, lease: int) -> bool:
+    async def acquire_coordinator_lock(self, holder: str, lease: int) -> bool:
         """Make a process the coordinator under its lease; return whether it succeeded.
 
         The lease only prevents two coordinators from doing the same work. A coordinator
         that was paused beyond its lease may still act. The compare-and-swap of the
         record makes that harmless.
         """
-        key = get_duty_key(self._service, self._group)
+        key = get_coordinator_key(self._service, self._group)
         swap = Swap(key, holder.encode(), ABSENT, lease)
         try:
             result = await self._store.compare_and_swap([swap])
@@ -168,8 +168,8 @@
             return item is not None and item.value == holder.encode()
         return isinstance(result, Swapped)
 
-    async def release_duty(self, lease: int) -> None:
-        """Release the duty by revoking its lease."""
+    async def release_coordinator_lock(self, lease: int) -> None:
+        """Release the coordinator lock by revoking its lease."""
         if lease != NO_LEASE:
             await self._store.revoke_lease(lease)
 
--- a/src/hyssopvane/_internal/roles/map_switcher.py
+++ b/src/hyssopvane/_internal/roles/map_switcher.py
@@ -269,7 +269,9 @@
         lease = NO_LEASE
         try:
             lease = await self._store.grant_lease(self._times.lease_s)
-            if not await self._switch_store.acquire_duty(self._holder, lease):
+            if not await self._switch_store.acquire_coordinator_lock(
+                self._holder, lease
+            ):
                 return None
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._keep_lease, lease)
@@ -298,7 +300,7 @@
 
     async def _release(self, lease: int) -> None:
         try:
-            await self._switch_store.release_duty(lease)
+            await self._switch_store.release_coordinator_lock(lease)
         except HyssopvaneError as error:
             # The lease expires by itself.
             log_event("debug", "map-lease-not-released", why=error)
--- a/tests/unit/test_map_switch_store.py
+++ b/tests/unit/test_map_switch_store.py
@@ -34,7 +34,7 @@
 HOT = (900.0, *([50.0] * 11))
 EVEN = (100.0,) * 12
 RULES = MoveRules(skew_worth=10.0, move_cost=1.0)
-DUTY_KEY = b"maps/draft/group-1/duty"
+COORDINATOR_KEY = b"maps/draft/group-1/duty"
 
 
 class World:
@@ -81,13 +81,13 @@
         )
 
     async def make_lease(self, holder):
-        """Acquire the duty and return its lease."""
+        """Acquire the coordinator lock and return its lease."""
         store = self.open_store(holder)
         lease = await self.fakes[holder].grant_lease(30)
-        assert await store.acquire_duty(holder, lease)
+        assert await store.acquire_coordinator_lock(holder, lease)
         return lease
 
-    def make_duty(self, holder):
+    def make_mover(self, holder):
         store = self.open_store(holder)
         return MapMover(
             holder=holder,
@@ -252,33 +252,33 @@
 @pytest.mark.parametrize(
     ("loads", "used"), [(HOT, "map-1.1"), (EVEN, "initial")], ids=["hot", "even"]
 )
-def test_duty_moves_experts_when_the_benefit_exceeds_the_cost(loads, used):
+def test_mover_moves_experts_when_the_benefit_exceeds_the_cost(loads, used):
     async def run(world):
         world.start_engines()
-        duty = world.make_duty("entry-1")
-        ended = await duty.move_if_worth(loads, RULES, now=0.0, hour=0)
+        mover = world.make_mover("entry-1")
+        ended = await mover.move_if_worth(loads, RULES, now=0.0, hour=0)
         assert ended is (None if used == "initial" else Phase.DECIDED)
         await world.wait_for_map(used)
         # The lease and its key are released when the move ends.
-        assert world.state.get_range(DUTY_KEY) == []
+        assert world.state.get_range(COORDINATOR_KEY) == []
 
     run_world(run)
 
 
-def test_second_duty_leaves_the_move_to_the_first():
+def test_second_mover_leaves_the_move_to_the_first():
     async def run(world):
         world.start_engines()
         lease = await world.make_lease("entry-1")
-        duty = world.make_duty("entry-2")
-        assert await duty.move_if_worth(HOT, RULES, now=0.0, hour=0) is None
-        assert world.state.get_range(DUTY_KEY)[0].lease == lease
+        mover = world.make_mover("entry-2")
+        assert await mover.move_if_worth(HOT, RULES, now=0.0, hour=0) is None
+        assert world.state.get_range(COORDINATOR_KEY)[0].lease == lease
         record = (await world.open_store("other").read()).record
         assert record.proposal is None
 
     run_world(run)
 
 
-def test_duty_finishes_the_proposal_of_a_failed_coordinator():
+def test_mover_finishes_the_proposal_of_a_failed_coordinator():
     """Guard against a proposal that stays open after its coordinator has died.
 
     After the coordinator's lease expires, the proposal would keep memory of the ranks
@@ -289,9 +289,9 @@
         world.start_engines()
         await world.make_lease("entry-1")
         await world.open_store("entry-1").propose("a", MAP)
-        duty = world.make_duty("entry-2")
+        mover = world.make_mover("entry-2")
         await trio.sleep(31)
-        assert await duty.move_if_worth(HOT, RULES, now=0.0, hour=0) is None
+        assert await mover.move_if_worth(HOT, RULES, now=0.0, hour=0) is None
         await world.wait_for_map("a.1")
 
     run_world(run)
