--- a/src/hyssopvane/_internal/policy/placement.py
+++ b/src/hyssopvane/_internal/policy/placement.py
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class _Query:
-    """Parameters of one choice."""
+    """Hold the parameters of one choice."""
 
     request: WorkRequest
     now: float
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _Pool:
-    """The targets of one service."""
+    """Hold the targets of one service."""
 
     row: ServiceRow
     ejector: Ejector
--- a/src/hyssopvane/_internal/policy/queueing.py
+++ b/src/hyssopvane/_internal/policy/queueing.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedItem:
-    """A waiting request."""
+    """Describe a waiting request."""
 
     request_id: str
     customer: str
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class _Lane:
-    """Short or long requests of one flow, in order of arrival."""
+    """Hold the short or long requests of one flow, in order of arrival."""
 
     items: OrderedDict[str, QueuedItem] = field(default_factory=OrderedDict)
     tokens: int = 0
@@ -47,7 +47,7 @@
 
 
 class Flow:
-    """The waiting requests of one customer in one priority class."""
+    """Hold the waiting requests of one customer in one priority class."""
 
     __slots__ = ("customer", "entry", "lanes", "start", "tokens", "weight")
 
@@ -193,7 +193,7 @@
 
 
 class FairQueue:
-    """Queue of the requests for one service at one entry."""
+    """Queue the requests for one service at one entry."""
 
     def __init__(self) -> None:
         self.classes: dict[int, PriorityClass] = {}
--- a/src/hyssopvane/_internal/policy/scheduler.py
+++ b/src/hyssopvane/_internal/policy/scheduler.py
@@ -62,7 +62,7 @@
 
 
 class _Service:
-    """Queue and measurements of one service at this entry."""
+    """Hold the queue and measurements of one service at this entry."""
 
     def __init__(self, name: str) -> None:
         self.row = ServiceRow(name)
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """A request that waits for a slot."""
+    """Describe a request that waits for a slot."""
 
     item: QueuedItem
     late_at: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """A decision to send a request to a replica."""
+    """Represent a decision to send a request to a replica."""
 
     request_id: str
     replica: Replica
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A decision to refuse a request, with the delay before a retry."""
+    """Represent a decision to refuse a request, with the delay before a retry."""
 
     request_id: str
     reason: str
--- a/src/hyssopvane/_internal/policy/target_load.py
+++ b/src/hyssopvane/_internal/policy/target_load.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class TargetLoad:
-    """Load of one target: the entry's own requests, and those of others by report."""
+    """Track the load of one target: own requests, and those of others by report."""
 
     own_tokens: int = 0
     own_running: int = 0
--- a/src/hyssopvane/_internal/state/store_position.py
+++ b/src/hyssopvane/_internal/state/store_position.py
@@ -8,5 +8,5 @@
     """Identify a point in the store's history; eras are compared before revisions."""
 
     era: int
-    """Number of the era, raised when the store returns from a copy; 0 if unknown."""
+    """Number of the era, raised by a restore from a copy; 0 if unknown."""
     revision: int
--- a/tests/functional/test_service_return.py
+++ b/tests/functional/test_service_return.py
@@ -1,4 +1,4 @@
-"""Test the client of a key-value service that comes back from copies."""
+"""Test the client of a key-value service that is restored from copies."""
 
 import json
 
--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -114,7 +114,7 @@
             with trio.move_on_after(seconds):
                 if self._returns:
                     # Each run has one, whatever it draws.
-                    await self._come_back()
+                    await self._restore_copy()
                 while True:
                     await self._do_fault()
             nursery.cancel_scope.cancel()
@@ -132,7 +132,7 @@
             self._edit_table,
         ]
         if self._returns:
-            faults += [self._keep_copy, self._come_back]
+            faults += [self._keep_copy, self._restore_copy]
         fault = self._random.choice(faults)
         with trio.CancelScope(shield=True):
             self.report.faults.append(await fault())
@@ -162,8 +162,8 @@
         await self._control("/copy", {})
         return "copy"
 
-    async def _come_back(self) -> str:
-        """Let the service be away, and come back without what was written since."""
+    async def _restore_copy(self) -> str:
+        """Stop the service, and restore it without what was written since."""
         with trio.CancelScope(shield=True):
             await trio.sleep(self._random.uniform(0, 2 * OUTAGE_S))
             await self._set_faults({"down": True})
@@ -380,7 +380,7 @@
 ) -> FaultReport:
     """Run one seed and return what was seen.
 
-    `returns` lets the key-value service come back from copies as well.
+    `returns` also restores the key-value service from copies.
     """
     with open_cluster(folder) as cluster:
         run = FaultRun(cluster, seed=seed, returns=returns)
