--- a/src/hyssopvane/_internal/coordination/table_store.py
+++ b/src/hyssopvane/_internal/coordination/table_store.py
@@ -371,13 +371,13 @@
                     # work, every reader would load the table many times a second.
                     return
                 self._backoff.reset()
-                self._note_read(max(item.position for item in items))
+                self._record_read(max(item.position for item in items))
                 if self.accept(items):
                     await send.send(self.table)
 
     async def _load(self) -> bool:
         snapshot = await self._store.get_prefix(PAGE_PREFIX)
-        self._note_read(snapshot.position)
+        self._record_read(snapshot.position)
         return self.accept(snapshot.items)
 
     async def refresh(self) -> bool:
@@ -396,11 +396,11 @@
             # The service was restored from a copy, where all revisions may be lower.
             await self._load()
             return True
-        self._note_read(snapshot.position)
+        self._record_read(snapshot.position)
         self.accept(snapshot.items)
         return bool(snapshot.items)
 
-    def _note_read(self, position: StorePosition) -> None:
+    def _record_read(self, position: StorePosition) -> None:
         # A stale read has an earlier revision than one that was already read.
         self._read_position = max(self._read_position, position)
         self.last_contact_at = trio.current_time()
--- a/src/hyssopvane/_internal/policy/group_capacity.py
+++ b/src/hyssopvane/_internal/policy/group_capacity.py
@@ -117,7 +117,7 @@
             return False
         return True if self._has_served else None
 
-    def note_refusal(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Record that a member has refused a request.
 
         After a power loss, entries are back seconds before the group is formed and
@@ -130,7 +130,7 @@
             self._back_off_until = now + PROBE_INTERVAL_S
             self._has_served = False
 
-    def note_served(self) -> None:
+    def record_served(self) -> None:
         """Record that a member has begun to answer a request."""
         self._back_off_until = float("-inf")
         self._has_served = True
--- a/src/hyssopvane/_internal/policy/replica_choice.py
+++ b/src/hyssopvane/_internal/policy/replica_choice.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A replica with a free slot."""
+    """Describe a replica with a free slot."""
 
     load: ReplicaLoad
     cost: float
--- a/src/hyssopvane/_internal/policy/replica_notices.py
+++ b/src/hyssopvane/_internal/policy/replica_notices.py
@@ -56,7 +56,7 @@
         notice.backoff_until = max(notice.backoff_until, until)
         return is_new
 
-    def note_leaving(self, replica: Replica, *, now: float) -> bool:
+    def record_leaving(self, replica: Replica, *, now: float) -> bool:
         """Record that a replica is leaving; return whether that is new."""
         notice = self._get(replica, now)
         is_new = not notice.leaving
--- a/src/hyssopvane/_internal/policy/service_gate.py
+++ b/src/hyssopvane/_internal/policy/service_gate.py
@@ -218,11 +218,11 @@
             one.ejected_until = now + _EJECT_S
             one.failures = 0.0
 
-    def note_served(self, replica: Replica) -> None:
+    def record_served(self, replica: Replica) -> None:
         """Record that a replica has begun to answer a request."""
         one = self._find(replica)
         if one is not None:
-            self._groups[one.group].note_served()
+            self._groups[one.group].record_served()
 
     def mark_replaced(self, replica: Replica) -> None:
         """Remove a replica whose address now belongs to another one."""
@@ -231,7 +231,7 @@
             self._remove_replica(replica.id)
             self.limits.remove(replica.address)
 
-    def note_full(self, replica: Replica, *, now: float, until: float) -> None:
+    def record_full(self, replica: Replica, *, now: float, until: float) -> None:
         """Send nothing to a replica until a time; it has just refused work as full."""
         one = self._find(replica)
         if one is None:
@@ -239,7 +239,7 @@
         one.full_until = max(one.full_until, until)
         if self._engine is not None:
             # A rank refuses requests when its group does.
-            self._groups[one.group].note_refusal(now)
+            self._groups[one.group].record_refusal(now)
 
     def record_backoff(self, replica: Replica, backoff_s: float, *, now: float) -> bool:
         """Record a back-off that a replica asks for; return whether one begins."""
@@ -247,9 +247,9 @@
             self._get_present(replica), backoff_s, now=now
         )
 
-    def note_leaving(self, replica: Replica, *, now: float) -> bool:
+    def record_leaving(self, replica: Replica, *, now: float) -> bool:
         """Record that a replica said it is leaving; return whether this is new."""
-        return self.notices.note_leaving(self._get_present(replica), now=now)
+        return self.notices.record_leaving(self._get_present(replica), now=now)
 
     def may_send(self, replica: Replica, now: float) -> bool:
         """Return whether a request that was assigned to a replica may still be sent."""
@@ -273,7 +273,7 @@
             soonest_s = min(soonest_s, away_s)
         return soonest_s if soonest_s < inf else 0.0
 
-    def note_limit(
+    def record_limit(
         self, replica: Replica, per_s: float | None, *, now: float, age_s: float = 0.0
     ) -> bool:
         """Record the rate limit that a replica reports; return whether it is new."""
@@ -288,7 +288,7 @@
         is_new = False
         for one in self._by_address.get(news.replica, ()):
             if may_be_same_start(one.replica.started_ms, news.started_ms):
-                is_new |= self.note_limit(
+                is_new |= self.record_limit(
                     one.replica, news.per_s, now=now, age_s=news.age_s
                 )
         return is_new
--- a/src/hyssopvane/_internal/policy/shares.py
+++ b/src/hyssopvane/_internal/policy/shares.py
@@ -82,7 +82,7 @@
         for customer, use in self._admission.get_uses().items():
             row = rows.get(customer)
             if row is not None and (use.arrived or use.requests):
-                self._note_demand(row, use, elapsed_s)
+                self._record_demand(row, use, elapsed_s)
             use.reset_interval()
         for customer in list(self._holdings):
             holding = self._holdings[customer]
@@ -122,7 +122,7 @@
             share = Share(grant.amount, holding.expires_at)
             self._admission.set_share(grant.customer, share)
 
-    def _note_demand(
+    def _record_demand(
         self, row: CustomerRow, use: CustomerUsage, elapsed_s: float
     ) -> None:
         parts = [
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -331,7 +331,7 @@
             raise ReplicaFailed("the successful answer has no signature")
         if b"content-encoding" in response.fields:
             raise ReplicaFailed("the body is encoded, but replicas encode none")
-        self._dependencies.gates.get_gate(self._request.service).note_served(replica)
+        self._dependencies.gates.get_gate(self._request.service).record_served(replica)
         streamed = self._request.route.kind is RequestKind.STREAM
         if streamed and response.status in _OK:
             await self._relay_stream(response)
@@ -387,7 +387,7 @@
         if response.status == _MISDIRECTED:
             gate.mark_replaced(replica)
         elif gate.may_send(replica, now):
-            gate.note_full(replica, now=now, until=now + FULL_REST_S)
+            gate.record_full(replica, now=now, until=now + FULL_REST_S)
         raise _AttemptFailed(
             f"refused-{response.status}",
             not_run=True,
--- a/src/hyssopvane/_internal/roles/gate_keeper.py
+++ b/src/hyssopvane/_internal/roles/gate_keeper.py
@@ -131,7 +131,7 @@
         gate = self.get_gate(service)
         if per_s is None and not len(gate.limits):
             return
-        if gate.note_limit(replica, per_s, now=trio.current_time()):
+        if gate.record_limit(replica, per_s, now=trio.current_time()):
             _log_limit(replica.address, per_s, gate, source="answer")
 
     def observe_backoff(self, service: str, replica: Replica, backoff_s: float) -> None:
@@ -149,7 +149,7 @@
     def observe_leaving(self, service: str, replica: Replica) -> None:
         """Record that an answer of a replica reports leaving."""
         gate = self.get_gate(service)
-        if gate.note_leaving(replica, now=trio.current_time()):
+        if gate.record_leaving(replica, now=trio.current_time()):
             log_event("info", "replica-leaving", replica=replica.id)
 
     def observe_limits(self, message: ReplicaLimits) -> None:
--- a/tests/lib/fault_run.py
+++ b/tests/lib/fault_run.py
@@ -293,14 +293,14 @@
             for vm in (*ENTRIES, *AGENTS):
                 with trio.move_on_after(0.5):
                     await trio.to_thread.run_sync(
-                        self._note_revision, vm, abandon_on_cancel=True
+                        self._record_revision, vm, abandon_on_cancel=True
                     )
             await trio.sleep(0.1)
 
-    def _note_revision(self, vm: str) -> None:
+    def _record_revision(self, vm: str) -> None:
         # A reading that was given up goes on, and may end after newer ones. What was
-        # noted before it began is the least that it may show.
-        noted = dict(self._positions)
+        # recorded before it began is the least that it may show.
+        recorded = dict(self._positions)
         try:
             in_force = read_in_force(self._cluster, vm)
         except (
@@ -314,7 +314,7 @@
         position = StorePosition(era, revision)
         # A process that was replaced starts anew, from what it finds.
         start = (vm, in_force["incarnation"])
-        if position < noted.get(start, StorePosition(0, 0)):
+        if position < recorded.get(start, StorePosition(0, 0)):
             self._violate(f"{vm} went back to revision {revision}")
         with self._lock:
             self._positions[start] = max(position, self._positions.get(start, position))
--- a/tests/unit/test_fault_run.py
+++ b/tests/unit/test_fault_run.py
@@ -19,11 +19,11 @@
 
     def read_late(cluster, vm):
         monkeypatch.setattr(fault_run, "read_in_force", lambda *_: read(newer))
-        run._note_revision(vm)
+        run._record_revision(vm)
         return read(late)
 
     monkeypatch.setattr(fault_run, "read_in_force", read_late)
-    run._note_revision("check-2")
+    run._record_revision("check-2")
     assert run.report.violations == []
 
 
@@ -33,5 +33,5 @@
     run = FaultRun(None, seed=1)
     for one in (5, revision):
         monkeypatch.setattr(fault_run, "read_in_force", lambda *_, one=one: read(one))
-        run._note_revision("check-2")
+        run._record_revision("check-2")
     assert run.report.violations == [f"check-2 went back to revision {revision}"]
--- a/tests/unit/test_replica_notices.py
+++ b/tests/unit/test_replica_notices.py
@@ -98,7 +98,7 @@
 
 
 def fill(gate, now):
-    gate.note_full(make_replica(1), now=now, until=now + 0.1)
+    gate.record_full(make_replica(1), now=now, until=now + 0.1)
 
 
 @pytest.mark.parametrize(
@@ -211,7 +211,7 @@
 def test_leaving_replica_stays_out(happen):
     """Guards against a registration or load that reactivates a leaving replica."""
     gate = make_gate(2, engine=None)
-    gate.note_leaving(make_replica(1), now=0.0)
+    gate.record_leaving(make_replica(1), now=0.0)
     happen(gate, 1.0)
     gate.notices.expire(60.0)
     assert send(gate, now=60.0) == {"i-0"}
@@ -222,7 +222,7 @@
     """Guards against a replica that stays idle as its earlier start was leaving."""
     gate = make_gate(0, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
-    gate.note_leaving(make_replica(0, started_ms=1), now=0.0)
+    gate.record_leaving(make_replica(0, started_ms=1), now=0.0)
     gate.update([make_replica(0, started_ms=2)], None, now=after_s)
     assert send(gate, now=5.0) == {"i-0"}
 
@@ -231,7 +231,7 @@
     """Guards against memory that grows with every release of a service."""
     notices = ReplicaNotices()
     for number in range(1_000):
-        notices.note_leaving(make_replica(number), now=0.0)
+        notices.record_leaving(make_replica(number), now=0.0)
     notices.record_registered([make_replica(0)], now=10.0)
     notices.expire(LEAVING_TTL_S)
     assert len(notices) == 1
@@ -243,5 +243,5 @@
     gate = make_gate(2, engine=None)
     gate.record_backoff(make_replica(0), 4.0, now=0.0)
     gate.record_backoff(make_replica(1), 1.0, now=0.0)
-    gate.note_leaving(make_replica(1), now=0.0)
+    gate.record_leaving(make_replica(1), now=0.0)
     assert gate.measure_backoff_s(0.0) == 4.0
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -76,7 +76,7 @@
     gate.update([old], None, now=0.0)
     gate.mark_replaced(old)
     gate.update([new], None, now=0.0)
-    gate.note_full(old, now=0.0, until=100.0)
+    gate.record_full(old, now=0.0, until=100.0)
     add(gate, 1)
     assert list_assignments(gate.dispatch(0.0))
 
--- a/tests/unit/test_service_gate.py
+++ b/tests/unit/test_service_gate.py
@@ -520,7 +520,7 @@
                 rejected.append(decision)
                 continue
             sent += 1
-            gate.note_full(decision.replica, now=now, until=now + 0.1)
+            gate.record_full(decision.replica, now=now, until=now + 0.1)
             gate.finish(decision.replica, failed=False, now=now)
     assert sent <= 2.0 / 0.25 + 1
     assert len(rejected) >= 185
@@ -532,7 +532,7 @@
     gate = make_gate(12)
     add(gate, 1)
     place = list_assignments(gate.dispatch(0.0))[0]
-    gate.note_full(place.replica, now=0.0, until=0.1)
+    gate.record_full(place.replica, now=0.0, until=0.1)
     gate.add(make_waiting(50, now=0.1), weight=1.0)
     assert list_rejections(gate.dispatch(0.1))
     gate.add(make_waiting(51, now=0.3), weight=1.0)
@@ -542,7 +542,7 @@
 def test_full_rank_of_a_reported_group_does_not_close_the_others():
     gate = make_groups(1, active=1)
     full = make_replica(0)
-    gate.note_full(full, now=0.05, until=0.15)
+    gate.record_full(full, now=0.05, until=0.15)
     add(gate, 1, now=0.05)
     places = list_assignments(gate.dispatch(0.05))
     assert places
@@ -557,7 +557,7 @@
     """
     gate = make_gate(1, engine=None)
     (replica,) = gate.update([make_replica(1)], None, now=0.0) or [make_replica(1)]
-    gate.note_limit(replica, 160.0, now=0.0)
+    gate.record_limit(replica, 160.0, now=0.0)
     add(gate, 50, now=0.1)
     rejected = list_rejections(gate.dispatch(0.1))
     assert {one.reason for one in rejected} == {"replicas-limited"}
@@ -567,7 +567,7 @@
 
 def test_limited_replica_is_skipped_while_another_has_room():
     gate = make_gate(2, engine=None)
-    gate.note_limit(make_replica(1), 0.0, now=0.0)
+    gate.record_limit(make_replica(1), 0.0, now=0.0)
     add(gate, 4, now=0.0)
     places = list_assignments(gate.dispatch(0.0))
     assert [one.replica.id for one in places].count("i-1") <= 1
@@ -576,7 +576,7 @@
 def test_limit_is_kept_while_a_registration_lapses():
     """Guards against an overloaded replica that is filled again after each lapse."""
     gate = make_gate(1, engine=None)
-    gate.note_limit(make_replica(0), 0.0, now=0.0)
+    gate.record_limit(make_replica(0), 0.0, now=0.0)
     gate.update([], None, now=0.1)
     gate.update([make_replica(0)], None, now=0.2)
     add(gate, 6, now=0.2)
@@ -586,7 +586,7 @@
 def test_limit_of_an_earlier_incarnation_does_not_apply_to_the_next():
     gate = make_gate(1, engine=None)
     gate.update([make_replica(0, started_ms=1)], None, now=0.0)
-    gate.note_limit(make_replica(0, started_ms=1), 0.0, now=0.0)
+    gate.record_limit(make_replica(0, started_ms=1), 0.0, now=0.0)
     gate.update([make_replica(0, started_ms=2)], None, now=0.0)
     add(gate, 3, now=0.1)
     placed = list_assignments(gate.dispatch(0.1)) + list_assignments(gate.dispatch(0.1))
@@ -603,7 +603,7 @@
     gate = make_gate(12)
     add(gate, 1)
     (first,) = list_assignments(gate.dispatch(0.0))
-    gate.note_full(first.replica, now=0.0, until=0.1)
+    gate.record_full(first.replica, now=0.0, until=0.1)
     gate.finish(first.replica, failed=False, now=0.0)
     add(gate, 8, now=0.3)
     decisions = gate.dispatch(0.3)
@@ -611,7 +611,7 @@
     assert len(list_rejections(decisions)) == 7
     add(gate, 8, now=0.31)
     assert not list_assignments(gate.dispatch(0.31))
-    gate.note_served(first.replica)
+    gate.record_served(first.replica)
     add(gate, 8, now=0.32)
     assert len(list_assignments(gate.dispatch(0.32))) > 1
 
