--- a/src/hyssopvane/_internal/coordination/etcd_key_value.py
+++ b/src/hyssopvane/_internal/coordination/etcd_key_value.py
@@ -196,7 +196,7 @@
         await self._call("/v3/lease/revoke", {"ID": str(lease)}, writes=True)
 
     def end_watches(self, era: int) -> None:
-        self._era.note_era(era)
+        self._era.record_era(era)
         self._cancel_watches(era)
 
     def _cancel_watches(self, era: int) -> None:
--- a/src/hyssopvane/_internal/coordination/routing_feed.py
+++ b/src/hyssopvane/_internal/coordination/routing_feed.py
@@ -157,7 +157,7 @@
             self._replace_replicas(items, snapshot.replicas_position, source="peer")
         self._notify()
 
-    def note_return(self, at: float) -> None:
+    def record_return(self, at: float) -> None:
         """Record the end of an outage of the store that a peer detected.
 
         Registrations expire while the store is unavailable. A process whose watch
@@ -173,7 +173,7 @@
             "replicas": len(self.replicas),
         }
 
-    def note_era(self, era: int) -> None:
+    def end_watches_before(self, era: int) -> None:
         """End watches when a peer reports that the store was restored from a copy."""
         if era > self.replicas_position.era:
             self._store.end_watches(era)
--- a/src/hyssopvane/_internal/coordination/service_era.py
+++ b/src/hyssopvane/_internal/coordination/service_era.py
@@ -114,7 +114,7 @@
         """Return whether an answer of a cluster dates from before a restore."""
         return cluster in self._past
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Record that a later era has begun; its record is read at the next answer."""
         if self.record is not None and era > self.record.era:
             self._outdated = True
--- a/src/hyssopvane/_internal/policy/map_coordinator.py
+++ b/src/hyssopvane/_internal/policy/map_coordinator.py
@@ -240,7 +240,7 @@
             # The rank was queried directly; the address of its agent is unchanged.
             state = replace(state, messages=before.state.messages)
         if not queried:
-            self.note_agent(state.rank, now=now)
+            self.record_agent(state.rank, now=now)
         self._known_ranks[state.rank] = KnownRank(state, now, valid_at)
         return before is None or get_progress(before.state) != get_progress(state)
 
@@ -254,7 +254,7 @@
         if layout is not None and layout.report_lag_s is not None:
             self.report_lag_s = layout.report_lag_s
 
-    def note_map(self, change: MapChange) -> None:
+    def record_map(self, change: MapChange) -> None:
         """Store the map that a leader sends.
 
         The next leader then knows what the ranks have, including a rank whose agent is
@@ -264,7 +264,7 @@
             if change.experts:
                 self._known_map = (change.version, change.experts)
 
-    def note_agent(self, rank: int, *, now: float) -> None:
+    def record_agent(self, rank: int, *, now: float) -> None:
         """Record that a rank's agent is alive."""
         self._agent_seen_at[rank] = now
 
@@ -296,7 +296,7 @@
         )
         return next(starts, 0)
 
-    def note_confirmed(
+    def record_confirmed(
         self, replica: str, order: RankOrder, *, started_ms: int = 0
     ) -> None:
         """Record a rank's own confirmation that it has carried out an order.
@@ -507,7 +507,7 @@
         )
         if chosen is None:
             return []
-        self._search.note_started(now)
+        self._search.record_started(now)
         version = self._make_version(states)
         self._change = Change(version, chosen.move.experts, now, chosen.copy_s)
         self.phase = Phase.PREPARING
@@ -638,7 +638,7 @@
     def _release(self, now: float) -> list[Action]:
         change = self._get_change()
         if self._get_state_of(change.holder).held_step != change.step:
-            self._search.note_in_force(now)
+            self._search.record_in_force(now)
             self._reset()
             return []
         return self._order(now, Release(self._epoch, change.step))
--- a/src/hyssopvane/_internal/policy/map_search.py
+++ b/src/hyssopvane/_internal/policy/map_search.py
@@ -62,11 +62,11 @@
         """Add the expert choices of one rank's requests since its last message."""
         self._demand.observe(counts, now=now)
 
-    def note_in_force(self, now: float) -> None:
+    def record_in_force(self, now: float) -> None:
         """Record that a change has come into force."""
         self._in_force_at = now
 
-    def note_started(self, now: float) -> None:
+    def record_started(self, now: float) -> None:
         """Record the start of a change, and learn how long the last demand lasted."""
         if self._in_force_at is not None:
             duration_s = now - self._in_force_at
--- a/src/hyssopvane/_internal/roles/direct_entry.py
+++ b/src/hyssopvane/_internal/roles/direct_entry.py
@@ -204,7 +204,7 @@
         match message:
             case EntryState():
                 if message.store_returned_s is not None:
-                    self.feed.note_return(
+                    self.feed.record_return(
                         trio.current_time() - message.store_returned_s
                     )
                 self.exchange.observe(message)
--- a/src/hyssopvane/_internal/roles/map_agent.py
+++ b/src/hyssopvane/_internal/roles/map_agent.py
@@ -243,7 +243,7 @@
             if order is None:
                 return ""
             refusal = await self._engine.send(order)
-            self._planner.note_order(order, view)
+            self._planner.record_order(order, view)
             log_event(
                 "info",
                 "map-order",
--- a/src/hyssopvane/_internal/roles/rank_agent.py
+++ b/src/hyssopvane/_internal/roles/rank_agent.py
@@ -273,7 +273,7 @@
                 self._presence.observe(
                     message.messages, message.rank, now=now, leads=message.leads
                 )
-                self._coordinator.note_agent(message.rank, now=now)
+                self._coordinator.record_agent(message.rank, now=now)
             case RankState():
                 self._handle_rank_state(message, sender, now)
             case OrderRequest():
@@ -281,7 +281,7 @@
             case MapChange() if message.group != self._group:
                 log_event("debug", "map-of-another-group", sender=sender)
             case MapChange():
-                self._coordinator.note_map(message)
+                self._coordinator.record_map(message)
                 self._change = message
                 self._changed.set()
                 self._spread_change(message, split_among(message.forward))
@@ -292,7 +292,7 @@
         report = self._report
         if self._publisher.observe(state, now=now):
             log_event("info", "entry-found", entry=state.address, via=state.via)
-        self.feed.note_era(state.replicas_era)
+        self.feed.end_watches_before(state.replicas_era)
         if self._follows_store and self.feed.table is None and state.beliefs:
             # The store may refuse only this machine. A leading agent without the
             # layout of the experts changes no map, and all passes stay long.
@@ -639,7 +639,7 @@
             took_ms=round((trio.current_time() - started_at) * 1_000, 1),
         )
         if outcome is OrderOutcome.DONE and self._coordinator.waits_for_ranks:
-            self._coordinator.note_confirmed(replica, order, started_ms=start)
+            self._coordinator.record_confirmed(replica, order, started_ms=start)
             await self._lead(trio.current_time())
         if outcome is OrderOutcome.UNKNOWN:
             self._last_order = (None, float("-inf"))
--- a/src/hyssopvane/_internal/state/map_switch.py
+++ b/src/hyssopvane/_internal/state/map_switch.py
@@ -323,7 +323,7 @@
             return None
         return order
 
-    def note_order(self, order: EngineOrder, rank: RankView) -> None:
+    def record_order(self, order: EngineOrder, rank: RankView) -> None:
         """Update the state for an order that is sent to the engine."""
         starts = rank.is_held and order.kind is OrderKind.DECIDE
         if starts and order.name != rank.armed:
--- a/tests/lib/fake_key_value.py
+++ b/tests/lib/fake_key_value.py
@@ -148,7 +148,7 @@
         self.state.revoke_lease(lease)
 
     def end_watches(self, era: int) -> None:
-        self._era.note_era(era)
+        self._era.record_era(era)
 
     @asynccontextmanager
     async def watch(
--- a/tests/lib/map_model.py
+++ b/tests/lib/map_model.py
@@ -233,7 +233,7 @@
         order = agent.plan(view, is_fresh=is_fresh)
         if order is None:
             return False
-        agent.note_order(order, view)
+        agent.record_order(order, view)
         port.send(order)
         return True
 
--- a/tests/lib/rank_model.py
+++ b/tests/lib/rank_model.py
@@ -274,15 +274,15 @@
             number, self._choose_presence_receivers(number)
         ):
             other.last_presence_at[number] = self.now
-            other.coordinator.note_agent(number, now=self.now)
+            other.coordinator.record_agent(number, now=self.now)
         self._follow(number)
         for action in agent.coordinator.decide(self.now):
             if isinstance(action, SendMapChange):
                 self._announce(number, action)
             elif isinstance(action, QueryAgent):
-                asked_agent = int(action.agent)
-                if self._list_reached(asked_agent, [asked_agent]):
-                    observed = self._describe(asked_agent)
+                requested_agent = int(action.agent)
+                if self._list_reached(requested_agent, [requested_agent]):
+                    observed = self._describe(requested_agent)
                     agent.coordinator.observe(observed, now=self.now)
             elif isinstance(action, QueryRank):
                 if self.now < self.agents[int(action.replica)].stalled_until:
@@ -293,7 +293,7 @@
                 self._delegate(action)
             elif isinstance(action, SendOrder):
                 if self._send(int(action.replica), action.order):
-                    agent.coordinator.note_confirmed(action.replica, action.order)
+                    agent.coordinator.record_confirmed(action.replica, action.order)
 
     def _read_remotely(self, number: int) -> RankState:
         """Return the rank's report as read from another machine."""
@@ -357,7 +357,7 @@
                 and self.random.random() >= self.message_loss
             ):
                 agent.change = change
-                agent.coordinator.note_map(change)
+                agent.coordinator.record_map(change)
 
     def _follow(self, number: int) -> None:
         agent, rank = self.agents[number], self.ranks[number]
--- a/tests/unit/test_map_coordinator.py
+++ b/tests/unit/test_map_coordinator.py
@@ -152,7 +152,7 @@
     # yet.
     holder = leader._known_ranks[int(change.holder)]
     holder.state = replace(holder.state, held_step=0)
-    leader.note_confirmed(change.holder, Hold(model.epoch, change.step))
+    leader.record_confirmed(change.holder, Hold(model.epoch, change.step))
     queries = [QueryAgent(change.holder), QueryRank(change.holder)]
     assert leader.decide(model.now) == queries
     model.agents[0].stalled_until = model.now + 20.0
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -135,7 +135,7 @@
     model, leader = make_arming_model()
     leader.observe(replace(model._describe(1), started_ms=AFTER), now=model.now)
     order = Arm(model.epoch, 77, model.step + 3)
-    leader.note_confirmed("1", order, started_ms=BEFORE)
+    leader.record_confirmed("1", order, started_ms=BEFORE)
     assert leader._known_ranks[1].state.armed_version == 0
-    leader.note_confirmed("1", order, started_ms=AFTER)
+    leader.record_confirmed("1", order, started_ms=AFTER)
     assert leader._known_ranks[1].state.armed_version == 77
--- a/tests/unit/test_store_return.py
+++ b/tests/unit/test_store_return.py
@@ -123,7 +123,7 @@
             if told_by == "beliefs":
                 feed.merge(StoreSnapshot(0, b"", 1, (), 1))
             else:
-                feed.note_era(1)
+                feed.end_watches_before(1)
             await trio.sleep(0.6)
             assert list(feed.replicas) == ["servers/9"]
             nursery.cancel_scope.cancel()
--- a/tests/unit/test_store_watch.py
+++ b/tests/unit/test_store_watch.py
@@ -40,7 +40,7 @@
         feed._record_connection("servers/", True)
         await trio.sleep(100.0)
         if told:
-            feed.note_return(trio.current_time() - 0.3)
+            feed.record_return(trio.current_time() - 0.3)
         feed._apply_event("servers/", WatchEvent("servers/1", None, 9))
         assert set(feed.replicas) == ({"servers/1"} if told else set())
 
