--- a/src/hyssopvane/_internal/roles/agent.py
+++ b/src/hyssopvane/_internal/roles/agent.py
@@ -122,11 +122,11 @@
         # Sent at once, not with the next heartbeat: until an entry knows, it sends
         # requests here that are refused and have to go to another target.
         for connection in self._connections:
-            connection.announce_health()
+            connection.queue_heartbeat()
         # An entry may have sent requests before it received that. If the connection
         # closed at once, they would be lost and their callers would get the outcome
         # "unknown", although a graceful shutdown must not cut off any request.
-        await self._for_each_connection(PeerConnection.settle)
+        await self._for_each_connection(PeerConnection.sync)
         await self._wait_idle()
         self._stop_accepting.set()
         await self._for_each_connection(PeerConnection.finish)
--- a/src/hyssopvane/_internal/roles/entry.py
+++ b/src/hyssopvane/_internal/roles/entry.py
@@ -377,7 +377,7 @@
             app_when_late=RefusingApp(
                 RefusalReason.ENTRY_LEAVING, metrics=self.metrics
             ),
-            note_malformed=MalformedRequestHandler(self.metrics),
+            record_malformed=MalformedRequestHandler(self.metrics),
             describe_late=describe_late_request,
         )
 
--- a/src/hyssopvane/_internal/transport/http_server.py
+++ b/src/hyssopvane/_internal/transport/http_server.py
@@ -1,4 +1,4 @@
-"""Accept HTTP connections up to a limit, and end them all at a shutdown."""
+"""Accept HTTP connections up to a limit, and drain them at a shutdown."""
 
 import socket
 from collections.abc import Callable
@@ -13,58 +13,58 @@
 from hyssopvane._internal.transport.http_connection import (
     ConnectionEnd,
     HttpConnection,
-    NoteEnd,
-    PickApp,
+    RecordEnd,
+    SelectApp,
 )
 from hyssopvane._internal.transport.listener_filter import drop_new_connections
 from hyssopvane._internal.utils.logs import log_event
 
-REFUSED_CONNECTIONS = 100
-"""Connections above the limit that get an answer; more are closed without one."""
+MAX_REFUSED_CONNECTIONS = 100
+"""Connections over the limit that get an answer; more are closed without one."""
 
 _REFUSED_KEEP_ALIVE_S = 2.0
 _DRAIN_INTERVAL_S = 0.05
 
-HASTE_AFTER_S = 5.0
-"""Time after the closing of the listener from which a connection need not be quiet.
+SKIP_IDLE_WAIT_AFTER_S = 5.0
+"""Time after the listener closed from which GOAWAY needs no minimum idle time.
 
 A caller that sends one request after the other on an HTTP/2 connection is refused each
-time and could hold the shutdown by it.
+time, and could otherwise delay the shutdown.
 """
 
 
 def log_connection_end(end: ConnectionEnd) -> None:
-    """Log a connection that the server ended, louder where a request came too late."""
+    """Log an ended connection, at level info when bytes arrived after its end."""
     log_event(
         "info" if end.unread_bytes else "debug",
         "connection-ended",
         reason=end.reason,
         age_s=round(end.age_s, 3),
-        free_s=round(end.free_s, 3),
+        free_s=round(end.idle_s, 3),
         unread_bytes=end.unread_bytes,
     )
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionPolicy:
-    """Decide what a server does beside its application."""
+    """Set the connection limit of a server and its answers outside the application."""
 
     max_connections: int | None = None
     app_when_full: ASGIFramework | None = None
-    """Answers the requests on connections above the limit."""
+    """Answers the requests on connections over the limit."""
     app_when_late: ASGIFramework | None = None
     """Answers new requests on busy HTTP/2 connections once the listener is closed."""
-    note_malformed: Callable[[], bytes] = bytes
-    """Counts bytes that are no HTTP and returns header lines for the answer."""
+    record_malformed: Callable[[], bytes] = bytes
+    """Counts a malformed request and returns header lines for the answer."""
     describe_late: Callable[[], bytes] = bytes
-    """Returns header lines for the answer to a request that comes as its connection
-    ends; nobody reads the request."""
-    note_end: NoteEnd = log_connection_end
-    """Takes each connection without requests that the server ended."""
+    """Returns header lines for the answer to a request that arrives as its connection
+    ends; the request is not read."""
+    record_end: RecordEnd = log_connection_end
+    """Records each idle connection that the server ended."""
 
 
 class HttpServer:
-    """Run one task for each connection."""
+    """Accept connections and run each one in a task of its own."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         self._shutdown = shutdown
         self._graceful_timeout_s = graceful_timeout_s
         self._connections: set[HttpConnection] = set()
-        self._refused = 0
+        self._refused_count = 0
         self._refused_config = copy(config)
         self._refused_config.keep_alive_timeout = _REFUSED_KEEP_ALIVE_S
 
@@ -93,7 +93,7 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until the shutdown is set and requests have ended."""
+        """Serve until `shutdown` is set and all requests have ended."""
         with listener:
             async with trio.open_nursery() as handlers:
                 async with trio.open_nursery() as accepting:
@@ -114,9 +114,9 @@
         await trio.serve_listeners(self._handle, [wrapped], handler_nursery=handlers)
 
     def _accept_pending(self, listener: socket.socket, handlers: trio.Nursery) -> None:
-        # The kernel has accepted these callers' connections and closing the listener
-        # would reset them, with the requests they have already sent. None may join them
-        # after the last look.
+        # The kernel has established these connections. Closing the listener would reset
+        # them, with the requests that were already sent. No connection may be added
+        # after the last one is accepted here.
         try:
             drop_new_connections(listener)
         except OSError as error:
@@ -134,33 +134,33 @@
         if self._is_full():
             await self._refuse(stream)
             return
-        connection = self._make_connection(stream, self._pick_app, self._config)
+        connection = self._make_connection(stream, self._select_app, self._config)
         self._connections.add(connection)
         try:
-            await _run_apart(connection)
+            await _run_isolated(connection)
         finally:
             self._connections.discard(connection)
 
     async def _refuse(self, stream: trio.SocketStream) -> None:
         app = self._policy.app_when_full
-        if app is None or self._refused >= REFUSED_CONNECTIONS:
+        if app is None or self._refused_count >= MAX_REFUSED_CONNECTIONS:
             await stream.aclose()
             return
-        self._refused += 1
+        self._refused_count += 1
         try:
-            pick_app = partial(_return_app, app)
-            await _run_apart(
+            select_app = partial(_return_app, app)
+            await _run_isolated(
                 self._make_connection(
-                    stream, pick_app, self._refused_config, ending=True
+                    stream, select_app, self._refused_config, ending=True
                 )
             )
         finally:
-            self._refused -= 1
+            self._refused_count -= 1
 
     def _make_connection(
         self,
         stream: trio.SocketStream,
-        pick_app: PickApp,
+        select_app: SelectApp,
         config: Config,
         *,
         ending: bool = False,
@@ -170,24 +170,24 @@
             leaving = trio.Event()
             leaving.set()
         return HttpConnection(
-            pick_app,
+            select_app,
             stream,
             config=config,
             leaving=leaving,
-            note_malformed=self._policy.note_malformed,
+            record_malformed=self._policy.record_malformed,
             describe_late=self._policy.describe_late,
-            note_end=self._policy.note_end,
+            record_end=self._policy.record_end,
         )
 
     def _is_full(self) -> bool:
         limit = self._policy.max_connections
         return limit is not None and len(self._connections) >= limit
 
-    def _pick_app(self, http2: bool) -> ASGIFramework:
-        # A caller that sends its requests over one busy HTTP/2 connection never lets it
-        # become free, and the VM could not be replaced before the time limit, which
-        # cuts answers. Told that its new request did not run, the caller goes on
-        # elsewhere. On HTTP/1.1 the answer itself ends the connection.
+    def _select_app(self, http2: bool) -> ASGIFramework:
+        # A caller that keeps one HTTP/2 connection busy never lets it become idle, and
+        # the VM could not be replaced before the time limit, which cuts answers. New
+        # requests on it are refused as not run, so the caller retries them elsewhere.
+        # On HTTP/1.1 the answer itself ends the connection.
         late = http2 and self._shutdown.is_set()
         if late and self._policy.app_when_late is not None:
             return self._policy.app_when_late
@@ -196,30 +196,34 @@
     async def _drain_before_closing(self) -> None:
         await self._leaving.wait()
         while True:
-            await self._end_free_connections(closed_at=None, hasty=False)
+            await self._end_idle_connections(closed_at=None, skip_idle_wait=False)
             await trio.sleep(_DRAIN_INTERVAL_S)
 
     async def _drain(self) -> None:
-        # Answers that began now carry the news to their callers.
+        # From now on, answers ask their callers to use another connection.
         self._leaving.set()
-        # A connection accepted a moment ago counts only once its task has started.
+        # Yield, as a connection is counted only once its task has started.
         await trio.sleep(0)
         closed_at = trio.current_time()
-        hasty_from = closed_at + HASTE_AFTER_S
-        while self._connections or self._refused:
-            hasty = trio.current_time() >= hasty_from
-            await self._end_free_connections(closed_at=closed_at, hasty=hasty)
+        skip_idle_wait_from = closed_at + SKIP_IDLE_WAIT_AFTER_S
+        while self._connections or self._refused_count:
+            skip_idle_wait = trio.current_time() >= skip_idle_wait_from
+            await self._end_idle_connections(
+                closed_at=closed_at, skip_idle_wait=skip_idle_wait
+            )
             await trio.sleep(_DRAIN_INTERVAL_S)
 
-    async def _end_free_connections(
-        self, *, closed_at: float | None, hasty: bool
+    async def _end_idle_connections(
+        self, *, closed_at: float | None, skip_idle_wait: bool
     ) -> None:
         for connection in tuple(self._connections):
-            await connection.end_if_free(closed_at=closed_at, hasty=hasty)
+            await connection.end_if_idle(
+                closed_at=closed_at, skip_idle_wait=skip_idle_wait
+            )
 
 
-async def _run_apart(connection: HttpConnection) -> None:
-    # What one caller sends must not end the process with everybody's requests.
+async def _run_isolated(connection: HttpConnection) -> None:
+    # An error on one connection must not end the process with all requests.
     try:
         await connection.run()
     except Exception as error:
--- a/src/hyssopvane/_internal/transport/replica_client.py
+++ b/src/hyssopvane/_internal/transport/replica_client.py
@@ -1,4 +1,4 @@
-"""Call replicas over kept connections, and tell what a failure proves."""
+"""Call replicas over pooled connections, and classify failures by what was sent."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -9,7 +9,7 @@
 import httpcore
 import trio
 
-from hyssopvane._internal.protocol.headers import join_headers
+from hyssopvane._internal.protocol.headers import index_headers
 from hyssopvane._internal.protocol.messages import Headers
 from hyssopvane._internal.transport.addresses import parse_address
 from hyssopvane._internal.transport.raw_stream import (
@@ -18,86 +18,86 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time for a connection; one lost packet of the handshake fits in, two don't."""
+"""Time limit of connecting; it allows for one lost handshake packet, not for two."""
 
-KEPT_S = 8.0
-"""Time that an idle connection is kept where the replica names none."""
+DEFAULT_IDLE_TIMEOUT_S = 8.0
+"""Time that an idle connection is kept when the replica announces no timeout."""
 
-LONGEST_READ_S = 20.0
-"""Time that a body may take whose parts keep coming: 16 MB at 6 Mbit/s."""
+MAX_READ_S = 20.0
+"""Time limit of a body that makes steady progress: 16 MB at 6 Mbit/s."""
 
-MAX_IDLE = 8
-"""Idle connections kept to a replica; more than it works on at once helps nobody."""
+MAX_IDLE_CONNECTIONS = 8
+"""Idle connections kept per replica; more than its concurrency would be useless."""
 
-_KEEP_ALIVE_MARGIN = 0.7
-"""Part of the replica's own time after which a connection is no longer used.
+_KEEP_ALIVE_SHARE = 0.7
+"""Share of the replica's idle timeout after which a connection is no longer used.
 
-A request that crosses the replica's close may or may not have been read, and one that
-may not be repeated would fail for nothing.
+A request that is sent while the replica closes the connection may or may not have been
+read, and a request that is not repeatable would fail needlessly.
 """
 
 
-# httpcore compares the origins of a connection and its requests; the connection here is
-# made beforehand, so one name serves for all.
+# httpcore requires that a connection and its requests have the same origin. Connections
+# are opened outside httpcore, so one placeholder works for all.
 _ORIGIN = httpcore.Origin(b"http", b"replica", 80)
 
 
 class ReplicaUnreachable(Exception):
-    """Tell that no byte of a request left for the replica."""
+    """Report that no byte of a request was sent to the replica."""
 
 
 class CallWithdrawn(Exception):
-    """Tell that a call was given up before a byte of it left."""
+    """Report that a call was withdrawn before any byte of it was sent."""
 
 
 class ReplicaFailed(Exception):
-    """Tell that a request was sent and has no whole answer."""
+    """Report that a request was sent and has no complete answer."""
 
 
 @dataclass(slots=True)
-class _Kept:
+class _PooledConnection:
     connection: httpcore.AsyncHTTP11Connection
     stream: RawStream
     usable_until: float
 
 
 class PartLimit:
-    """Bound the time between two parts of a body instead of the whole of it.
+    """Limit the time between two parts of a body, instead of the time of all parts.
 
-    A large document takes more than a second over a thin link. With one bound for all
-    of it, it would be asked for again and again, never read to its end, and would fill
-    the link meanwhile.
+    A large document takes more than a second over a slow link. With one limit for all
+    of it, it would be requested again and again without ever being read to its end, and
+    would saturate the link.
     """
 
     def __init__(self, scope: trio.CancelScope, *, part_s: float) -> None:
         self._scope = scope
         self._part_s = part_s
-        self._ends_at = scope.deadline + LONGEST_READ_S
+        self._final_deadline = scope.deadline + MAX_READ_S
 
-    def note_part(self) -> None:
-        """Allow as long again for the next part, within the longest time in all."""
+    def extend_deadline(self) -> None:
+        """Restart the limit for the next part, within the limit of the whole body."""
         next_at = trio.current_time() + self._part_s
-        self._scope.deadline = min(next_at, self._ends_at)
+        self._scope.deadline = min(next_at, self._final_deadline)
 
 
 class AnswerHead:
-    """Hold the status and the headers of a response."""
+    """Hold the status and headers of a response."""
 
     def __init__(self, status: int, headers: Headers) -> None:
         self.status = status
         self.headers = headers
-        self.fields = join_headers(headers)
+        self.fields = index_headers(headers)
 
 
 class ReplicaResponse(AnswerHead):
-    """Read one response."""
+    """Hold a response whose body is still to be read."""
 
     def __init__(self, response: httpcore.Response) -> None:
         super().__init__(response.status, tuple(response.headers))
         self._response = response
 
     async def iterate(self) -> AsyncIterator[bytes]:
-        """Give the parts of the body; raise `ReplicaFailed` when it breaks off."""
+        """Yield the parts of the body; raise `ReplicaFailed` when it is incomplete."""
         try:
             async for part in self._response.aiter_stream():
                 yield part
@@ -105,26 +105,26 @@
             raise ReplicaFailed(f"{type(error).__name__}: {error}") from error
 
     async def read(self, *, max_bytes: int, limit: "PartLimit | None" = None) -> bytes:
-        """Return the whole body."""
+        """Return the body; raise `ReplicaFailed` when it exceeds `max_bytes`."""
         parts: list[bytes] = []
         size = 0
         async for part in self.iterate():
             size += len(part)
             if limit is not None:
-                limit.note_part()
+                limit.extend_deadline()
             if size > max_bytes:
-                raise ReplicaFailed(f"the body is over {max_bytes} bytes")
+                raise ReplicaFailed(f"the body exceeds {max_bytes} bytes")
             parts.append(part)
         return b"".join(parts)
 
 
 class ReplicaClient:
-    """Keep the connections of one process to replicas, by address."""
+    """Pool the connections of one process to replicas, by address."""
 
     def __init__(self) -> None:
-        self._idle: dict[str, list[_Kept]] = {}
+        self._idle: dict[str, list[_PooledConnection]] = {}
         self.opened = 0
-        """Connections that were opened since the start."""
+        """Number of connections opened since the start."""
 
     @asynccontextmanager
     async def call(
@@ -138,17 +138,17 @@
         may_send: Callable[[], bool] = lambda: True,
         observe_late: Callable[[AnswerHead], None] | None = None,
     ) -> AsyncIterator[ReplicaResponse]:
-        """Send a request and give its response; a cancelled call closes the connection.
+        """Send a request and yield its response; close the connection when cancelled.
 
-        Whether it may still be sent is asked once the connection is open. The head of
-        an answer that comes as the call is cancelled goes to `observe_late`. Raise
-        `CallWithdrawn`, `ReplicaUnreachable` or `ReplicaFailed`.
+        `may_send` is called once the connection is open. `observe_late` gets the head
+        of an answer that arrives as the call is cancelled. Raise `CallWithdrawn`,
+        `ReplicaUnreachable` or `ReplicaFailed`.
         """
-        kept = await self._take(address)
+        pooled = await self._acquire(address)
         if not may_send():
-            await kept.connection.aclose()
+            await pooled.connection.aclose()
             raise CallWithdrawn(address)
-        kept.stream.sent = False
+        pooled.stream.sent = False
         request = httpcore.Request(
             method,
             httpcore.URL(
@@ -161,49 +161,49 @@
             content=body,
         )
         response: httpcore.Response | None = None
-        kept.stream.awaits_answer = observe_late is not None
+        pooled.stream.awaits_answer = observe_late is not None
         try:
             try:
-                response = await kept.connection.handle_async_request(request)
+                response = await pooled.connection.handle_async_request(request)
             except trio.Cancelled:
-                late = _read_head(kept.stream.late_answer)
+                late = _read_head(pooled.stream.late_answer)
                 if observe_late is not None and late is not None:
                     observe_late(late)
                 raise
             except (httpcore.NetworkError, httpcore.ProtocolError) as error:
                 why = f"{type(error).__name__}: {error}"
-                if kept.stream.sent:
+                if pooled.stream.sent:
                     raise ReplicaFailed(why) from error
                 raise ReplicaUnreachable(why) from error
-            kept.stream.awaits_answer = False
+            pooled.stream.awaits_answer = False
             wrapped = ReplicaResponse(response)
             yield wrapped
             await response.aclose()
-            self._give_back(address, kept, wrapped)
-            kept = None  # type: ignore[assignment]
+            self._release(address, pooled, wrapped)
+            pooled = None  # type: ignore[assignment]
         finally:
-            if kept is not None:
+            if pooled is not None:
                 with trio.CancelScope(shield=True), trio.move_on_after(1):
-                    await kept.connection.aclose()
+                    await pooled.connection.aclose()
 
     async def close(self) -> None:
-        """Close the connections that wait for a request."""
+        """Close all idle connections."""
         for address in tuple(self._idle):
-            await self.forget(address)
+            await self.close_idle(address)
 
-    async def forget(self, address: str) -> None:
-        """Close the waiting connections to an address whose replica has gone."""
-        for kept in self._idle.pop(address, ()):
-            await kept.connection.aclose()
+    async def close_idle(self, address: str) -> None:
+        """Close the idle connections to an address whose replica is gone."""
+        for pooled in self._idle.pop(address, ()):
+            await pooled.connection.aclose()
 
-    async def _take(self, address: str) -> _Kept:
+    async def _acquire(self, address: str) -> _PooledConnection:
         now = trio.current_time()
         idle = self._idle.get(address, [])
         while idle:
-            kept = idle.pop()
-            if now < kept.usable_until and not kept.connection.has_expired():
-                return kept
-            await kept.connection.aclose()
+            pooled = idle.pop()
+            if now < pooled.usable_until and not pooled.connection.has_expired():
+                return pooled
+            await pooled.connection.aclose()
         host, port = parse_address(address)
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
@@ -212,20 +212,26 @@
             raise ReplicaUnreachable(repr(error)) from error
         self.opened += 1
         connection = httpcore.AsyncHTTP11Connection(_ORIGIN, stream)
-        return _Kept(connection, stream, now)
+        return _PooledConnection(connection, stream, now)
 
-    def _give_back(self, address: str, kept: _Kept, response: ReplicaResponse) -> None:
+    def _release(
+        self, address: str, pooled: _PooledConnection, response: ReplicaResponse
+    ) -> None:
         idle = self._idle.setdefault(address, [])
-        if not kept.connection.is_idle() or _has_surplus(kept) or len(idle) >= MAX_IDLE:
-            # Closed by hand: the pool of httpcore does not know this connection.
-            trio.lowlevel.spawn_system_task(kept.connection.aclose)
+        if (
+            not pooled.connection.is_idle()
+            or _has_surplus(pooled)
+            or len(idle) >= MAX_IDLE_CONNECTIONS
+        ):
+            # No pool of httpcore manages this connection, so it is closed here.
+            trio.lowlevel.spawn_system_task(pooled.connection.aclose)
             return
-        kept.usable_until = trio.current_time() + _read_kept_s(response)
-        idle.append(kept)
+        pooled.usable_until = trio.current_time() + _read_idle_timeout_s(response)
+        idle.append(pooled)
 
 
 def _read_head(data: bytes) -> AnswerHead | None:
-    """Return the head of an answer, None where it is not whole or no answer."""
+    """Return the head of an answer, None when it is incomplete or malformed."""
     parser = h11.Connection(h11.CLIENT)
     parser.send(h11.Request(method="GET", target="/", headers=[("Host", "replica")]))
     parser.send(h11.EndOfMessage())
@@ -239,18 +245,18 @@
     return AnswerHead(event.status_code, tuple(event.headers))
 
 
-def _has_surplus(kept: _Kept) -> bool:
-    # A faulty replica sends bytes behind a whole answer. They would be read as the
+def _has_surplus(pooled: _PooledConnection) -> bool:
+    # A faulty replica may send bytes after a complete answer. They would be read as the
     # answer to the next request on this connection, whose caller would get another
-    # caller's answer. httpcore looks at the socket only, not at what it has read.
-    state: Any = kept.connection._h11_state
+    # caller's answer. httpcore checks only the socket, not the bytes it has read.
+    state: Any = pooled.connection._h11_state
     surplus: bytes = state.trailing_data[0]
-    return bool(surplus) or kept.stream.get_extra_info("is_readable")
+    return bool(surplus) or pooled.stream.get_extra_info("is_readable")
 
 
-def _read_kept_s(response: ReplicaResponse) -> float:
+def _read_idle_timeout_s(response: ReplicaResponse) -> float:
     for part in response.fields.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name == b"timeout" and value.isdigit():
-            return int(value) * _KEEP_ALIVE_MARGIN
-    return KEPT_S
+            return int(value) * _KEEP_ALIVE_SHARE
+    return DEFAULT_IDLE_TIMEOUT_S
--- a/tests/lib/proxy.py
+++ b/tests/lib/proxy.py
@@ -1,4 +1,4 @@
-"""Stand between two processes and lose what they send."""
+"""Simulate a network device that drops data of open connections."""
 
 import threading
 from collections.abc import Iterator
@@ -10,12 +10,12 @@
 
 
 class Proxy:
-    """Pass TCP connections on to one address until told otherwise."""
+    """Forward TCP connections to one address, until they are silenced."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = host, int(port)
-        self._silenced: set[trio.SocketStream] = set()
+        self._silent: set[trio.SocketStream] = set()
         self._open: set[trio.SocketStream] = set()
         self._started = threading.Event()
         self._stopped = trio.Event()
@@ -23,8 +23,8 @@
         self.accepted = 0
 
     def silence_open(self) -> None:
-        """Drop all data of the connections that are open now; leave them open."""
-        self._silenced |= self._open
+        """Drop all further data of the open connections without closing them."""
+        self._silent |= self._open
 
     async def run(self) -> None:
         """Serve until stopped."""
@@ -55,26 +55,26 @@
             return
         self._open.add(near)
         async with near, far, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pass_on, near, far, near)
-            await self._pass_on(far, near, near)
+            nursery.start_soon(self._forward, near, far, near)
+            await self._forward(far, near, near)
             nursery.cancel_scope.cancel()
         self._open.discard(near)
 
-    async def _pass_on(self, source, sink, connection) -> None:
+    async def _forward(self, source, sink, connection) -> None:
         try:
             while data := await source.receive_some(_READ_BYTES):
-                if connection not in self._silenced:
+                if connection not in self._silent:
                     await sink.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
-        if connection in self._silenced:
-            # A device that forgot the connection passes no end on either.
+        if connection in self._silent:
+            # A device that lost the connection's state does not forward its end either.
             await trio.sleep_forever()
 
 
 @contextmanager
 def run_proxy(target: str) -> Iterator[Proxy]:
-    """Run a proxy in a thread of its own."""
+    """Run a proxy in a separate thread."""
     proxy = Proxy(target)
     thread = threading.Thread(target=trio.run, args=(proxy.run,))
     thread.start()
