--- a/src/hyssopvane/_internal/coordination/demand.py
+++ b/src/hyssopvane/_internal/coordination/demand.py
@@ -76,7 +76,7 @@
         self._holder.update_view(now=now)
         self._granter.update_customers(customers, now=now)
         self._holder.measure_demand(customers, now=now)
-        for vm, requests in self._holder.choose_asks(now=now).items():
+        for vm, requests in self._holder.choose_requests(now=now).items():
             nursery.start_soon(self._exchange, vm, requests, now)
 
     async def _exchange(
--- a/src/hyssopvane/_internal/roles/direct_call.py
+++ b/src/hyssopvane/_internal/roles/direct_call.py
@@ -331,7 +331,7 @@
             raise ReplicaFailed("the successful answer has no signature")
         if b"content-encoding" in response.fields:
             raise ReplicaFailed("the body is encoded, but replicas encode none")
-        self._dependencies.gates.get_gate(self._request.service).note_served(replica)
+        self._dependencies.gates.get_gate(self._request.service).record_served(replica)
         streamed = self._request.route.kind is RequestKind.STREAM
         if streamed and response.status in _OK:
             await self._relay_stream(response)
@@ -346,7 +346,7 @@
             self._record_replica_state(replica, head)
 
     def _record_replica_state(self, replica: Replica, response: AnswerHead) -> None:
-        """Record limit, pause and leaving that an answer reports of its replica."""
+        """Record limit, back-off and leaving that an answer reports of its replica."""
         if response.status == _MISDIRECTED:
             # The address now belongs to another replica.
             return
@@ -387,7 +387,7 @@
         if response.status == _MISDIRECTED:
             gate.mark_replaced(replica)
         elif gate.may_send(replica, now):
-            gate.note_full(replica, now=now, until=now + FULL_REST_S)
+            gate.record_full(replica, now=now, until=now + FULL_REST_S)
         raise _AttemptFailed(
             f"refused-{response.status}",
             not_run=True,
@@ -493,7 +493,7 @@
         if self._request.may_have_run:
             return DirectAnswer(DirectRefusal.REPLICA_FAILED)
         gate = self._dependencies.gates.get_gate(self._request.service)
-        backoff_s = gate.measure_rest_s(trio.current_time())
+        backoff_s = gate.measure_backoff_s(trio.current_time())
         return DirectAnswer(
             DirectRefusal.REPLICA_REFUSED, max(NOT_RUN_RETRY_AFTER_S, backoff_s)
         )
--- a/tests/lib/store_return_model.py
+++ b/tests/lib/store_return_model.py
@@ -297,9 +297,9 @@
         received = decode_message(encode_message(state))
         assert isinstance(received, EntryState)
         if process.exchange._is_newer(received):
-            beliefs = encode_store_snapshot(peer.feed.export())
+            snapshot = encode_store_snapshot(peer.feed.export())
             assert self._nursery is not None
-            self._nursery.start_soon(self._merge_late, process, beliefs)
+            self._nursery.start_soon(self._merge_late, process, snapshot)
 
     async def _merge_late(self, process: Process, body: bytes) -> None:
         await trio.sleep(self._random.uniform(0, _LONGEST_ANSWER_S))
--- a/tests/unit/test_restarted_replicas.py
+++ b/tests/unit/test_restarted_replicas.py
@@ -76,7 +76,7 @@
     gate.update([old], None, now=0.0)
     gate.mark_replaced(old)
     gate.update([new], None, now=0.0)
-    gate.note_full(old, now=0.0, until=100.0)
+    gate.record_full(old, now=0.0, until=100.0)
     add(gate, 1)
     assert list_assignments(gate.dispatch(0.0))
 
@@ -135,7 +135,7 @@
     model, leader = make_arming_model()
     leader.observe(replace(model._describe(1), started_ms=AFTER), now=model.now)
     order = Arm(model.epoch, 77, model.step + 3)
-    leader.note_confirmed("1", order, started_ms=BEFORE)
+    leader.record_confirmed("1", order, started_ms=BEFORE)
     assert leader._known_ranks[1].state.armed_version == 0
-    leader.note_confirmed("1", order, started_ms=AFTER)
+    leader.record_confirmed("1", order, started_ms=AFTER)
     assert leader._known_ranks[1].state.armed_version == 77
