--- a/src/hyssopvane/_internal/policy/load_publisher.py
+++ b/src/hyssopvane/_internal/policy/load_publisher.py
@@ -33,8 +33,8 @@
 """
 
 REMOTE_CONTACTS = 2
-"""Number of entries of other zones that a roster names; beliefs spread to other zones
-through them.
+"""Number of entries of other zones that a roster names. Store snapshots reach other
+zones through them.
 """
 
 
--- a/src/hyssopvane/_internal/policy/suspects.py
+++ b/src/hyssopvane/_internal/policy/suspects.py
@@ -74,7 +74,7 @@
     """
 
     def __init__(self, *, max_records: int = MAX_RECORDS) -> None:
-        self._max_cases = max_records
+        self._max_records = max_records
         self._records: OrderedDict[BodyId, SuspectRecord] = OrderedDict()
         self._running: dict[str, Counter[BodyId]] = {}
         self._changed: set[BodyId] = set()
@@ -201,7 +201,7 @@
     def _keep(self, body: BodyId, record: SuspectRecord) -> None:
         self._records[body] = record
         self._records.move_to_end(body)
-        while len(self._records) > self._max_cases:
+        while len(self._records) > self._max_records:
             self._records.popitem(last=False)
 
     def _find(self, body: BodyId, now: float) -> SuspectRecord | None:
